--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,8 +1,8 @@
 """The tests that are known to fail for a real fault: read, checked and printed for the test run.
 
-``KNOWN-RED.txt`` at the root has one line for each, ``TEST | CAUSE | ISSUE``: the test's id as pytest prints it, why it
-fails, and the number of an open issue. Empty lines do not count. At most three may stand there. The file may be empty
-or absent.
+``KNOWN-RED.txt`` at the root has one line for each, ``TEST | COMMAND AND SEED | SEEN | ISSUE``: the test's id as pytest
+prints it, the command and seed that show the failure, what was seen, and the number of an open issue.
+Empty lines do not count. At most three may stand there. The file may be empty or absent.
 
 Prints what stands there on standard error and the arguments for pytest, one a line, on standard output. Exits 2 where
 the file is wrong, names a test that is not there, or names more tests than may be.
@@ -29,7 +29,8 @@
     """One test that is passed over."""
 
     test: str
-    cause: str
+    command: str
+    seen: str
     issue: int
 
 
@@ -40,9 +41,9 @@
         if not line.strip():
             continue
         words = [word.strip() for word in line.split("|")]
-        if len(words) != 3 or not all(words) or not re.fullmatch(r"#?\d+", words[2]):
-            raise KnownRedError(f"{FILE}:{number}: not TEST | CAUSE | ISSUE")
-        entries.append(Entry(words[0], words[1], int(words[2].lstrip("#"))))
+        if len(words) != 4 or not all(words) or not re.fullmatch(r"#?\d+", words[3]):
+            raise KnownRedError(f"{FILE}:{number}: not TEST | COMMAND AND SEED | SEEN | ISSUE")
+        entries.append(Entry(words[0], words[1], words[2], int(words[3].lstrip("#"))))
     if len(entries) > MOST:
         raise KnownRedError(f"{FILE}: {len(entries)} tests, and at most {MOST} may be known to fail")
     if len({entry.test for entry in entries}) != len(entries):
@@ -74,7 +75,10 @@
         print(error, file=sys.stderr)
         return 2
     for entry in entries:
-        print(f"known red, passed over: {entry.test} (issue {entry.issue}): {entry.cause}", file=sys.stderr)
+        print(
+            f"known red, passed over: {entry.test} (issue {entry.issue}): {entry.seen}; {entry.command}",
+            file=sys.stderr,
+        )
         print(f"--deselect={entry.test}")
     return 0
 
--- a/benchmarks/client.py
+++ b/benchmarks/client.py
@@ -245,7 +245,7 @@
         for servers, clients, trouble, client, each in plans
     ]
     order = sorted(range(len(specs)), key=lambda n: -specs[n]["clients"])  # the longest first
-    done = trials("lapishaven.lab.clientsim", [specs[n] for n in order], 7)
+    done = trials("lapishaven.lab.client_simulation", [specs[n] for n in order], 7)
     found = {plans[n]: figures for n, figures in zip(order, done, strict=True)}
     rows = []
     for servers, clients, seeds, kinds in sizes:
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -14,7 +14,7 @@
 from contextlib import suppress
 
 from benchmarks.common import arguments, finish, table, write_into
-from lapishaven.control import Door
+from lapishaven.admin import AdminServer
 from lapishaven.counters import Counters
 from lapishaven.net.loop import Loop
 
@@ -32,7 +32,7 @@
         return b"server_open_requests 0\n"
 
 
-class NoRoom(Door):
+class NoRoom(AdminServer):
     """The baseline: a door of the same size that never closes a call to make room."""
 
     def _make_room(self) -> bool:
@@ -42,7 +42,7 @@
 def play(seed: int, span: float, make_room: bool) -> list[float]:
     """Seconds that each scraper's call took; a call unanswered in 1 s counts as 1 s."""
     rng, loop = random.Random(seed), Loop()
-    host = (Door if make_room else NoRoom)(loop, ("127.0.0.1", 0), Figures(), Counters())
+    host = (AdminServer if make_room else NoRoom)(loop, ("127.0.0.1", 0), Figures(), Counters())
     silent: list[socket.socket] = []
     took: list[float] = []
     start = time.monotonic()
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -22,10 +22,10 @@
 
 from benchmarks.common import arguments, finish, table, trials, write_into
 from lapishaven.lab.field.trial import TTL
-from lapishaven.lab.simfleet import SimFleet
-from lapishaven.ownership.book import Book
+from lapishaven.lab.ownership_simulation import SimFleet
 from lapishaven.ownership.duties import budgets
 from lapishaven.ownership.fence import Act
+from lapishaven.ownership.fenced_store import FencedStore
 
 MODULE = "lapishaven.lab.field.trial"
 FALLBACK, SPAN, BURST = 0.1, 6.0, 1.0
@@ -116,7 +116,7 @@
     ``shift`` seconds if that is not 0; the dealer dies every 5 s and is followed 3 to 4 s later. The baseline,
     ``dealt`` false: each member has its even part for good."""
     rate, random, now = 200.0, Random(seed), 0.0
-    book = Book(":memory:", {"budgets": budgets.PLAN})
+    book = FencedStore(":memory:", {"budgets": budgets.PLAN})
     purses = [budgets.Purse(rate, members, FALLBACK if dealt else 1.0, BURST) for _ in range(members)]
     dealing, token, number = budgets.Dealing({"c": rate}, SPAN, book.read), 1, 0
     due, dies, flush, up = 0.0, 5.0, 0.0, 0.0
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -14,8 +14,18 @@
 from typing import Any
 
 from benchmarks.common import arguments, finish, table, trials, write_into
-from cometdrum import interface as i
-from cometdrum.controller import Controller
+from lapishaven.admission import (
+    Controller,
+    Event,
+    Idempotency,
+    LoadSample,
+    Outcome,
+    RequestArrived,
+    RequestClass,
+    RunFinished,
+    Settings,
+    StartRun,
+)
 from lapishaven.lab.interpreter import Box, Cores, Work
 from lapishaven.pools import Pools
 from lapishaven.pools.capacity import Capacity
@@ -137,39 +147,41 @@
 
 def decision_cost(seed: int, classes: int, pooled: bool) -> float:
     """Microseconds of the Controller for each request on a stream at its capacity, with so many classes."""
-    specs = tuple(i.ClassSpec(f"c{n}", 1.5, 5.0, 1.0, i.Effect.SAFE, 0.2, None, False, 0.0) for n in range(classes))
-    given = i.Settings(
+    specs = tuple(
+        RequestClass(f"c{n}", 1.5, 5.0, 1.0, Idempotency.IDEMPOTENT, 0.2, None, False, 0.0) for n in range(classes)
+    )
+    given = Settings(
         classes=specs,
         tenants=(),
         cores=6,
         memory_kb=1e6,
-        run_factor=16.0,
-        key_kb=0.0,
-        peers=1,
-        callers=1,
-        cold=False,
-        cold_span=10.0,
-        cold_from=0.3,
-        fall_multiple=6.0,
-        fall_span=1.5,
+        running_memory_factor=16.0,
+        key_entry_kb=0.0,
+        peer_count=1,
+        caller_count=1,
+        slow_start=False,
+        slow_start_span=10.0,
+        slow_start_initial_speed=0.3,
+        collapse_concurrency=6.0,
+        collapse_span=1.5,
         drain_grace=2.0,
-        answer_slack=0.1,
-        over_share_worth=0.1,
-        worth_by_work=False,
-        advice_max=1.0,
-        say=None,
-        said_for=0.0,
-        halt="pause",
-        fresh=0.0,
-        fair_calls=None,
-        call_window=5.0,
-        linger=0.2,
-        passes_deadline=False,
-        tells_gone=True,
-        marks_retry=True,
-        deep_checks=True,
-        listed_by_health=True,
-        idle=15.0,
+        response_slack=0.1,
+        over_quota_weight=0.1,
+        weight_per_request=False,
+        max_retry_after=1.0,
+        load_signal=None,
+        load_signal_ttl=0.0,
+        cancellation="pause",
+        result_freshness=0.0,
+        dependency_quota=None,
+        dependency_window=5.0,
+        dependency_linger=0.2,
+        propagates_deadline=False,
+        reports_cancellation=True,
+        marks_retries=True,
+        deep_health_checks=True,
+        registry_follows_health=True,
+        idle_timeout=15.0,
     )
     rows = [{"name": f"p{n}", "classes": [f"c{n}"], "share": 1.0 / classes - 1e-9} for n in range(classes)]
     names = [spec.name for spec in specs]
@@ -177,17 +189,19 @@
     rnd, now, ends, spent = random.Random(seed), 0.0, list[tuple[float, int]](), 0.0
     for n in range(1, 3001):
         now += 0.045
-        events: list[i.Event] = [i.Finished(id, 0.25, i.Outcome.OK) for at, id in ends if at <= now]
+        events: list[Event] = [RunFinished(id, 0.25, Outcome.OK) for at, id in ends if at <= now]
         ends = [each for each in ends if each[0] > now]
         events.append(
-            i.Arrival(n, 30.0, 0, None, 0, 0.0, False, False, rnd.randrange(classes), rnd.random(), None, None, None)
+            RequestArrived(
+                n, 30.0, 0, None, 0, 0.0, False, False, rnd.randrange(classes), rnd.random(), None, None, None
+            )
         )
         if n % 2:
-            events.append(i.Poll(0, min(1.0, len(ends) / 6), float(len(ends)), 0.1, 5.0))
+            events.append(LoadSample(0, min(1.0, len(ends) / 6), float(len(ends)), 0.1, 5.0))
         begun = time.perf_counter()
         actions = controller.handle(now, events)
         spent += time.perf_counter() - begun
-        ends += [(now + 0.25 * max(1.0, len(ends) / 6), a.id) for a in actions if isinstance(a, i.Run)]
+        ends += [(now + 0.25 * max(1.0, len(ends) / 6), a.request_id) for a in actions if isinstance(a, StartRun)]
     return round(spent / 3000 * 1e6, 1)
 
 
--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -25,10 +25,10 @@
 from benchmarks.common import arguments, finish, table, trials, write_into
 from lapishaven.lab.field import Field
 from lapishaven.lab.field.tier import Call, Tier
-from lapishaven.record.base import Base, Op, Told
-from lapishaven.record.command import audit
-from lapishaven.record.table import Event
-from lapishaven.record.writer import Writer
+from lapishaven.ledger.command import audit
+from lapishaven.ledger.database import LedgerDatabase, Op, Told
+from lapishaven.ledger.transitions import Event
+from lapishaven.ledger.writer import Writer
 
 MODULE = "benchmarks.record"
 SAFE_AIM = 1.5  # s
@@ -180,11 +180,11 @@
 
 def groups(most: int, seconds: float, threads: int = 32) -> dict[str, Any]:
     """Durable operations a second by so many that wait for each of theirs; ``most`` in one transaction."""
-    from lapishaven.record import writer as module
+    from lapishaven.ledger import writer as module
 
     folder = Path(tempfile.mkdtemp(prefix="lapishaven-record-"))
     old, module.GROUP = module.GROUP, most
-    writer = Writer(Base(str(folder / "record.db")), lambda count, good: None)
+    writer = Writer(LedgerDatabase(str(folder / "record.db")), lambda count, good: None)
     spans: list[float] = []
     until = time.monotonic() + seconds
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -20,11 +20,11 @@
 from benchmarks.common import arguments, finish, table, trials, write_into
 from lapishaven.lab.field import Field
 from lapishaven.lab.field.tier import Tier, figures
-from lapishaven.lab.spreadcases import AT, CASES, SPEEDS, build, play
-from lapishaven.lab.spreadsim import COLD_SPAN
-from lapishaven.spread import Rules, Spread
-from lapishaven.spread.draw import Draw
-from lapishaven.spread.news import SIZE, News
+from lapishaven.lab.load_balancing_cases import AT, CASES, SPEEDS, build, play
+from lapishaven.lab.load_balancing_simulation import COLD_SPAN
+from lapishaven.load_balancing import LoadBalancer, Rules
+from lapishaven.load_balancing.load_report import SIZE, LoadReport
+from lapishaven.load_balancing.weighted_sampler import WeightedSampler
 
 MODULE = "benchmarks.spread"
 PLAIN = ("random", "round robin", "two choices")
@@ -183,7 +183,7 @@
     """Microseconds for a draw with one change of weight before it, and for a whole choice, at so many processes."""
     random = Random(seed)
     weights = [random.choice(SPEEDS) for _ in range(size)]
-    draw = Draw()
+    draw = WeightedSampler()
     for n, weight in enumerate(weights):
         draw.put(str(n), weight)
     names = [str(n) for n in range(size)]
@@ -201,7 +201,7 @@
             other.take(random)
 
         found[kind.__name__.lower()] = _micros(plain)
-    spread = Spread(Rules(), random)
+    spread = LoadBalancer(Rules(), random)
     spread.members(names)
     now, number = 0.0, 0
 
@@ -211,14 +211,14 @@
         number += 1
         made = spread.begin(now)
         for probe in made.ask:
-            spread.heard(now, probe.id, News(int(probe.name), number, int(random.random() * 8), 2.0, 4, 1.0))
+            spread.heard(now, probe.id, LoadReport(int(probe.name), number, int(random.random() * 8), 2.0, 4, 1.0))
         name = spread.settle(now, made)
         assert name is not None
         spread.sent(now, name)
         spread.ended(now + 0.0005, name, now, made_ending)
         spread.due(now)
 
-    from lapishaven.spread import Ending
+    from lapishaven.load_balancing import Ending
 
     made_ending = Ending.SERVED
     found["choice"] = _micros(choice, 0.1)
--- a/lapishaven/__init__.py
+++ b/lapishaven/__init__.py
@@ -1,3 +1,3 @@
-"""lapishaven: a match server that carries out cometdrum's decisions on real sockets."""
+"""lapishaven: a match server with admission control on real sockets."""
 
 __version__ = "0.1.0"
--- a/lapishaven/control/metrics.py
+++ b/lapishaven/admin/metrics.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from lapishaven.core.tally import FAULTED, FULFILLED, RELAYED, THROTTLED
+from lapishaven.core.outcome_metrics import FAULTED, FULFILLED, RELAYED, THROTTLED
 from lapishaven.counters import Counters
 
 PREFIX = "server_"
--- a/lapishaven/control/door.py
+++ b/lapishaven/admin/server.py
@@ -12,12 +12,12 @@
 from collections.abc import Generator
 from typing import Any, Protocol
 
+from lapishaven.connection_end import ConnectionEnd
 from lapishaven.counters import Counters
-from lapishaven.ends import End
-from lapishaven.net.conn import Conn
+from lapishaven.net.connection import Connection
+from lapishaven.net.eviction import Evictions
 from lapishaven.net.listener import Budget, Listener
 from lapishaven.net.loop import Loop, Wait
-from lapishaven.net.room import Room
 from lapishaven.proto import http
 
 LIMIT = 16  # calls open at once
@@ -38,20 +38,20 @@
         """What is known of the processes behind this one; none where there are none."""
 
 
-class Door:
+class AdminServer:
     """Listens on ``address`` (raises ``OSError``) and answers each call from ``host``."""
 
     def __init__(self, loop: Loop, address: tuple[str, int], host: Host, counters: Counters) -> None:
         self.loop, self.host, self.counters = loop, host, counters
-        self.calls: dict[Conn, None] = {}  # open, oldest first
-        self._room = Room(loop)
+        self.calls: dict[Connection, None] = {}  # open, oldest first
+        self._room = Evictions(loop)
         self.listener = Listener(loop, address, Budget(LIMIT, 0), self._accepted, self._make_room)
 
     def _accepted(self, sock: socket.socket) -> None:
         self.counters.add("control", "calls")
-        conn = Conn(self.loop, sock, lambda end: self._ended(conn, end))
+        conn = Connection(self.loop, sock, lambda end: self._ended(conn, end))
         self.calls[conn] = None
-        self.loop.spawn(self._serve(conn), lambda error: conn.close(End.FAULT))
+        self.loop.spawn(self._serve(conn), lambda error: conn.close(ConnectionEnd.FAULT))
 
     def _make_room(self) -> bool:
         if self._room.free():
@@ -59,31 +59,31 @@
         oldest = next((conn for conn in self.calls if conn.closing is None), None)
         if oldest is not None and not len(self._room):
             self.counters.add("control", "evicted")
-            oldest.close(End.EVICTED)
+            oldest.close(ConnectionEnd.EVICTED)
             self._room.add(oldest)
         return not self.listener.budget.full
 
-    def _ended(self, conn: Conn, end: End) -> None:
+    def _ended(self, conn: Connection, end: ConnectionEnd) -> None:
         del self.calls[conn]
         self.listener.budget.used -= 1
         self.listener.room_made()
         self.counters.add("ends", f"control {end.value}")
 
-    def _serve(self, conn: Conn) -> Generator[Wait, Any, None]:
+    def _serve(self, conn: Connection) -> Generator[Wait, Any, None]:
         calls, until = http.Calls(), self.loop.now + READ_SPAN
         while (span := until - self.loop.now) > 0:
             data = yield from conn.read(span)
-            if isinstance(data, End):
+            if isinstance(data, ConnectionEnd):
                 return conn.close(data)
             try:
                 call = calls.feed(data) if data is not None else None
             except http.BadCall as error:
                 conn.write(calls.response(error.status, f"{error}\n".encode()))
-                return conn.close(End.PROTOCOL_ERROR)
+                return conn.close(ConnectionEnd.PROTOCOL_ERROR)
             if call is not None:
                 conn.write(self.answer(calls, *call))
-                return conn.close(End.FINISHED)
-        conn.close(End.TIMED_OUT)
+                return conn.close(ConnectionEnd.FINISHED)
+        conn.close(ConnectionEnd.TIMED_OUT)
 
     def answer(self, calls: http.Calls, method: str, path: str) -> bytes:
         """The response to one call."""
@@ -103,4 +103,4 @@
         self.listener.abandon()
         for conn in list(self.calls):
             conn.flush()
-            conn.abort(End.SHUTDOWN)
+            conn.abort(ConnectionEnd.SHUTDOWN)
--- a/lapishaven/store.py
+++ b/lapishaven/attempt_log.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class LogEntry:
     """One line of record: a run that was started, or an answer."""
 
     event: str
@@ -38,10 +38,10 @@
     detail: str
 
 
-class Store(Protocol):
+class AttemptLog(Protocol):
     """Where entries go."""
 
-    def record(self, entry: Entry) -> None:
+    def record(self, entry: LogEntry) -> None:
         """Queue an entry; never waits."""
 
     def started(self, span: float) -> list[tuple[str, str, float]]:
@@ -51,18 +51,18 @@
         """Put away what is queued."""
 
 
-class Sqlite:
+class SqliteAttemptLog:
     """A store in one SQLite file."""
 
     def __init__(self, path: str, dropped: Callable[[], None], wall: Callable[[], float] = time.time) -> None:
         self._path, self._dropped, self._wall = path, dropped, wall
         with closing(sqlite3.connect(path)) as base:
             base.executescript(SCHEMA)
-        self._queue: queue.Queue[tuple[float, Entry] | None] = queue.Queue(QUEUE)
+        self._queue: queue.Queue[tuple[float, LogEntry] | None] = queue.Queue(QUEUE)
         self._writer = threading.Thread(target=self._write, name="store", daemon=True)
         self._writer.start()
 
-    def record(self, entry: Entry) -> None:
+    def record(self, entry: LogEntry) -> None:
         try:
             self._queue.put_nowait((self._wall(), entry))
         except queue.Full:
--- a/lapishaven/backends/__init__.py
+++ b/lapishaven/backends/__init__.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Generator
 from typing import Any, Protocol
 
-from cometdrum.interface import Outcome
-from lapishaven.core.model import Backend
+from lapishaven.admission import Outcome
+from lapishaven.core.ports import Backend
 from lapishaven.net.loop import Wait
 
 
-class Listener(Protocol):
+class BackendListener(Protocol):
     """Who is told what a backend says."""
 
     def up(self, cold: bool, up_for: float) -> None: ...
@@ -18,11 +18,11 @@
     def gauges(self, values: dict[str, float]) -> None: ...
 
 
-class Driver(Backend, Protocol):
+class BackendDriver(Backend, Protocol):
     """A backend as the server holds it."""
 
     def run(self) -> Generator[Wait, Any, None]: ...
-    def move(self, address: tuple[str, int]) -> None: ...
-    def smoke(self, told: Callable[[bool], None]) -> None: ...
+    def change_address(self, address: tuple[str, int]) -> None: ...
+    def health_check(self, told: Callable[[bool], None]) -> None: ...
     def failed(self) -> None: ...
     def close(self) -> None: ...
--- a/lapishaven/backends/interpreter.py
+++ b/lapishaven/backends/interpreter.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cometdrum.interface import Outcome
-from lapishaven.backends import Listener
+from lapishaven.admission import Outcome
+from lapishaven.backends import BackendListener
+from lapishaven.connection_end import ConnectionEnd, outcome_of
 from lapishaven.counters import Counters
-from lapishaven.ends import End, outcome_of
-from lapishaven.net.conn import Conn, Dial, connect
+from lapishaven.net.connection import Connection, Dial, connect
 from lapishaven.net.loop import Loop, Wait
 from lapishaven.proto import ProtocolError
 from lapishaven.proto import interpreter as proto
@@ -27,7 +27,7 @@
 LOST = 0.1  # s before a break in which a command may be lost even if a later one was answered
 HANDOVER = 0.25  # s for the old link's last answer when the interpreter moves
 PROBE = 0.1  # s for a run to say that it was stopped, after which it counts as never begun
-OUTCOMES = {"OK": Outcome.OK, "ERROR": Outcome.ERROR, "STOPPED": Outcome.CANCELLED, "MOOT": Outcome.MOOT}
+OUTCOMES = {"OK": Outcome.OK, "ERROR": Outcome.ERROR, "STOPPED": Outcome.CANCELLED, "MOOT": Outcome.OBSOLETE}
 
 
 @dataclass(slots=True)
@@ -76,7 +76,7 @@
         return unsent, doubtful
 
 
-class Interpreter:
+class InterpreterBackend:
     """A core backend on the interpreter's lines."""
 
     def __init__(
@@ -84,7 +84,7 @@
         loop: Loop,
         address: tuple[str, int],
         gauge_names: tuple[str, ...],
-        listener: Listener,
+        listener: BackendListener,
         counters: Counters,
         dial: Dial = connect,
     ) -> None:
@@ -92,7 +92,7 @@
         self.loop, self.address, self.names = loop, address, gauge_names
         self.listener, self.counters = listener, counters
         self.ready = False
-        self._conn: Conn | None = None
+        self._conn: Connection | None = None
         self._last = 0  # number of the last end of a run that was read
         self._ledger = Ledger()
         self._waiting: list[Command] = []  # for the next link
@@ -112,13 +112,13 @@
         self._running.add(handle)
         self._command(Command(handle, proto.apply(handle, cls, body), True, once))
 
-    def halt(self, handle: str) -> None:
+    def pause(self, handle: str) -> None:
         stop = Command(handle, proto.pause(handle))
         if any(command.handle == handle and command.starts for command in self._waiting):
             # It never left, so there is nothing to stop.
             self._waiting = [command for command in self._waiting if command.handle != handle]
             self._over(handle)
-            self.loop.at(self.loop.now, lambda: self.listener.finished(handle, Outcome.UNREACHED, 0.0, b""))
+            self.loop.at(self.loop.now, lambda: self.listener.finished(handle, Outcome.UNREACHABLE, 0.0, b""))
         elif handle in self._probes:
             self._probes[handle] = False
         elif any(command.handle == handle for command in self._doubt):
@@ -135,7 +135,7 @@
         if self.ready and not self._moving:
             self._fence(None)
 
-    def smoke(self, told: Callable[[bool], None]) -> None:
+    def health_check(self, told: Callable[[bool], None]) -> None:
         """A deep health check; ``told`` is called once. One that meets a break is sent on the next link.
 
         Checks that come while one is out share its end, so that a flood of them is no flood of work.
@@ -183,12 +183,12 @@
         while not self._stopped:
             address = self.address
             sock = yield from self._dial(self.loop, address, DIAL)
-            if isinstance(sock, End):
+            if isinstance(sock, ConnectionEnd):
                 self.counters.add("interpreter", sock.value)
             elif self._stopped or self.address != address:
                 sock.close()  # moved once more, or over, while it was dialled
             else:
-                self._conn = conn = Conn(self.loop, sock, self._ended)
+                self._conn = conn = Connection(self.loop, sock, self._ended)
                 hello = proto.connect(self._last)
                 self._ledger.mark("", len(hello))
                 conn.write(hello)
@@ -203,11 +203,11 @@
             else:
                 failures = 0
 
-    def _read(self, conn: Conn) -> Generator[Wait, Any, None]:
+    def _read(self, conn: Connection) -> Generator[Wait, Any, None]:
         machine = proto.Client()
         while True:
             data = yield from conn.read()
-            if isinstance(data, End):
+            if isinstance(data, ConnectionEnd):
                 # Never closed in order: what is still queued here is sent on the next link, and must not be twice.
                 return conn.abort(data)
             if conn.end is not None:
@@ -216,10 +216,10 @@
                 for message in machine.feed(data or b""):
                     self._told(message)
             except ProtocolError:
-                conn.abort(End.PROTOCOL_ERROR)
+                conn.abort(ConnectionEnd.PROTOCOL_ERROR)
                 return
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """From now on the interpreter is there; the link goes over without a command in doubt if it can."""
         if address == self.address:
             return
@@ -228,14 +228,14 @@
         if conn is not None and conn.end is None:
             if self.ready and not self._moving:
                 self._moving = True
-                self._fence(lambda: conn.abort(End.MOVED))
-                self.loop.at(self.loop.now + HANDOVER, lambda: conn.abort(End.MOVED))
+                self._fence(lambda: conn.abort(ConnectionEnd.MOVED))
+                self.loop.at(self.loop.now + HANDOVER, lambda: conn.abort(ConnectionEnd.MOVED))
             elif not self.ready:
-                conn.abort(End.MOVED)
+                conn.abort(ConnectionEnd.MOVED)
         elif self._pause is not None:
             self._pause.wake()
 
-    def _ended(self, end: End) -> None:
+    def _ended(self, end: ConnectionEnd) -> None:
         assert self._conn is not None
         self.counters.add("ends", f"interpreter {end.value}")
         unsent, doubtful = self._ledger.settle(self._conn.sent)
@@ -272,7 +272,7 @@
             conn, probes = self._conn, list(self._probes)
             self.loop.at(self.loop.now + PROBE, lambda: self._look(conn, probes))
 
-    def _look(self, conn: Conn | None, probes: list[str]) -> None:
+    def _look(self, conn: Connection | None, probes: list[str]) -> None:
         if conn is self._conn and self.ready and not self._moving:
             self._fence(lambda: self._probed(probes))
 
@@ -282,7 +282,7 @@
             if self._probes.pop(handle, None) is not None:
                 self.counters.add("interpreter", "runs given up")
                 self._over(handle)
-                self.listener.finished(handle, outcome_of(End.RESET), 0.0, b"")
+                self.listener.finished(handle, outcome_of(ConnectionEnd.RESET), 0.0, b"")
 
     # ---- Notices
     def _told(self, message: proto.Message) -> None:
@@ -306,7 +306,7 @@
             self.counters.add("interpreter", f"rejected {message.command}")
             if message.command == "APPLY":
                 # It was not carried out, so unless it was sent before as well, nothing of it ran.
-                outcome = Outcome.MOOT if message.handle in self._resent else Outcome.UNREACHED
+                outcome = Outcome.OBSOLETE if message.handle in self._resent else Outcome.UNREACHABLE
                 self._over(message.handle)
                 self.listener.finished(message.handle, outcome, 0.0, b"")
         elif isinstance(message, proto.Banner):
@@ -345,7 +345,7 @@
     def failed(self) -> None:
         """Its coroutine has ended by a fault: the link goes, and ``run`` may be started again."""
         if self._conn is not None:
-            self._conn.abort(End.FAULT)
+            self._conn.abort(ConnectionEnd.FAULT)
 
     def close(self) -> None:
         """End for good."""
@@ -353,4 +353,4 @@
         if self._pause is not None:
             self._pause.wake()
         if self._conn is not None:
-            self._conn.abort(End.SHUTDOWN)
+            self._conn.abort(ConnectionEnd.SHUTDOWN)
--- a/lapishaven/backends/spread.py
+++ b/lapishaven/backends/load_balanced.py
@@ -11,30 +11,31 @@
 from random import Random
 from typing import Any
 
-from cometdrum.interface import Outcome
-from lapishaven.backends import Listener
+from lapishaven.admission import Outcome
+from lapishaven.backends import BackendListener
 from lapishaven.backends.uwsgi import DIAL, POOL, read_response
+from lapishaven.connection_end import ConnectionEnd, outcome_of
+from lapishaven.core.outcome_metrics import OUTCOME_LABELS
 from lapishaven.counters import Counters
-from lapishaven.ends import End, outcome_of
-from lapishaven.net.conn import Conn, Dial, connect
+from lapishaven.load_balancing import Choice, Ending, LoadBalancer, LoadReportError, Probe
+from lapishaven.load_balancing.load_report import LoadReport, parse, unpack
+from lapishaven.load_balancing.settings import Settings
+from lapishaven.net.connection import Connection, Dial, connect
 from lapishaven.net.datagrams import Datagrams
 from lapishaven.net.loop import Loop, Wait
 from lapishaven.proto import ProtocolError
 from lapishaven.proto import load as questions
 from lapishaven.proto import uwsgi as proto
-from lapishaven.spread import Choice, Ending, NewsError, Probe, Spread
-from lapishaven.spread.news import News, parse, unpack
-from lapishaven.spread.settings import Settings
 
 TRIES = 4  # of one attempt, over all processes
 ROOM = 0.05  # s before an attempt's end at which no other try is begun
 ENDINGS = {
     Outcome.OK: Ending.SERVED,
-    Outcome.FULL: Ending.REFUSED,
-    Outcome.UNREACHED: Ending.UNREACHED,
+    Outcome.OVERLOADED: Ending.REFUSED,
+    Outcome.UNREACHABLE: Ending.UNREACHED,
     Outcome.CANCELLED: Ending.LEFT,
 }
-UNRUN = (Outcome.FULL, Outcome.UNREACHED)
+UNRUN = (Outcome.OVERLOADED, Outcome.UNREACHABLE)
 
 
 class Attempt:
@@ -43,13 +44,13 @@
     def __init__(self, handle: str, cls: str, body: bytes, once: bool, began: float, until: float) -> None:
         self.handle, self.cls, self.body, self.once = handle, cls, body, once
         self.began, self.until = began, until
-        self.conn: Conn | None = None
+        self.conn: Connection | None = None
         self.process, self.sent, self.turn = "", 0.0, 0
         self.avoid: frozenset[str] = frozenset()
         self.halted = False
 
 
-class Spreading:
+class LoadBalancedBackend:
     """A core backend. It cannot pause: to halt is to close the connection."""
 
     def __init__(
@@ -58,14 +59,14 @@
         settings: Settings,
         cores: int,
         spans: dict[str, float],
-        listener: Listener,
+        listener: BackendListener,
         counters: Counters,
         random: Random,
         dial: Dial = connect,
     ) -> None:
         self.loop, self.settings, self.cores, self.spans = loop, settings, cores, spans
         self.listener, self.counters, self._dial = listener, counters, dial
-        self.spread = Spread(settings.rules, random)
+        self.spread = LoadBalancer(settings.rules, random)
         self._running: dict[str, Attempt] = {}
         self._on: dict[str, set[Attempt]] = {}  # by process, those sent there
         self._waiting: dict[Choice, Attempt] = {}
@@ -86,7 +87,7 @@
         self._addresses |= {f"{host}:{port}": (host, port) for host, port in addresses}
         self.spread.members(f"{host}:{port}" for host, port in addresses)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """The one address of a reload without a list: it is the only process then."""
         self.take((address,))
 
@@ -96,16 +97,16 @@
         attempt = self._running[handle] = Attempt(handle, cls, body, once, now, now + self.spans[cls])
         if len(self._running) > self.settings.attempts:
             self.counters.add("spread", "no descriptor")
-            return self._end(attempt, Outcome.UNREACHED)
+            return self._end(attempt, Outcome.UNREACHABLE)
         self._choose(attempt, first=True)
 
-    def halt(self, handle: str) -> None:
+    def pause(self, handle: str) -> None:
         attempt = self._running.get(handle)
         if attempt is None:
             return
         attempt.halted = True
         if attempt.conn is not None:
-            attempt.conn.close(End.ABANDONED, unsent=False)
+            attempt.conn.close(ConnectionEnd.ABANDONED, unsent=False)
 
     def resume(self, handle: str) -> None:
         # Never paused, so there is nothing to go on with; the attempt ended when it was halted.
@@ -119,19 +120,19 @@
         values = {"core_use": min(1.0, wanted / self.cores), "on_cores": float(wanted), "links": float(wanted)}
         self.loop.at(self.loop.now + POOL, lambda: self.listener.gauges(values))
 
-    def smoke(self, told: Any) -> None:
+    def health_check(self, told: Any) -> None:
         """Whether any process can be reached."""
         self.loop.spawn(self._dial_any(told))
 
     def _dial_any(self, told: Any) -> Generator[Wait, Any, None]:
         choice = self.spread.begin(self.loop.now, first=False)
         name = self.spread.settle(self.loop.now, choice)
-        sock: Any = End.UNREACHED
+        sock: Any = ConnectionEnd.UNREACHED
         if name is not None:
             sock = yield from self._dial(self.loop, self._addresses[name], DIAL)
-        if not isinstance(sock, End):
+        if not isinstance(sock, ConnectionEnd):
             sock.close()
-        told(not isinstance(sock, End))
+        told(not isinstance(sock, ConnectionEnd))
 
     # ---- Choosing
     def _choose(self, attempt: Attempt, first: bool) -> None:
@@ -152,7 +153,7 @@
         try:
             id, word = questions.answered(data)
             choice = self.spread.heard(self.loop.now, id, unpack(word))
-        except (ProtocolError, NewsError):
+        except (ProtocolError, LoadReportError):
             self.counters.add("spread", "no answers")
             return
         if choice is not None:
@@ -169,7 +170,7 @@
         name = self.spread.settle(self.loop.now, choice)
         if name is None:
             self.counters.add("spread", "nobody to be used")
-            return self._end(attempt, Outcome.UNREACHED)
+            return self._end(attempt, Outcome.UNREACHABLE)
         attempt.turn += 1
         attempt.process, attempt.sent = name, self.loop.now
         self._on.setdefault(name, set()).add(attempt)
@@ -184,16 +185,16 @@
         name = attempt.process
         sock = yield from self._dial(self.loop, self._addresses[name], min(DIAL, attempt.until - self.loop.now))
         if attempt.turn != turn:  # given up meanwhile
-            if not isinstance(sock, End):
+            if not isinstance(sock, ConnectionEnd):
                 sock.close()
             return
-        if isinstance(sock, End):
+        if isinstance(sock, ConnectionEnd):
             # Whether refused or out of time, nothing was sent, so it never ran.
-            return self._over(attempt, turn, outcome_of(End.UNREACHED), b"", None)
-        conn = Conn(self.loop, sock, lambda end: self.counters.add("ends", f"uwsgi backend {end.value}"))
+            return self._over(attempt, turn, outcome_of(ConnectionEnd.UNREACHED), b"", None)
+        conn = Connection(self.loop, sock, lambda end: self.counters.add("ends", f"uwsgi backend {end.value}"))
         attempt.conn = conn
         if attempt.halted:
-            conn.close(End.ABANDONED, unsent=False)
+            conn.close(ConnectionEnd.ABANDONED, unsent=False)
         variables = {
             "REQUEST_METHOD": "POST",
             "PATH_INFO": self.settings.path + attempt.cls,
@@ -207,8 +208,8 @@
 
     def _fault(self, attempt: Attempt, turn: int) -> None:
         if attempt.conn is not None and attempt.turn == turn:
-            attempt.conn.abort(End.FAULT)
-        self._over(attempt, turn, outcome_of(End.FAULT), b"", None)
+            attempt.conn.abort(ConnectionEnd.FAULT)
+        self._over(attempt, turn, outcome_of(ConnectionEnd.FAULT), b"", None)
 
     def _over(
         self, attempt: Attempt, turn: int, outcome: Outcome, result: bytes, response: proto.Response | None
@@ -219,7 +220,7 @@
         self._off(attempt, ENDINGS.get(outcome, Ending.FAILED), _pushback(response))
         if response is not None:
             self.spread.answered(now, name, _word(response))
-        if outcome in UNRUN and self._again(attempt, name, outcome.name.lower()):
+        if outcome in UNRUN and self._again(attempt, name, OUTCOME_LABELS[outcome]):
             return
         self._end(attempt, outcome, result)
 
@@ -287,7 +288,7 @@
         self._off(attempt, Ending.LEFT)
         attempt.turn += 1
         if conn is not None:
-            conn.close(End.ABANDONED, unsent=False)
+            conn.close(ConnectionEnd.ABANDONED, unsent=False)
 
     # ---- For operators, and the end
     def state(self) -> dict[str, Any]:
@@ -312,7 +313,7 @@
         """End for good."""
         for attempt in list(self._running.values()):
             if attempt.conn is not None:
-                attempt.conn.abort(End.SHUTDOWN)
+                attempt.conn.abort(ConnectionEnd.SHUTDOWN)
         self._questions.close()
 
 
@@ -326,8 +327,8 @@
     return min(60.0, float(whole[:6])) if whole.isdigit() else 0.0
 
 
-def _word(response: proto.Response) -> News | None:
+def _word(response: proto.Response) -> LoadReport | None:
     try:
         return parse(response.headers["x-load"])
-    except (KeyError, NewsError):
+    except (KeyError, LoadReportError):
         return None
--- a/lapishaven/backends/uwsgi.py
+++ b/lapishaven/backends/uwsgi.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable, Generator
 from typing import Any
 
-from cometdrum.interface import Outcome
-from lapishaven.backends import Listener
+from lapishaven.admission import Outcome
+from lapishaven.backends import BackendListener
+from lapishaven.connection_end import ConnectionEnd, outcome_of
 from lapishaven.counters import Counters
-from lapishaven.ends import End, outcome_of
-from lapishaven.net.conn import Conn, Dial, connect
+from lapishaven.net.connection import Connection, Dial, connect
 from lapishaven.net.loop import Loop, Wait
 from lapishaven.proto import ProtocolError, TooLarge
 from lapishaven.proto import uwsgi as proto
@@ -18,7 +18,7 @@
 POOL = 0.005  # s after which the gauges are told
 
 
-class Uwsgi:
+class UwsgiBackend:
     """A core backend on the uwsgi protocol. It cannot pause: to halt is to close the connection."""
 
     def __init__(
@@ -28,14 +28,14 @@
         path: str,
         cores: int,
         spans: dict[str, float],
-        listener: Listener,
+        listener: BackendListener,
         counters: Counters,
         dial: Dial = connect,
     ) -> None:
         self._dial = dial
         self.loop, self.address, self.path, self.cores = loop, address, path, cores
         self.spans, self.listener, self.counters = spans, listener, counters
-        self._running: dict[str, Conn | None] = {}
+        self._running: dict[str, Connection | None] = {}
         self._halted: set[str] = set()
 
     def run(self) -> Generator[Wait, Any, None]:
@@ -45,7 +45,7 @@
         yield
 
     # ---- Commands
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """New attempts go there; those under way have connections of their own and go on."""
         self.address = address
 
@@ -56,13 +56,13 @@
     def _fault(self, handle: str) -> None:
         conn = self._running.get(handle)
         if conn is not None:
-            conn.abort(End.FAULT)
-        self._end(handle, outcome_of(End.FAULT), 0.0)
+            conn.abort(ConnectionEnd.FAULT)
+        self._end(handle, outcome_of(ConnectionEnd.FAULT), 0.0)
 
-    def halt(self, handle: str) -> None:
+    def pause(self, handle: str) -> None:
         conn = self._running.get(handle)
         if conn is not None:
-            conn.close(End.ABANDONED, unsent=False)
+            conn.close(ConnectionEnd.ABANDONED, unsent=False)
         elif handle in self._running:
             self._halted.add(handle)
 
@@ -77,26 +77,26 @@
         values = {"core_use": use, "on_cores": float(wanted), "links": float(wanted)}
         self.loop.at(self.loop.now + POOL, lambda: self.listener.gauges(values))
 
-    def smoke(self, told: Callable[[bool], None]) -> None:
+    def health_check(self, told: Callable[[bool], None]) -> None:
         self.loop.spawn(self._dial_only(told))
 
     def _dial_only(self, told: Callable[[bool], None]) -> Generator[Wait, Any, None]:
         sock = yield from self._dial(self.loop, self.address, DIAL)
-        if not isinstance(sock, End):
+        if not isinstance(sock, ConnectionEnd):
             sock.close()
-        told(not isinstance(sock, End))
+        told(not isinstance(sock, ConnectionEnd))
 
     # ---- One attempt
     def _attempt(self, handle: str, cls: str, body: bytes) -> Generator[Wait, Any, None]:
         began = self.loop.now
         sock = yield from self._dial(self.loop, self.address, DIAL)
-        if isinstance(sock, End):
+        if isinstance(sock, ConnectionEnd):
             # Whether refused or out of time, nothing was sent, so it never ran.
-            return self._end(handle, outcome_of(End.UNREACHED), self.loop.now - began)
-        conn = Conn(self.loop, sock, lambda end: self.counters.add("ends", f"uwsgi backend {end.value}"))
+            return self._end(handle, outcome_of(ConnectionEnd.UNREACHED), self.loop.now - began)
+        conn = Connection(self.loop, sock, lambda end: self.counters.add("ends", f"uwsgi backend {end.value}"))
         self._running[handle] = conn
         if handle in self._halted:
-            conn.close(End.ABANDONED, unsent=False)
+            conn.close(ConnectionEnd.ABANDONED, unsent=False)
         conn.write(
             proto.packet({"REQUEST_METHOD": "POST", "PATH_INFO": self.path + cls, "HTTP_X_REQUEST_ID": handle}, body)
         )
@@ -115,31 +115,31 @@
         """End for good."""
         for conn in list(self._running.values()):
             if conn is not None:
-                conn.abort(End.SHUTDOWN)
+                conn.abort(ConnectionEnd.SHUTDOWN)
 
 
 def read_response(
-    loop: Loop, conn: Conn, until: float
+    loop: Loop, conn: Connection, until: float
 ) -> Generator[Wait, Any, tuple[Outcome, bytes, proto.Response | None]]:
     """How the attempt that was sent on a connection ended, its result, and the response if one came."""
     machine = proto.Client()
     while True:
         data = yield from conn.read(max(0.0, until - loop.now))
         if data is None:
-            conn.close(End.TIMED_OUT, unsent=False)
-            return outcome_of(End.TIMED_OUT), b"", None
+            conn.close(ConnectionEnd.TIMED_OUT, unsent=False)
+            return outcome_of(ConnectionEnd.TIMED_OUT), b"", None
         try:
-            response = machine.feed(b"" if isinstance(data, End) else data)
+            response = machine.feed(b"" if isinstance(data, ConnectionEnd) else data)
         except ProtocolError as error:
-            if isinstance(data, End):
+            if isinstance(data, ConnectionEnd):
                 return outcome_of(data), b"", None
-            end = End.TOO_LARGE if isinstance(error, TooLarge) else End.PROTOCOL_ERROR
+            end = ConnectionEnd.TOO_LARGE if isinstance(error, TooLarge) else ConnectionEnd.PROTOCOL_ERROR
             conn.close(end)
             return outcome_of(end), b"", None
         if response is not None:
-            conn.close(End.FINISHED)
+            conn.close(ConnectionEnd.FINISHED)
             return outcome_of_response(response), response.body if response.status == 200 else b"", response
-        if isinstance(data, End):
+        if isinstance(data, ConnectionEnd):
             return outcome_of(data), b"", None
 
 
@@ -148,4 +148,4 @@
     if response.status == 200:
         return Outcome.OK
     # A 503 with Retry-After is a server's word that it turned the request away unrun.
-    return Outcome.FULL if response.status == 503 and "retry-after" in response.headers else Outcome.ERROR
+    return Outcome.OVERLOADED if response.status == 503 and "retry-after" in response.headers else Outcome.ERROR
--- a/lapishaven/catalog.py
+++ b/lapishaven/catalog_reporter.py
@@ -5,9 +5,9 @@
 from collections.abc import Generator
 from typing import Any
 
+from lapishaven.connection_end import ConnectionEnd
 from lapishaven.counters import Counters
-from lapishaven.ends import End
-from lapishaven.net.conn import Conn, Dial, connect
+from lapishaven.net.connection import Connection, Dial, connect
 from lapishaven.net.loop import Loop, Wait
 from lapishaven.proto import ProtocolError
 from lapishaven.proto import catalog as proto
@@ -17,7 +17,7 @@
 AGAIN = 0.1  # s after a failed one
 
 
-class Reporter:
+class CatalogReporter:
     """Holds one connection to the catalog and reports on it."""
 
     def __init__(
@@ -27,7 +27,7 @@
         self.loop, self.address, self.name, self.counters = loop, address, name, counters
         self.passing: bool | None = None
         self._pause: Wait | None = None
-        self._conn: Conn | None = None
+        self._conn: Connection | None = None
         self._http: proto.Client | None = None
         self._waits = self._stopped = False
 
@@ -38,7 +38,7 @@
             self._pause.wake()
         elif changed and self._conn is not None and self._waits:
             # The answer that is awaited may never come, and callers go by the old report meanwhile.
-            self._conn.close(End.ABANDONED)
+            self._conn.close(ConnectionEnd.ABANDONED)
 
     def move(self, address: tuple[str, int]) -> None:
         """From now on the catalog is there; the next report goes there at once."""
@@ -46,7 +46,7 @@
             return
         self.address = address
         if self._conn is not None:
-            self._conn.close(End.MOVED)
+            self._conn.close(ConnectionEnd.MOVED)
         if self._pause is not None:
             self._pause.wake()
 
@@ -78,15 +78,15 @@
         if self._usable():
             return True
         if self._conn is not None:
-            self._conn.close(End.FINISHED)
+            self._conn.close(ConnectionEnd.FINISHED)
         self._conn, address = None, self.address
         sock = yield from self._connect(self.loop, address, ANSWER)
-        if isinstance(sock, End):
+        if isinstance(sock, ConnectionEnd):
             return False
         if self._stopped or address != self.address:
             sock.close()
             return False
-        self._conn = Conn(self.loop, sock, lambda end: self.counters.add("ends", f"catalog {end.value}"))
+        self._conn = Connection(self.loop, sock, lambda end: self.counters.add("ends", f"catalog {end.value}"))
         self._http = proto.Client(f"{address[0]}:{address[1]}", self.name)
         return True
 
@@ -100,13 +100,13 @@
         try:
             while True:
                 data = yield from conn.read(max(0.0, until - self.loop.now))
-                if data is None or isinstance(data, End):
-                    conn.close(End.TIMED_OUT if data is None else data)
+                if data is None or isinstance(data, ConnectionEnd):
+                    conn.close(ConnectionEnd.TIMED_OUT if data is None else data)
                     return False
                 try:
                     status = http.feed(data)
                 except ProtocolError:
-                    conn.close(End.PROTOCOL_ERROR)
+                    conn.close(ConnectionEnd.PROTOCOL_ERROR)
                     return False
                 if status is not None:
                     return status == 204
@@ -116,7 +116,7 @@
     def failed(self) -> None:
         """Its coroutine has ended by a fault: the connection goes, and ``run`` may be started again."""
         if self._conn is not None:
-            self._conn.abort(End.FAULT)
+            self._conn.abort(ConnectionEnd.FAULT)
 
     def close(self) -> None:
         """No further report, also where one is about to be sent."""
@@ -124,4 +124,4 @@
         if self._pause is not None:
             self._pause.wake()
         if self._conn is not None:
-            self._conn.close(End.SHUTDOWN)
+            self._conn.close(ConnectionEnd.SHUTDOWN)
--- a/lapishaven/cli/record.py
+++ b/lapishaven/cli/record.py
@@ -15,13 +15,13 @@
 
 
 def _look(name: str, *words: object) -> NoReturn:
-    from lapishaven.record import command
-    from lapishaven.record.base import RecordError
-    from lapishaven.record.settings import RecordSettingsError
+    from lapishaven.ledger import command
+    from lapishaven.ledger.database import LedgerError
+    from lapishaven.ledger.settings import LedgerSettingsError
 
     try:
         raise typer.Exit(getattr(command, name)(*words))
-    except (RecordError, RecordSettingsError) as error:
+    except (LedgerError, LedgerSettingsError) as error:
         fail(str(error))
 
 
--- a/lapishaven/cli/serve.py
+++ b/lapishaven/cli/serve.py
@@ -10,10 +10,10 @@
 from lapishaven.cli.common import fail
 
 if TYPE_CHECKING:
-    from lapishaven.core.model import LastingKeeper
-    from lapishaven.ownership.part import Part
-    from lapishaven.record.keeper import Recorder
-    from lapishaven.recovery import KeyedResults
+    from lapishaven.core.ports import DurableResultStore
+    from lapishaven.idempotency import DurableResults
+    from lapishaven.ledger.recorder import Recorder
+    from lapishaven.ownership.participant import Participant
 
 File = Annotated[str | None, typer.Option("--config", help="Configuration file; else NODE_CONFIG names it.")]
 
@@ -49,14 +49,14 @@
 ]
 
 
-def _keeper(path: str) -> KeyedResults:
+def _keeper(path: str) -> DurableResults:
     """The keyed results of earlier lives, from the store that the file names."""
     try:
         rules = config.storage(path)
     except config.ConfigError as error:
         fail(str(error))
     try:
-        from lapishaven.recovery import KeyedResults
+        from lapishaven.idempotency import DurableResults
         from lapishaven.storage import Limits, Store, StoreError
     except ImportError:
         fail("keeping results needs lapishaven[storage]")
@@ -64,7 +64,7 @@
         store = Store.open(rules.directory, Limits(total=int(rules.total_mb * 1024 * 1024)))
     except (StoreError, OSError) as error:
         fail(f"cannot open {rules.directory}: {error}")
-    return KeyedResults(store, rules.life_s, rules.limit)
+    return DurableResults(store, rules.life_s, rules.limit)
 
 
 def _recorder(path: str, name: str) -> Recorder:
@@ -72,32 +72,32 @@
     import os
     import time
 
-    from lapishaven.record.base import Base, RecordError
-    from lapishaven.record.keeper import Recorder
-    from lapishaven.record.settings import RecordSettingsError, load
+    from lapishaven.ledger.database import LedgerDatabase, LedgerError
+    from lapishaven.ledger.recorder import Recorder
+    from lapishaven.ledger.settings import LedgerSettingsError, load
 
     try:
         rules = load(path)
         start = f"{name}:{os.getpid()}:{time.time_ns()}"
-        return Recorder(Base(rules.file), start, rules.meters, rules.usual, rules.rules)
-    except (RecordSettingsError, RecordError) as error:
+        return Recorder(LedgerDatabase(rules.file), start, rules.meters, rules.usual, rules.rules)
+    except (LedgerSettingsError, LedgerError) as error:
         fail(str(error))
 
 
 Owned = Annotated[str | None, typer.Option("--ownership", help="File that has it share the fleet's duties; else off.")]
 
 
-def _part(path: str, loaded: config.Files) -> Part:
+def _part(path: str, loaded: config.Files) -> Participant:
     """This server's part in the fleet's duties."""
     try:
-        from lapishaven.ownership.part import Part
+        from lapishaven.ownership.participant import Participant
     except ImportError:
         fail("ownership needs lapishaven[ownership]")
     from lapishaven.ownership.settings import OwnershipError, load
 
     try:
         classes = [spec.name for spec in loaded.config.settings.classes]
-        return Part(load(path), loaded.config.name, loaded.contracts, classes)
+        return Participant(load(path), loaded.config.name, loaded.contracts, classes)
     except OwnershipError as error:
         fail(str(error))
 
@@ -119,7 +119,7 @@
 
     signals = Signals()  # before the first caller can connect
     loaded, counters, store = _load(path, uwsgi, contracts, pools, spread), Counters(), None
-    keeper: LastingKeeper | None = None
+    keeper: DurableResultStore | None = None
     if record is not None and record.endswith(".toml"):
         if kept is not None:
             fail("--storage and --record both keep results: only one may")
@@ -127,10 +127,10 @@
     elif record is not None:
         import sqlite3
 
-        from lapishaven.store import Sqlite
+        from lapishaven.attempt_log import SqliteAttemptLog
 
         try:
-            store = Sqlite(record, lambda: counters.add("store", "dropped"))
+            store = SqliteAttemptLog(record, lambda: counters.add("store", "dropped"))
         except sqlite3.Error as error:
             fail(f"cannot open {record}: {error}")
     if kept is not None:
@@ -171,7 +171,7 @@
     loaded = _load(path, uwsgi, contracts, pools, spread)
     name, (host, port), specs = loaded.config.name, loaded.config.listen, loaded.config.settings.classes
     print(f"{name}: listens on {host}:{port}")
-    print("classes " + ", ".join(f"{c.name} ({c.effect.value}, {c.deadline:g} s)" for c in specs))
+    print("classes " + ", ".join(f"{c.name} ({c.idempotency.value}, {c.deadline:g} s)" for c in specs))
     front, backend = loaded.front, loaded.backend
     print(f"uwsgi front {front.listen if front else 'off'}, backend {backend.address if backend else 'off'}")
     print(f"control address {'{}:{}'.format(*loaded.config.control) if loaded.config.control else 'off'}")
@@ -189,12 +189,12 @@
             fail(str(error))
         print(f"keyed results in {rules.directory}, for {rules.life_s:g} s, up to {rules.limit}")
     if record is not None and record.endswith(".toml"):
-        from lapishaven.record.settings import RecordSettingsError
-        from lapishaven.record.settings import load as load_record
+        from lapishaven.ledger.settings import LedgerSettingsError
+        from lapishaven.ledger.settings import load as load_record
 
         try:
             kept_in = load_record(record)
-        except RecordSettingsError as error:
+        except LedgerSettingsError as error:
             fail(str(error))
         print(f"record in {kept_in.file}, up to {kept_in.rules.most} entries waiting, meters for {len(kept_in.meters)}")
     if ownership is not None:
--- a/lapishaven/cli/spread.py
+++ b/lapishaven/cli/spread.py
@@ -13,8 +13,8 @@
 
 
 def _spread(name: str, *words: object) -> NoReturn:
-    from lapishaven.spread import command
-    from lapishaven.spread.settings import SpreadError
+    from lapishaven.load_balancing import command
+    from lapishaven.load_balancing.settings import SpreadError
 
     try:
         raise typer.Exit(getattr(command, name)(*words))
--- a/lapishaven/client/__init__.py
+++ b/lapishaven/client/__init__.py
@@ -4,8 +4,8 @@
 pure core under both, for drivers of one's own.
 """
 
-from lapishaven.client.aio import Client
-from lapishaven.client.blocking import BlockingClient
+from lapishaven.client.asyncio_client import Client
+from lapishaven.client.blocking_client import BlockingClient
 from lapishaven.client.outcomes import (
     CallError,
     Cancelled,
--- a/lapishaven/client/blocking.py
+++ b/lapishaven/client/blocking_client.py
@@ -7,7 +7,7 @@
 from types import TracebackType
 from typing import Any
 
-from lapishaven.client.aio import Client
+from lapishaven.client.asyncio_client import Client
 from lapishaven.client.outcomes import Outcome, unwrap
 from lapishaven.client.settings import Settings
 
--- a/lapishaven/client/command.py
+++ b/lapishaven/client/command.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from lapishaven.client.aio import BODY_LIMIT, Client
+from lapishaven.client.asyncio_client import BODY_LIMIT, Client
 from lapishaven.client.hooks import logging_hook
 from lapishaven.client.outcomes import Cancelled, Expired, Failed, Outcome, Refused, Served, Uncertain
 from lapishaven.client.settings import Settings, SettingsError, load
--- a/lapishaven/client/fleet/keeping.py
+++ b/lapishaven/client/fleet/connection_manager.py
@@ -18,7 +18,7 @@
 from typing import Protocol
 
 from lapishaven.client.fleet import aperture
-from lapishaven.client.fleet.pace import Pace, Turns
+from lapishaven.client.fleet.dial_schedule import Pace, Turns
 from lapishaven.client.fleet.ring import Ring, ring_for
 from lapishaven.client.membership import Membership
 from lapishaven.client.settings import Connections
@@ -29,7 +29,7 @@
 FEW = 1  # servers that take its calls at which a client's turns come twice as often, unless one was just replaced
 
 
-class Known(Protocol):
+class KnownEndpoint(Protocol):
     """What keeping goes by of a server that the client follows."""
 
     dial_at: float  # not dialled before this
@@ -59,14 +59,14 @@
     why: str
 
 
-class Keeping:
+class ConnectionManager:
     """One client's. ``peers`` is the policy's own table of servers followed; nothing here changes it."""
 
     def __init__(
         self,
         rules: Connections,
         membership: Membership,
-        peers: Mapping[str, Known],
+        peers: Mapping[str, KnownEndpoint],
         number: int,
         random: Random,
         catalog: bool,
--- a/lapishaven/client/fleet/roster.py
+++ b/lapishaven/client/fleet/endpoint_list.py
@@ -18,7 +18,7 @@
 KEPT = 256  # steps kept at hand
 
 
-class Roster:
+class EndpointList:
     """The list at one version. ``serial`` counts the steps of the chain of rosters, over epochs too; ``born``
     gives for each name the serial at which it came to the list."""
 
@@ -35,7 +35,7 @@
         return len(self.rows)
 
 
-EMPTY = Roster("", -1, {}, {})
+EMPTY = EndpointList("", -1, {}, {})
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,16 +43,16 @@
     """From one roster to the next: what joined, left (gone from the list) and altered (a new address, or passing
     turned); an address that changed under a name counts as left and joined."""
 
-    roster: Roster
+    roster: EndpointList
     joined: tuple[str, ...]
     left: tuple[str, ...]
     altered: tuple[str, ...]
 
 
-_steps: OrderedDict[tuple[int, int], tuple[Roster, object, Step]] = OrderedDict()
+_steps: OrderedDict[tuple[int, int], tuple[EndpointList, object, Step]] = OrderedDict()
 
 
-def _kept(before: Roster, source: object, make: Callable[[], Step]) -> Step:
+def _kept(before: EndpointList, source: object, make: Callable[[], Step]) -> Step:
     """The step from ``before`` by ``source`` (a list or a delta), made once. The entry holds both, so that their
     ids, which are its key, cannot be taken by other objects while it is kept."""
     key = id(before), id(source)
@@ -67,7 +67,7 @@
     return step
 
 
-def _step(before: Roster, epoch: str, version: int, rows: dict[str, Listed], changed: Iterable[str]) -> Step:
+def _step(before: EndpointList, epoch: str, version: int, rows: dict[str, Listed], changed: Iterable[str]) -> Step:
     joined, left, altered = [], [], []
     serial = before.serial + 1
     born = dict(before.born)
@@ -84,10 +84,10 @@
             born[name] = serial
         elif old.passing != row.passing:
             altered.append(name)
-    return Step(Roster(epoch, version, rows, born, serial), tuple(joined), tuple(left), tuple(altered))
+    return Step(EndpointList(epoch, version, rows, born, serial), tuple(joined), tuple(left), tuple(altered))
 
 
-def whole(before: Roster, listing: Listing) -> Step:
+def whole(before: EndpointList, listing: Listing) -> Step:
     """The step to a whole list."""
 
     def make() -> Step:
@@ -97,7 +97,7 @@
     return _kept(before, listing, make)
 
 
-def applied(before: Roster, delta: Delta) -> Step | None:
+def applied(before: EndpointList, delta: Delta) -> Step | None:
     """The step that a delta makes from ``before``; None where it does not follow on from it."""
     if delta.epoch != before.epoch or delta.since != before.version or delta.version <= before.version:
         return None
--- a/lapishaven/client/links.py
+++ b/lapishaven/client/links.py
@@ -16,16 +16,16 @@
 from lapishaven.client.connections import DialBudget
 from lapishaven.client.engine import Engine, Hook
 from lapishaven.client.fleet.aperture import ticket
-from lapishaven.client.fleet.keeping import Keeping
+from lapishaven.client.fleet.connection_manager import ConnectionManager
 from lapishaven.client.health import Outliers, Standing
 from lapishaven.client.membership import Membership, subset
 from lapishaven.client.model import Attempt, Connection, Peer, Phase
 from lapishaven.client.outcomes import Ending, Reply
 from lapishaven.client.routing import strategy
 from lapishaven.client.settings import Settings
+from lapishaven.load_balancing.failure_detector import FailureDetector
+from lapishaven.load_balancing.model import Rules
 from lapishaven.proto.catalog import Delta, Listing
-from lapishaven.spread.model import Rules
-from lapishaven.spread.silence import Silence
 
 # s after its last answer within which a server with many callers closes a connection. The close that a killed one
 # leaves comes at any time, so of thin clients', which lose the most by dialling the dead, few look like it.
@@ -48,11 +48,11 @@
         self.dials = DialBudget(settings.connections, now)
         self.aperture = settings.routing.subsetting == "aperture"
         number = ticket(settings.caller, settings.callers, self.identity)
-        self.keeping = Keeping(
+        self.keeping = ConnectionManager(
             settings.connections, self.membership, self.peers, number, random, bool(settings.catalog), shared
         )
         rules = Rules(watch=settings.health.watch_s, silent=settings.health.silent_s)
-        self.silence: Silence[Peer] = Silence(rules, random)
+        self.silence: FailureDetector[Peer] = FailureDetector(rules, random)
         self.asks = settings.health.watch_s > 0 and not self.single  # that wire has no question
         self._silence_at = float("inf")
         self._waiting_live = 0  # calls that wait for a server
--- a/lapishaven/client/membership.py
+++ b/lapishaven/client/membership.py
@@ -10,7 +10,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from lapishaven.client.fleet.roster import EMPTY, Roster, Step, applied, whole
+from lapishaven.client.fleet.endpoint_list import EMPTY, EndpointList, Step, applied, whole
 from lapishaven.client.settings import Catalog
 from lapishaven.proto.catalog import Delta, Listed, Listing, listing, text
 
@@ -50,7 +50,7 @@
 
     def __init__(self, rules: Catalog) -> None:
         self.rules = rules
-        self.roster: Roster = EMPTY
+        self.roster: EndpointList = EMPTY
         self.epoch: str | None = None
         self.version = -1
         self.heard: float | None = None  # when the catalog last answered
--- a/lapishaven/client/model.py
+++ b/lapishaven/client/model.py
@@ -9,7 +9,7 @@
 from lapishaven.client.health import ServerHealth, Standing
 from lapishaven.client.membership import Member
 from lapishaven.client.settings import Routing
-from lapishaven.spread.silence import Asked
+from lapishaven.load_balancing.failure_detector import Asked
 
 CROSSING = 0.05  # s: a request sent so shortly before a close that PROTOCOL allows was not read
 SMOOTH = 0.1  # part of a new time in the smoothed latency
--- a/lapishaven/callers.py
+++ b/lapishaven/client_connections.py
@@ -2,26 +2,26 @@
 
 from __future__ import annotations
 
+from lapishaven.connection_end import ConnectionEnd
 from lapishaven.counters import Counters
-from lapishaven.ends import End
-from lapishaven.fronts import Session
+from lapishaven.frontends import Session
+from lapishaven.net.eviction import Evictions
 from lapishaven.net.listener import Budget
 from lapishaven.net.loop import Loop
-from lapishaven.net.room import Room
 
 WHOLE = 2.0  # s for a message to come whole, the first one counted from the accept
 SWEEP = 0.05  # s between looks for idle connections
 CLOSED_AT_ONCE = 16  # a full table begins to close one in so many, so that a burst finds room without a wait for each
 
 
-class Callers:
+class ClientConnections:
     """Holds every session from its accept until its descriptor is given back."""
 
     def __init__(self, loop: Loop, budget: Budget, counters: Counters, idle: float) -> None:
         self.loop, self.budget, self.counters = loop, budget, counters
         self.idle = idle  # s after which a connection that has nothing open is closed
         self.sessions: dict[Session, float] = {}  # when each was last looked at, oldest look first
-        self._room = Room(loop)
+        self._room = Evictions(loop)
         self.sweep()
 
     def add(self, session: Session) -> None:
@@ -33,9 +33,9 @@
     def _failed(self, session: Session) -> None:
         """Its coroutine has ended by a fault of ours: what is open there is answered, and the connection closed."""
         self.counters.add("faults", "session")
-        session.leave(End.FAULT)
+        session.leave(ConnectionEnd.FAULT)
 
-    def ended(self, session: Session, end: End) -> None:
+    def ended(self, session: Session, end: ConnectionEnd) -> None:
         """Its descriptor has been given back."""
         if self.sessions.pop(session, None) is not None:
             self.budget.used -= 1
@@ -57,12 +57,12 @@
             said = session.since is None and session.conn.active > self.sessions[session]
             del self.sessions[session]
             self.sessions[session] = session.conn.active
-            if not said and not session.conn.out.size and self._close_at_rest(session, End.EVICTED):
+            if not said and not session.conn.out.size and self._close_at_rest(session, ConnectionEnd.EVICTED):
                 self._room.add(session.conn)
                 wanted -= 1
         return not self.budget.full
 
-    def _close_at_rest(self, session: Session, end: End) -> bool:
+    def _close_at_rest(self, session: Session, end: ConnectionEnd) -> bool:
         """Close it if nothing is open or under way there, also not in the kernel's buffer. What it has not read yet is
         still sent, if it reads at all."""
         conn = session.conn
@@ -79,9 +79,9 @@
             if session.since is not None:
                 # Silent or half-open: no use of it, while callers may want its place.
                 if session.since <= silent_since:
-                    self._close_at_rest(session, End.TIMED_OUT)
+                    self._close_at_rest(session, ConnectionEnd.TIMED_OUT)
             elif session.conn.active < idle_since:
-                self._close_at_rest(session, End.IDLE)
+                self._close_at_rest(session, ConnectionEnd.IDLE)
         self.loop.at(self.loop.now + SWEEP, self.sweep)
 
     # ---- The end
@@ -95,4 +95,4 @@
         for session in list(self.sessions):
             session.conn.catch_up()
         for session in list(self.sessions):
-            session.leave(End.DRAINED)
+            session.leave(ConnectionEnd.DRAINED)
--- a/lapishaven/config.py
+++ b/lapishaven/config.py
@@ -10,13 +10,13 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from cometdrum import interface as i
-from cometdrum import wire
+from lapishaven.admission import Settings
 from lapishaven.core.contracts import Contract
+from lapishaven.simulator import codec
 
 if TYPE_CHECKING:
+    from lapishaven.load_balancing.settings import Settings as SpreadSettings
     from lapishaven.pools.settings import PoolSettings
-    from lapishaven.spread.settings import Settings as SpreadSettings
 
 Address = tuple[str, int]
 
@@ -35,14 +35,14 @@
     stop_span: float  # seconds from SIGTERM to SIGKILL
     descriptors: int
     memory_mb: int
-    settings: i.Settings
+    settings: Settings
     gauges: tuple[str, ...]
     control: Address | None = None  # the second address: HTTP/1.1, readyz and metrics
     inherited: int | None = None  # the descriptor of a listening socket that the platform holds for callers
 
 
 @dataclass(frozen=True, slots=True)
-class UwsgiFront:
+class UwsgiFrontendConfig:
     listen: Address
     path: str
     held_kb: float
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UwsgiBackend:
+class UwsgiBackendConfig:
     address: Address
     path: str
 
@@ -90,14 +90,14 @@
     except ValueError:
         raise ConfigError("seed is not a hex number") from None
     try:
-        settings, gauges = wire.settings(json.dumps(data.get("settings")).encode())
-    except wire.WireError as error:
+        settings, gauges = codec.settings(json.dumps(data.get("settings")).encode())
+    except codec.WireError as error:
         raise ConfigError(str(error).replace("BORN profile-data: ", "settings: ")) from None
     names = [spec.name for spec in settings.classes]
     for n, spec in enumerate(settings.classes):
         if not spec.name or not spec.name.isprintable():
             raise ConfigError(f"settings: profiles[{n}].name is not a plain word")
-        if not spec.deadline > 0 or not spec.aim > 0:
+        if not spec.deadline > 0 or not spec.latency_objective > 0:
             raise ConfigError(f"settings: profiles[{n}] has an aim or a deadline that is no number above 0")
     if len(set(names)) != len(names):
         raise ConfigError("settings: two profiles have one name")
@@ -132,7 +132,7 @@
     return int(value)
 
 
-def renumbered(old: i.Settings, new: i.Settings) -> i.Settings:
+def renumbered(old: Settings, new: Settings) -> Settings:
     """The settings of a reload with the classes numbered as before: those kept at their numbers with their new
     figures, new ones last, dropped ones still listed (callers can no longer name them). ``ConfigError`` if the
     tenants changed, which only a restart does.
@@ -161,8 +161,8 @@
     """All that the files of one start, or one reload, hold."""
 
     config: Config
-    front: UwsgiFront | None = None
-    backend: UwsgiBackend | None = None
+    front: UwsgiFrontendConfig | None = None
+    backend: UwsgiBackendConfig | None = None
     contracts: list[Contract] | None = None
     pools: PoolSettings | None = None
     spread: SpreadSettings | None = None
@@ -193,7 +193,7 @@
 
 
 def _spread(path: str) -> SpreadSettings:
-    from lapishaven.spread import settings as spread
+    from lapishaven.load_balancing import settings as spread
 
     try:
         return spread.load(path)
@@ -201,7 +201,7 @@
         raise ConfigError(str(error)) from None
 
 
-def _pools(path: str, settings: i.Settings) -> PoolSettings:
+def _pools(path: str, settings: Settings) -> PoolSettings:
     from lapishaven.pools import settings as pools
 
     try:
@@ -244,7 +244,7 @@
         raise ConfigError(f"cannot read {path}: {getattr(error, 'strerror', None) or error}") from None
 
 
-def contracts(path: str, settings: i.Settings, routes: set[str]) -> list[Contract]:
+def contracts(path: str, settings: Settings, routes: set[str]) -> list[Contract]:
     """The contracts in a project file, checked against the classes and the backends that are there."""
     classes = {spec.name: (n, spec.deadline) for n, spec in enumerate(settings.classes)}
     rows = _toml(path).get("contract")
@@ -272,7 +272,7 @@
     return list(found.values())
 
 
-def uwsgi(path: str) -> tuple[UwsgiFront | None, UwsgiBackend | None]:
+def uwsgi(path: str) -> tuple[UwsgiFrontendConfig | None, UwsgiBackendConfig | None]:
     """The uwsgi front and backend that a project file names; a missing table leaves that side off."""
     data = _toml(path)
     if odd := set(data) - {"front", "backend"}:
@@ -289,7 +289,7 @@
         if table is not None and not str(table["path"]).startswith("/"):
             raise ConfigError(f"{path}: {name}.path does not start with /")
     return (
-        UwsgiFront(
+        UwsgiFrontendConfig(
             address(front["listen"], "front.listen"),
             front["path"],
             _positive(front, "held_kb"),
@@ -297,5 +297,7 @@
         )
         if front is not None
         else None,
-        UwsgiBackend(address(backend["address"], "backend.address"), backend["path"]) if backend is not None else None,
+        UwsgiBackendConfig(address(backend["address"], "backend.address"), backend["path"])
+        if backend is not None
+        else None,
     )
--- a/lapishaven/ends.py
+++ b/lapishaven/connection_end.py
@@ -4,10 +4,10 @@
 
 from enum import Enum
 
-from cometdrum.interface import Outcome
+from lapishaven.admission import Outcome
 
 
-class End(Enum):
+class ConnectionEnd(Enum):
     """One value for each way in which a connection can end."""
 
     PEER_CLOSED = "peer closed"
@@ -28,24 +28,24 @@
 
 # What the end of a backend's connection proves about the attempt that it carried. Only UNREACHED proves
 # that nothing ran; every other end leaves that open, so an unsafe attempt is never started again after it.
-OUTCOMES: dict[End, Outcome] = {
-    End.PEER_CLOSED: Outcome.RESET,
-    End.RESET: Outcome.RESET,
-    End.PROTOCOL_ERROR: Outcome.ERROR,
-    End.TOO_LARGE: Outcome.ERROR,
-    End.IDLE: Outcome.RESET,
-    End.EVICTED: Outcome.RESET,
-    End.TIMED_OUT: Outcome.TIMEOUT,
-    End.UNREACHED: Outcome.UNREACHED,
-    End.DRAINED: Outcome.CANCELLED,
-    End.FINISHED: Outcome.OK,
-    End.ABANDONED: Outcome.CANCELLED,
-    End.SHUTDOWN: Outcome.CANCELLED,
-    End.MOVED: Outcome.RESET,
-    End.FAULT: Outcome.RESET,
+OUTCOMES: dict[ConnectionEnd, Outcome] = {
+    ConnectionEnd.PEER_CLOSED: Outcome.RESET,
+    ConnectionEnd.RESET: Outcome.RESET,
+    ConnectionEnd.PROTOCOL_ERROR: Outcome.ERROR,
+    ConnectionEnd.TOO_LARGE: Outcome.ERROR,
+    ConnectionEnd.IDLE: Outcome.RESET,
+    ConnectionEnd.EVICTED: Outcome.RESET,
+    ConnectionEnd.TIMED_OUT: Outcome.TIMEOUT,
+    ConnectionEnd.UNREACHED: Outcome.UNREACHABLE,
+    ConnectionEnd.DRAINED: Outcome.CANCELLED,
+    ConnectionEnd.FINISHED: Outcome.OK,
+    ConnectionEnd.ABANDONED: Outcome.CANCELLED,
+    ConnectionEnd.SHUTDOWN: Outcome.CANCELLED,
+    ConnectionEnd.MOVED: Outcome.RESET,
+    ConnectionEnd.FAULT: Outcome.RESET,
 }
 
 
-def outcome_of(end: End) -> Outcome:
+def outcome_of(end: ConnectionEnd) -> Outcome:
     """The module's outcome for an attempt whose connection ended so."""
     return OUTCOMES[end]
--- a/lapishaven/core/contracts.py
+++ b/lapishaven/core/contracts.py
@@ -32,7 +32,7 @@
 class Budgets(Protocol):
     """Budgets that are dealt from elsewhere, for the contracts that it knows."""
 
-    def take(self, now: float, contract: Contract) -> float:
+    def take_budget(self, now: float, contract: Contract) -> float:
         """Charge one request: below 0 if this contract is not dealt, 0 if it may go, else seconds until it might."""
 
 
@@ -53,7 +53,7 @@
         contract = self._book.get(party)
         if contract is None:
             return Denied("no contract", None)
-        if self._dealt is not None and (wait := self._dealt.take(now, contract)) >= 0.0:
+        if self._dealt is not None and (wait := self._dealt.take_budget(now, contract)) >= 0.0:
             return Denied("over budget", wait) if wait > 0.0 else contract
         since, left = self._budget.get(party, (now, contract.burst))
         left = min(contract.burst, left + contract.rate * (now - since))
--- a/lapishaven/core/once.py
+++ b/lapishaven/core/deduplication.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 
-class OnceGuard:
+class AttemptRegistry:
     """Remembers what was started. A name is forgotten ``life`` seconds after it was claimed, or after the life that
     its claim gave.
 
--- a/lapishaven/core/keys.py
+++ b/lapishaven/core/idempotency_keys.py
@@ -18,7 +18,7 @@
     digest: bytes | None = None  # of what was asked under the key, where that is compared
 
 
-class KeyTable:
+class IdempotencyKeyTable:
     """Entries by key; the module keeps and drops them, an open request stands for its key anyhow.
 
     Past ``limit`` bytes of results the oldest are let go; a repeat of one of those fails, but never runs.
--- a/lapishaven/fronts/__init__.py
+++ b/lapishaven/frontends/__init__.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Generator
 from typing import Any, Protocol
 
+from lapishaven.connection_end import ConnectionEnd
 from lapishaven.core.broker import Broker
 from lapishaven.counters import Counters
-from lapishaven.ends import End
-from lapishaven.net.conn import Conn
+from lapishaven.net.connection import Connection
 from lapishaven.net.loop import Loop, Wait
 
 CLOCKS = 60.0  # s that a stated time may be off this clock, far past any deadline; beyond that it is no time
@@ -28,7 +28,7 @@
 class Session(Protocol):
     """One connection of a front."""
 
-    conn: Conn
+    conn: Connection
     since: float | None  # since when the rest of a message is awaited, the first from the start; else None
 
     @property
@@ -41,7 +41,7 @@
     def drain(self) -> None:
         """Tell the peer that nothing new is to be sent here, where its protocol has words for that."""
 
-    def leave(self, end: End) -> None:
+    def leave(self, end: ConnectionEnd) -> None:
         """Take up nothing more, and close once all that is open is answered."""
 
 
@@ -59,4 +59,4 @@
         """Whether the notice to leave has come."""
 
     def check(self, deep: bool, told: Callable[[bool], None]) -> None: ...
-    def ended(self, session: Session, end: End) -> None: ...
+    def ended(self, session: Session, end: ConnectionEnd) -> None: ...
--- a/lapishaven/fronts/load.py
+++ b/lapishaven/frontends/load_endpoint.py
@@ -10,18 +10,18 @@
 from collections.abc import Callable
 from random import Random
 
-from cometdrum.interface import Outcome
+from lapishaven.admission import Outcome
 from lapishaven.core.broker import Broker
 from lapishaven.counters import Counters
+from lapishaven.load_balancing import load_report
+from lapishaven.load_balancing.load_reporter import LoadReporter
 from lapishaven.net.datagrams import Datagrams
 from lapishaven.net.loop import Loop
 from lapishaven.proto import ProtocolError
 from lapishaven.proto import load as proto
-from lapishaven.spread import news
-from lapishaven.spread.teller import Teller
 
 
-class LoadDoor:
+class LoadEndpoint:
     """``broker``: none until the server is up; it says that it wants nothing until then."""
 
     def __init__(
@@ -35,22 +35,22 @@
     ) -> None:
         self._loop, self._broker, self._counters = loop, broker, counters
         self._start, self._slots = random.getrandbits(32), slots
-        self.teller = Teller(self._start, slots, loop.now)
+        self.teller = LoadReporter(self._start, slots, loop.now)
         self._datagrams = Datagrams(loop, address, self._asked)
 
     def up(self, warm_from: float, warm_span: float) -> None:
         """The server is up, and wants ``warm_from`` of its share at first, all of it after ``warm_span`` seconds."""
-        self.teller = Teller(self._start, self._slots, self._loop.now, warm_from, warm_span)
+        self.teller = LoadReporter(self._start, self._slots, self._loop.now, warm_from, warm_span)
 
-    def _news(self) -> news.News:
+    def _news(self) -> load_report.LoadReport:
         broker = self._broker()
         if broker is None:
-            return news.News(self._start, 0, 0, 0.0, self._slots, 0.0, 0.0)
-        in_hand = Counter(request.sub.cls for request in broker.requests.values())
+            return load_report.LoadReport(self._start, 0, 0, 0.0, self._slots, 0.0, 0.0)
+        in_hand = Counter(request.submission.class_index for request in broker.requests.values())
         return self.teller.news(self._loop.now, in_hand)
 
     def word(self) -> str:
-        return news.text(self._news())
+        return load_report.text(self._news())
 
     def _asked(self, data: bytes, sender: tuple[str, int]) -> None:
         try:
@@ -59,13 +59,13 @@
             self._counters.add("load", "no questions")
             return
         self._counters.add("load", "questions")
-        self._datagrams.send(proto.answer(id, news.pack(self._news())), sender)
+        self._datagrams.send(proto.answer(id, load_report.pack(self._news())), sender)
 
     def started(self, handle: str, cls: int) -> None:
         self.teller.started(self._loop.now, handle, cls)
 
     def ended(self, handle: str, outcome: Outcome) -> None:
-        failed = outcome in (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.UNREACHED)
+        failed = outcome in (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.UNREACHABLE)
         self.teller.ended(self._loop.now, handle, outcome is Outcome.OK, failed)
 
     def leave(self) -> None:
--- a/lapishaven/fronts/platform.py
+++ b/lapishaven/frontends/platform.py
@@ -8,12 +8,12 @@
 from hashlib import blake2b
 from typing import Any
 
-from lapishaven.core import Answer, Kind, Submission
-from lapishaven.core.model import Request
-from lapishaven.core.tally import THROTTLED
-from lapishaven.ends import End
-from lapishaven.fronts import Host, age
-from lapishaven.net.conn import Conn
+from lapishaven.connection_end import ConnectionEnd
+from lapishaven.core import Answer, AnswerKind, Submission
+from lapishaven.core.outcome_metrics import THROTTLED
+from lapishaven.core.requests import Request
+from lapishaven.frontends import Host, age
+from lapishaven.net.connection import Connection
 from lapishaven.net.loop import Wait
 from lapishaven.proto import TooLarge, jsonrpc
 
@@ -27,12 +27,12 @@
 
     def __init__(self, host: Host, sock: socket.socket) -> None:
         self.host = host
-        self.conn = Conn(host.loop, sock, self._ended)
+        self.conn = Connection(host.loop, sock, self._ended)
         self.open: dict[int, Request | None] = {}  # by the id on this connection
         self._calls: dict[str, int] = {}
         self.since: float | None = host.loop.now
         self._feeding = False  # whether messages that were read are still to be taken up
-        self._leaving: End | None = None
+        self._leaving: ConnectionEnd | None = None
         if host.draining:
             self.conn.write(jsonrpc.DRAINING)
 
@@ -44,7 +44,7 @@
         machine = jsonrpc.Server()
         while True:
             data = yield from self.conn.read()
-            if isinstance(data, End):
+            if isinstance(data, ConnectionEnd):
                 return self._input_ended(data)
             self._feeding = True
             try:
@@ -56,22 +56,22 @@
                     self._message(message)
             except TooLarge as error:
                 self.conn.write(jsonrpc.error(None, jsonrpc.PARSE_ERROR, str(error)))
-                self._leaving = End.TOO_LARGE
+                self._leaving = ConnectionEnd.TOO_LARGE
             finally:
                 self._feeding = False
             self.since = None if machine.whole else self.host.loop.now if self.since is None else self.since
             if self._leaving is not None:
                 return self.leave(self._leaving)
 
-    def _input_ended(self, end: End) -> None:
+    def _input_ended(self, end: ConnectionEnd) -> None:
         """The peer sends no more. It may still wait for its answers, or be gone; where it is gone, what is written
         comes back as a reset. So it is told at once what holds anyhow: nothing new reaches this connection."""
-        if self.open and end is End.PEER_CLOSED:
+        if self.open and end is ConnectionEnd.PEER_CLOSED:
             self.host.counters.add("platform", "half-closed with requests open")
             self.conn.write(jsonrpc.DRAINING)
         self.leave(end)
 
-    def leave(self, end: End) -> None:
+    def leave(self, end: ConnectionEnd) -> None:
         """Take up nothing more, and close once all that is open is answered."""
         self._leaving = end
         if self._feeding:
@@ -130,12 +130,12 @@
             span,
             m.src,
             m.rep,
-            write=m.row is None,
+            is_write=m.row is None,
             subject=m.row,
-            key=m.key,
-            digest=blake2b(m.body, digest_size=DIGEST).digest() if m.key is not None else None,
-            left=m.left,
-            tenant=self.host.tenants.get(m.tenant or "", len(self.host.tenants)),
+            idempotency_key=m.key,
+            body_digest=blake2b(m.body, digest_size=DIGEST).digest() if m.key is not None else None,
+            time_left=m.left,
+            tenant_index=self.host.tenants.get(m.tenant or "", len(self.host.tenants)),
         )
         request = broker.submit(self.host.loop.now, sub, lambda answer: self._answer(m, answer))
         if request is not None:
@@ -144,16 +144,16 @@
     def _forget(self, id: int) -> None:
         request = self.open.pop(id)
         if request is not None and self.host.broker is not None:
-            self._calls.pop(request.sub.handle, None)
+            self._calls.pop(request.submission.attempt_id, None)
             self.host.broker.gone(request)
 
     def _answer(self, m: jsonrpc.Serve, answer: Answer) -> None:
         if self._calls.get(m.call) == m.id:
             del self._calls[m.call]
-        if answer.kind is Kind.SERVED:
+        if answer.kind is AnswerKind.SERVED:
             line = jsonrpc.result(m.id, answer.body)
-        elif answer.kind is Kind.REFUSED:
-            line = jsonrpc.error(m.id, jsonrpc.REFUSED, answer.reason, answer.pushback, answer.stop)
+        elif answer.kind is AnswerKind.REJECTED:
+            line = jsonrpc.error(m.id, jsonrpc.REFUSED, answer.reason, answer.retry_after, answer.no_retry_elsewhere)
         else:
             line = jsonrpc.error(m.id, jsonrpc.FAILED, answer.reason)
         self._send(m.id, line)
@@ -171,7 +171,7 @@
     def drain(self) -> None:
         self.conn.write(jsonrpc.DRAINING)
 
-    def _ended(self, end: End) -> None:
+    def _ended(self, end: ConnectionEnd) -> None:
         for id in list(self.open):
             self._forget(id)
         self.host.ended(self, end)
--- a/lapishaven/fronts/uwsgi.py
+++ b/lapishaven/frontends/uwsgi.py
@@ -19,13 +19,13 @@
 from random import Random
 from typing import Any
 
-from lapishaven.config import UwsgiFront
-from lapishaven.core import Answer, Kind, Submission
-from lapishaven.core.model import Request
-from lapishaven.core.tally import THROTTLED
-from lapishaven.ends import End
-from lapishaven.fronts import Host, age
-from lapishaven.net.conn import Conn
+from lapishaven.config import UwsgiFrontendConfig
+from lapishaven.connection_end import ConnectionEnd
+from lapishaven.core import Answer, AnswerKind, Submission
+from lapishaven.core.outcome_metrics import THROTTLED
+from lapishaven.core.requests import Request
+from lapishaven.frontends import Host, age
+from lapishaven.net.connection import Connection
 from lapishaven.net.loop import Wait
 from lapishaven.proto import ProtocolError, TooLarge
 from lapishaven.proto import uwsgi as proto
@@ -33,12 +33,12 @@
 AFTER = 64 * 1024  # bytes after the request that are thrown away before it is called a broken client
 ID_LIMIT = 128
 
-STATUS: dict[Kind, HTTPStatus] = {
-    Kind.SERVED: HTTPStatus.OK,
-    Kind.REFUSED: HTTPStatus.SERVICE_UNAVAILABLE,  # never ran; the only one that invites a retry
-    Kind.FAILED: HTTPStatus.BAD_GATEWAY,
-    Kind.DUE: HTTPStatus.GATEWAY_TIMEOUT,
-    Kind.DENIED: HTTPStatus.FORBIDDEN,  # no contract
+STATUS: dict[AnswerKind, HTTPStatus] = {
+    AnswerKind.SERVED: HTTPStatus.OK,
+    AnswerKind.REJECTED: HTTPStatus.SERVICE_UNAVAILABLE,  # never ran; the only one that invites a retry
+    AnswerKind.FAILED: HTTPStatus.BAD_GATEWAY,
+    AnswerKind.DEADLINE_EXCEEDED: HTTPStatus.GATEWAY_TIMEOUT,
+    AnswerKind.FORBIDDEN: HTTPStatus.FORBIDDEN,  # no contract
 }
 ERRORS: dict[type[Exception], HTTPStatus] = {
     ProtocolError: HTTPStatus.BAD_REQUEST,
@@ -51,14 +51,14 @@
     return request.vars.get("PATH_INFO") or request.vars.get("REQUEST_URI", "").partition("?")[0]
 
 
-def class_name(request: proto.Request, front: UwsgiFront) -> str:
+def class_name(request: proto.Request, front: UwsgiFrontendConfig) -> str:
     """What the path names below the front's own part; empty where it is not below it."""
     path = path_of(request)
     return path.removeprefix(front.path) if path.startswith(front.path) else ""
 
 
 def submission(
-    request: proto.Request, classes: dict[str, int], front: UwsgiFront, handle: str, now: float
+    request: proto.Request, classes: dict[str, int], front: UwsgiFrontendConfig, handle: str, now: float
 ) -> Submission:
     """A core request from a packet; raises what ``ERRORS`` maps to a status."""
     get, name = request.vars.get, class_name(request, front)
@@ -86,10 +86,10 @@
         request.body,
         front.held_kb,
         age=now - started,
-        caller=who,
-        retry=get("HTTP_X_RETRY") == "1",
-        write=True,
-        key=key,
+        caller_id=who,
+        is_retry=get("HTTP_X_RETRY") == "1",
+        is_write=True,
+        idempotency_key=key,
         team=team,
         service=service,
     )
@@ -99,14 +99,19 @@
     """One client's connection, which carries one request."""
 
     def __init__(
-        self, host: Host, sock: socket.socket, front: UwsgiFront, random: Random, word: Callable[[], str] | None = None
+        self,
+        host: Host,
+        sock: socket.socket,
+        front: UwsgiFrontendConfig,
+        random: Random,
+        word: Callable[[], str] | None = None,
     ) -> None:
         """``word``: what each answer is to say of this server's load."""
         self.host, self.front, self._random, self._word = host, front, random, word
-        self.conn = Conn(host.loop, sock, self._ended)
+        self.conn = Connection(host.loop, sock, self._ended)
         self._request: Request | None = None
         self._open = False
-        self._leaving: End | None = None
+        self._leaving: ConnectionEnd | None = None
         self.since: float | None = host.loop.now
 
     @property
@@ -117,14 +122,14 @@
         machine, after = proto.Server(), 0
         while True:
             data = yield from self.conn.read()
-            if isinstance(data, End):
+            if isinstance(data, ConnectionEnd):
                 return self._give_up(data)
             if data is None:
                 continue
             if machine.done:
                 after += len(data)
                 if after > AFTER:
-                    return self._give_up(End.PROTOCOL_ERROR)
+                    return self._give_up(ConnectionEnd.PROTOCOL_ERROR)
                 continue
             try:
                 request = machine.feed(data)
@@ -141,13 +146,13 @@
         if self.conn.left():
             # It gave this up, while the process was stopped or the packet waited: nobody wants it run.
             self.host.counters.add("uwsgi", "given up before it was read")
-            return self._give_up(End.PEER_CLOSED)
+            return self._give_up(ConnectionEnd.PEER_CLOSED)
         handle = f"{self._random.getrandbits(64):016x}"
         sub = submission(request, self.host.classes, self.front, handle, time.time())
         self.host.counters.add("uwsgi", "requests")
         if broker is None:
             self.host.counters.add(THROTTLED, class_name(request, self.front))
-            return self._answer(Answer(Kind.REFUSED, reason="not up yet", pushback=1.0))
+            return self._answer(Answer(AnswerKind.REJECTED, reason="not up yet", retry_after=1.0))
         self._open = True
         self._request = broker.submit(loop.now, sub, self._answer)
 
@@ -156,38 +161,38 @@
         status = STATUS[answer.kind]
         self.host.counters.add("uwsgi", f"status {status.value}")
         headers: tuple[tuple[str, str], ...] = (("X-Load", self._word()),) if self._word is not None else ()
-        if answer.kind is Kind.SERVED:
+        if answer.kind is AnswerKind.SERVED:
             self.conn.write(proto.response(status, answer.body, "application/octet-stream", headers))
         else:
-            if answer.kind is Kind.REFUSED:
+            if answer.kind is AnswerKind.REJECTED:
                 # Retry-After has whole seconds only; the second header has what the module said.
-                wait = answer.pushback or 1.0
+                wait = answer.retry_after or 1.0
                 headers += (("Retry-After", str(math.ceil(wait))), ("X-Pushback-Ms", str(round(wait * 1000))))
-                headers += (("X-Stop", "1"),) if answer.stop else ()
+                headers += (("X-Stop", "1"),) if answer.no_retry_elsewhere else ()
             self.conn.write(proto.response(status, answer.reason.encode(), "text/plain", headers))
-        self.conn.close(self._leaving or End.FINISHED)
+        self.conn.close(self._leaving or ConnectionEnd.FINISHED)
 
     def _error(self, status: HTTPStatus, text: str) -> None:
         self.host.counters.add("uwsgi", f"status {status.value}")
         self.conn.write(proto.response(status, text.encode(), "text/plain"))
-        self.conn.close(End.FINISHED)
+        self.conn.close(ConnectionEnd.FINISHED)
 
     def drain(self) -> None:
         """Nothing to tell: a uwsgi connection carries one request and is closed after its answer."""
 
-    def leave(self, end: End) -> None:
+    def leave(self, end: ConnectionEnd) -> None:
         """Close once the request is answered, at once where there is none."""
         self._leaving = end
         if not self._open:
             self.conn.close(end)
 
-    def _give_up(self, end: End) -> None:
+    def _give_up(self, end: ConnectionEnd) -> None:
         """The client has gone, and a gateway's client that closes no longer waits."""
         if self._request is not None and self.host.broker is not None:
             self.host.broker.gone(self._request)
         self._open = False
         self.conn.close(end)
 
-    def _ended(self, end: End) -> None:
+    def _ended(self, end: ConnectionEnd) -> None:
         self._give_up(end)
         self.host.ended(self, end)
--- a/lapishaven/leaving.py
+++ b/lapishaven/graceful_shutdown.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Callable, Sequence
 
-from lapishaven.callers import Callers
+from lapishaven.client_connections import ClientConnections
 from lapishaven.core.broker import LEAVE_ROOM, Broker
 from lapishaven.net.listener import FULL_WAIT, Listener
 from lapishaven.net.loop import Loop
@@ -20,19 +20,19 @@
 LOOK = 0.01  # s between looks whether the last connection has ended
 
 
-class Leaving:
+class GracefulShutdown:
     """Carries out one departure on the loop."""
 
-    def __init__(self, loop: Loop, callers: Callers, listeners: Sequence[Listener]) -> None:
+    def __init__(self, loop: Loop, callers: ClientConnections, listeners: Sequence[Listener]) -> None:
         self.loop, self.callers, self.listeners = loop, callers, listeners
-        self.noticed: float | None = None
+        self.requested_at: float | None = None
         self._kill_at = float("inf")
         self._broker: Callable[[], Broker | None] = lambda: None
         self._closing = False
 
     def begin(self, noticed: float, stop_span: float, grace: float, broker: Callable[[], Broker | None]) -> None:
         """The notice came at ``noticed``, and the kill follows ``stop_span`` after it."""
-        self.noticed, self._broker = noticed, broker
+        self.requested_at, self._broker = noticed, broker
         self._kill_at = noticed + stop_span
         self.callers.drain()
         there = broker()
@@ -46,9 +46,9 @@
 
     def shorten(self, stop_span: float) -> None:
         """A reload after the notice says that the kill comes sooner; that it comes later is not relied upon."""
-        if self.noticed is None or self.noticed + stop_span >= self._kill_at or self._closing:
+        if self.requested_at is None or self.requested_at + stop_span >= self._kill_at or self._closing:
             return
-        self._kill_at = self.noticed + stop_span
+        self._kill_at = self.requested_at + stop_span
         if (broker := self._broker()) is not None:
             broker.hurry(self._kill_at)
         self.loop.at(self._kill_at - LEAVE_ROOM, self._leave)
--- a/lapishaven/recovery/ledger.py
+++ b/lapishaven/idempotency/result_index.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    standing: Standing
+    state: Standing
     since: float  # Unix seconds
     result: bytes = b""
 
@@ -44,7 +44,7 @@
     return Entry(Standing.DOUBT, since)
 
 
-class Ledger:
+class ResultIndex:
     """Effects by name, aged out ``life`` seconds after they began. Nothing is forgotten early to make room."""
 
     def __init__(self, life: float) -> None:
@@ -88,7 +88,7 @@
         return len(old)
 
     def doubts(self) -> Iterator[tuple[bytes, Entry]]:
-        return ((name, entry) for name, entry in self._entries.items() if entry.standing is Standing.DOUBT)
+        return ((name, entry) for name, entry in self._entries.items() if entry.state is Standing.DOUBT)
 
     def frees_in(self, wall: float) -> float | None:
         """Seconds until the oldest is let go."""
--- a/lapishaven/recovery/keeper.py
+++ b/lapishaven/idempotency/result_store.py
@@ -9,9 +9,10 @@
 from concurrent.futures import Future
 from contextlib import suppress
 
-from lapishaven.core.model import Known, Submission
+from lapishaven.core.ports import KnownEffect
+from lapishaven.core.requests import Submission
+from lapishaven.idempotency.result_index import Entry, ResultIndex, Standing, decode, encode
 from lapishaven.net.wake import Wake
-from lapishaven.recovery.ledger import Entry, Ledger, Standing, decode, encode
 from lapishaven.storage import Store, StoreError, StoreFull
 
 STALL = 0.5  # s for which the store has made nothing durable, after which no new run is taken on
@@ -19,14 +20,14 @@
 SWEEP = 10.0  # s between two looks for what is past its life
 
 
-class KeyedResults:
+class DurableResults:
     """The Broker's keeper. ``ready`` is a descriptor that has something to read once ``told`` should be called."""
 
     label = "storage"
 
     def __init__(self, store: Store, life: float, limit: int = 100_000, wall: Callable[[], float] = time.time) -> None:
         self.store, self.limit, self._wall = store, limit, wall
-        self.ledger = Ledger(life)
+        self.ledger = ResultIndex(life)
         self._ends: deque[Callable[[], None]] = deque()
         self._pending: deque[float] = deque()  # since when each is under way
         self._wake = Wake()
@@ -48,7 +49,9 @@
         """What a repeat of the effect is to be told."""
         return self.ledger.find(self._wall(), self.name(cls, key))
 
-    def intend(self, cls: str, key: str, sub: Submission, then: Callable[[bool | Known], None]) -> float | None:
+    def record_intent(
+        self, cls: str, key: str, sub: Submission, then: Callable[[bool | KnownEffect], None]
+    ) -> float | None:
         """Have the intent made durable; ``then`` is told whether it was. Seconds to stay away if it is not even
         tried: the bound is reached, or the store stands still."""
         wall, name = self._wall(), self.name(cls, key)
@@ -73,7 +76,7 @@
         self._when(future, then)
         return None
 
-    def done(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None:
+    def record_result(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None:
         """Have the result made durable; ``then`` is told whether it was."""
         name = self.name(cls, key)
         since = self.ledger.find(self._wall(), name).since
@@ -93,18 +96,18 @@
 
         self._when(future, recorded)
 
-    def failed(self, cls: str, key: str) -> None:
+    def record_failure(self, cls: str, key: str) -> None:
         """It ran and gave no result; the intent that is durable says just that."""
         self.ledger.failed(self.name(cls, key))
 
-    def void(self, cls: str, key: str) -> None:
+    def cancel_intent(self, cls: str, key: str) -> None:
         """It provably never ran: its key is free."""
         name = self.name(cls, key)
         self.ledger.void(name)
         with suppress(StoreError):
             self.store.delete(name)
 
-    def doubts(self) -> list[tuple[str, str, float]]:
+    def uncertain_effects(self) -> list[tuple[str, str, float]]:
         """Class, key and age in seconds of what an earlier life may have run."""
         found, wall = [], self._wall()
         for name, entry in self.ledger.doubts():
@@ -143,7 +146,7 @@
         self._ends.append(what)
         self._wake.poke()
 
-    def told(self) -> None:
+    def process_completions(self) -> None:
         """On the event path: carry out what was told since."""
         self._wake.drain()
         while self._ends:
@@ -152,8 +155,8 @@
     def close(self) -> None:
         """All that was begun is durable after this."""
         self.store.close()
-        self.told()
+        self.process_completions()
         self._wake.close()
 
 
-__all__ = ["KeyedResults", "Standing"]
+__all__ = ["DurableResults", "Standing"]
--- a/lapishaven/lab/emulator.py
+++ b/lapishaven/lab/emulator.py
@@ -15,20 +15,20 @@
 from time import perf_counter
 from typing import Any
 
-from cometdrum import wire
-from cometdrum.interface import Outcome
+from lapishaven.admission import Outcome
 from lapishaven.client.outcomes import Ending, Reply
 from lapishaven.client.settings import Settings as ClientSettings
 from lapishaven.client.settings import Strategy
 from lapishaven.core.broker import Broker
-from lapishaven.core.model import Answer, Kind, Submission
+from lapishaven.core.requests import Answer, AnswerKind, Submission
 from lapishaven.counters import Counters
-from lapishaven.lab import clientsim, site
-from lapishaven.lab.clientsim import HOP, Request, Simulation
+from lapishaven.lab import client_simulation, site
+from lapishaven.lab.client_simulation import HOP, Request, Simulation
 from lapishaven.lab.interpreter import Box, Cores, Work
 from lapishaven.pools import Pools
 from lapishaven.pools.settings import PoolSettings
 from lapishaven.pools.settings import parse as parse_pools
+from lapishaven.simulator import codec
 
 TICK = 0.01  # s between two steps of a machine that has something to do
 LIGHT = site.Kind("glossary-look-up", 0.05, Work(0.01, 0.03), 0.5, 2.0, 0.3, True)
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EmulatorSpec(clientsim.Spec):
+class EmulatorSpec(client_simulation.Spec):
     """``pools``: off, on, or fixed (the same shares as partitions that lend nothing)."""
 
     pools: str = "off"
@@ -117,7 +117,7 @@
         e = self.emulator
         self.cores = Cores(self.box, e.works, Random(self.seed ^ self.life), now, self.cold, self.factor)
         table = site.settings(self.box, e.spec.servers, e.spec.clients, self.cold, e.kinds)
-        settings, _ = wire.settings(json.dumps(table).encode())
+        settings, _ = codec.settings(json.dumps(table).encode())
         self.pools = e.make_pools(settings, now)
         self.broker = Broker(
             settings, self.seed + self.life, self, self, self.counters, memory=192 << 20, pools=self.pools
@@ -138,7 +138,7 @@
             self.cores.runs[handle].left *= 2
         self.wake(e.now)
 
-    def halt(self, handle: str) -> None:
+    def pause(self, handle: str) -> None:
         run = self.cores.runs.get(handle)
         if run is None or run.paused:
             return
@@ -178,13 +178,13 @@
             self.turn()
 
     # ---- Signals
-    def health(self, good: bool) -> None:
+    def set_health(self, good: bool) -> None:
         if good != self.good:
             self.good = good
-            self.emulator.at(self.emulator.now + clientsim.CATALOG_LAG, self.emulator.relist)
+            self.emulator.at(self.emulator.now + client_simulation.CATALOG_LAG, self.emulator.relist)
 
-    def idle(self, span: float) -> None: ...
-    def remark(self, text: str) -> None: ...
+    def set_idle_timeout(self, span: float) -> None: ...
+    def log_remark(self, text: str) -> None: ...
 
     # ---- Time
     def wake(self, now: float) -> None:
@@ -241,7 +241,7 @@
             age,
             request.client,
             attempt.rep,
-            write=not kind.safe,
+            is_write=not kind.safe,
         )
         self.open[attempt.name] = request
         request.at = e.now
@@ -344,8 +344,8 @@
     def answered_by(self, machine: Machine, life: int, request: Request, answer: Answer) -> None:
         if machine.life != life:
             return
-        ending = {Kind.SERVED: Ending.SERVED, Kind.REFUSED: Ending.REFUSED}.get(answer.kind, Ending.FAILED)
-        reply = Reply(ending, b"", answer.reason, pushback=answer.pushback, stop=answer.stop)
+        ending = {AnswerKind.SERVED: Ending.SERVED, AnswerKind.REJECTED: Ending.REFUSED}.get(answer.kind, Ending.FAILED)
+        reply = Reply(ending, b"", answer.reason, pushback=answer.retry_after, stop=answer.no_retry_elsewhere)
         self._answered(request, reply)
 
     def _forgotten(self, connection: Any, attempt: Any) -> None:
@@ -374,7 +374,7 @@
             if step.what == "drain":
                 for name in step.servers:
                     machine: Machine = self.servers[name]  # type: ignore[assignment]
-                    machine.broker.drain(self.now, self.now + clientsim.DRAIN)
+                    machine.broker.drain(self.now, self.now + client_simulation.DRAIN)
                     machine.turn()
 
     def _slow(self, machine: Any, factor: float) -> None:
@@ -399,7 +399,7 @@
     def _boot(self, server: Any) -> None:
         server.up, server.cold, server.good = True, True, True
         server.boot(self.now)
-        self.at(self.now + clientsim.CATALOG_LAG, self._relist)
+        self.at(self.now + client_simulation.CATALOG_LAG, self._relist)
 
     def relist(self) -> None:
         self._relist()
--- a/lapishaven/lab/field/long.py
+++ b/lapishaven/lab/field/long.py
@@ -18,8 +18,8 @@
 from typing import Any
 
 from lapishaven.lab.field.field import Field, Line
+from lapishaven.lab.field.member_process import FAST, Team, evenly
 from lapishaven.lab.field.relay import Mode, Relays
-from lapishaven.lab.field.team import FAST, Team, evenly
 from lapishaven.ownership.verify import interleaved
 
 WIDE = {**FAST, "ttl": 3.0, "margin": 0.3, "poll": 0.3, "spread": 0.5}
--- a/lapishaven/lab/field/team.py
+++ b/lapishaven/lab/field/member_process.py
@@ -37,7 +37,7 @@
         if kind == "etcd":
             field.start("etcd", "lapishaven.lab.etcd", min_ttl=1)
             self.etcd = field.first("start", who="etcd")["port"]
-        field.start("book", "lapishaven.lab.field.books", book=str(self.book), fenced=fenced)
+        field.start("book", "lapishaven.lab.field.receiver_process", book=str(self.book), fenced=fenced)
         self.receiver = field.first("start", who="book")["port"]
 
     def start(self, name: str, **spec: Any) -> str:
--- a/lapishaven/lab/field/process.py
+++ b/lapishaven/lab/field/process.py
@@ -20,11 +20,11 @@
 
 from lapishaven.lab.field.clock import FaultyClock
 from lapishaven.ownership.agent import Agent, Duty, Receiver
-from lapishaven.ownership.book import Book, BookError, Plan
 from lapishaven.ownership.coordinators.sqlite import SqliteCoordinator
 from lapishaven.ownership.duties import periods
+from lapishaven.ownership.fenced_store import FencedStore, FencedStoreError, Plan
 from lapishaven.ownership.member import Member, Rules
-from lapishaven.ownership.model import Card, Coordinator
+from lapishaven.ownership.model import Coordinator, MemberRecord
 from lapishaven.ownership.receiver import Remote
 
 SHARDS, LENGTH = 2, 0.3  # of the periods that the field closes: shards, and s
@@ -55,7 +55,9 @@
     """What a server does beside its duties: it serves, and puts what it served into the book. Each row that is known to
     be in the book is told, with its count."""
 
-    def __init__(self, book: Book, name: str, start: str, told: Callable[[str, Mapping[str, Any]], None]) -> None:
+    def __init__(
+        self, book: FencedStore, name: str, start: str, told: Callable[[str, Mapping[str, Any]], None]
+    ) -> None:
         super().__init__(daemon=True)
         self._book, self._told = book, told
         self._collector = periods.Collector(name, start, SHARDS, LENGTH)
@@ -67,14 +69,14 @@
             rows = self._collector.rows()
             try:
                 self._book.note(lambda base, rows=rows: periods.add(base, rows))  # type: ignore[misc]
-            except BookError:
+            except FencedStoreError:
                 continue
             self._collector.kept(rows)
             self._told("served", {"count": sum(row[7] for row in rows), "numbers": [row[2] for row in rows]})
             time.sleep(0.03)
 
 
-def closing(path: str, points: Callable[[str], None]) -> tuple[Book, periods.Periods]:
+def closing(path: str, points: Callable[[str], None]) -> tuple[FencedStore, periods.Periods]:
     """The duty of closing periods, with points within the receiver's transaction."""
 
     def close(base: sqlite3.Connection, detail: Any) -> Any:
@@ -84,7 +86,7 @@
         return found
 
     plan = Plan(periods.SCHEMA, periods.PLAN.guarded, {"close": close})
-    book = Book(path, {"periods": plan})
+    book = FencedStore(path, {"periods": plan})
     return book, periods.Periods(
         SHARDS,
         LENGTH,
@@ -145,14 +147,16 @@
     book: Receiver
     if spec.get("duty") == "periods":
         book, duty = closing(spec["book"], points)
-        Serving(Book(spec["book"], {"periods": periods.PLAN}), name, start, told).start()
+        Serving(FencedStore(spec["book"], {"periods": periods.PLAN}), name, start, told).start()
     else:
         duty = Ticking(start, spec["shards"], spec.get("every", 0.05))
         if "receiver" in spec:
             book = Remote("127.0.0.1", spec["receiver"], spec.get("act_timeout", 1.0))
         else:
-            book = Book(spec["book"], {"tick": TICK})
-    member = Member(Card(spec.get("alias", name), start), [(duty.name, n) for n in range(duty.shards)], rules, random)
+            book = FencedStore(spec["book"], {"tick": TICK})
+    member = Member(
+        MemberRecord(spec.get("alias", name), start), [(duty.name, n) for n in range(duty.shards)], rules, random
+    )
     agent = Agent(member, coordinator(), book, [duty], clock, told, points, coordinator())
 
     def listen() -> None:
--- a/lapishaven/lab/field/books.py
+++ b/lapishaven/lab/field/receiver_process.py
@@ -14,11 +14,11 @@
 from typing import Any
 
 from lapishaven.lab.field.process import TICK
-from lapishaven.ownership.book import Book
+from lapishaven.ownership.fenced_store import FencedStore
 from lapishaven.ownership.receiver import serve
 
 
-class FaultyBook(Book):
+class FaultyBook(FencedStore):
     """A book whose disk fills by word."""
 
     def full(self, yes: bool) -> None:
--- a/lapishaven/lab/field/tier.py
+++ b/lapishaven/lab/field/tier.py
@@ -21,9 +21,9 @@
 from lapishaven.lab.field.field import Field, FieldError
 from lapishaven.lab.interpreter import Box
 from lapishaven.lab.ports import Ports
+from lapishaven.load_balancing.load_report import LoadReport, unpack
 from lapishaven.proto import ProtocolError, uwsgi
 from lapishaven.proto import load as questions
-from lapishaven.spread.news import News, unpack
 
 FRONT_CORES = 400  # what a front's own module may have run at once: the processes decide, not the front
 NEVER = 1e6  # s, for a call that was not served
@@ -80,7 +80,7 @@
         names = self.backs + self.fronts + self.plain
         self.field.start(
             "hands",
-            "lapishaven.lab.field.hands",
+            "lapishaven.lab.field.stand_in_interpreters",
             seed=self.seed,
             slots=self.slots,
             scale=self.scale,
@@ -146,7 +146,7 @@
         self.field.serve(name, *words)
 
     # ---- What a process says of itself
-    def ask(self, name: str, timeout: float = 0.5) -> News | None:
+    def ask(self, name: str, timeout: float = 0.5) -> LoadReport | None:
         """Its load; none if no answer comes."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.settimeout(timeout)
--- a/lapishaven/lab/field/trial.py
+++ b/lapishaven/lab/field/trial.py
@@ -61,7 +61,10 @@
         there = self._field
         spec: dict[str, Any] = {"shards": self.shards, "every": 0.03, "rules": RULES, "timeout": 0.3}
         there.start(
-            "book", "lapishaven.lab.field.books", book=str(there.folder / "book.db"), fenced=self.mode == "ours"
+            "book",
+            "lapishaven.lab.field.receiver_process",
+            book=str(there.folder / "book.db"),
+            fenced=self.mode == "ours",
         )
         spec["receiver"] = there.first("start", who="book")["port"]
         if self.coordinator == "etcd":
--- a/lapishaven/lab/recordmodel.py
+++ b/lapishaven/lab/ledger_model.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from lapishaven.lab.modelcheck import Model, Rule, Var, Vars, n
-from lapishaven.record.table import TABLE, Event, Standing, Verdict
+from lapishaven.ledger.transitions import TABLE, Event, Standing, Verdict
 
 import z3  # isort: skip
 
--- a/lapishaven/lab/spreadcases.py
+++ b/lapishaven/lab/load_balancing_cases.py
@@ -11,8 +11,8 @@
 from random import Random
 from typing import Any
 
-from lapishaven.lab.spreadsim import Front, Process, Sim
-from lapishaven.spread import Rules
+from lapishaven.lab.load_balancing_simulation import Front, Process, Sim
+from lapishaven.load_balancing import Rules
 
 FROM, AT = 3.0, 4.0
 SPEEDS = (0.5, 0.7, 1.0, 1.3)
--- a/lapishaven/lab/spreadsim.py
+++ b/lapishaven/lab/load_balancing_simulation.py
@@ -14,9 +14,9 @@
 from random import Random
 from typing import Any
 
-from lapishaven.spread import Choice, Ending, News, Rules, Spread
-from lapishaven.spread.known import wait
-from lapishaven.spread.teller import FAILING
+from lapishaven.load_balancing import Choice, Ending, LoadBalancer, LoadReport, Rules
+from lapishaven.load_balancing.endpoint_state import wait
+from lapishaven.load_balancing.load_reporter import FAILING
 
 WAY = 0.0004  # s
 DIAL = 1.0  # s after which a connection that does not come about is given up
@@ -67,10 +67,10 @@
     def warm(self, now: float) -> float:
         return min(1.0, COLD_FROM + (1 - COLD_FROM) * (now - self.born) / COLD_SPAN)
 
-    def news(self, now: float) -> News:
+    def news(self, now: float) -> LoadReport:
         self.number += 1
         said = self.open if self.lie is None else int(self.lie)
-        return News(
+        return LoadReport(
             self.start,
             self.number,
             said,
@@ -90,7 +90,7 @@
         self.turn = random.randrange(1 << 20)
         self.own: Counter[str] = Counter()
         self.idle: deque[Process] = deque()  # idle first: those that reported here
-        self.spread: Spread | None = None
+        self.spread: LoadBalancer | None = None
         self.restart()
 
     def restart(self) -> None:
@@ -98,7 +98,7 @@
         self._woken = float("inf")
         self.own.clear()
         if self.sim.policy == "ours":
-            self.spread = Spread(self.sim.rules, self.random)
+            self.spread = LoadBalancer(self.sim.rules, self.random)
             self.spread.members(self.sim.names)
 
     def come(self, job: Job) -> None:
@@ -126,7 +126,7 @@
         self.sim.send(job, self.sim.processes[name])
         self.wake()
 
-    def told(self, id: int, news: News) -> None:
+    def told(self, id: int, news: LoadReport) -> None:
         assert self.spread is not None
         choice = self.spread.heard(self.sim.now, id, news)
         if choice is not None and (job := self.sim.choices.get(choice)) is not None:
@@ -332,11 +332,13 @@
             self.random.choice(self.fronts).idle.append(process)
         self._answer(job, process, Ending.SERVED, process.news(self.now))
 
-    def _answer(self, job: Job, process: Process, ending: Ending, news: News | None) -> None:
+    def _answer(self, job: Job, process: Process, ending: Ending, news: LoadReport | None) -> None:
         tries, sent = job.tries, job.sent
         self.at(self.now + WAY, lambda: self._back(job, process, ending, news, tries, sent))
 
-    def _back(self, job: Job, process: Process, ending: Ending, news: News | None, tries: int, sent: float) -> None:
+    def _back(
+        self, job: Job, process: Process, ending: Ending, news: LoadReport | None, tries: int, sent: float
+    ) -> None:
         if job.over or job.tries != tries:
             return
         self._let_go(job, process, ending, sent)
--- a/lapishaven/lab/simfleet.py
+++ b/lapishaven/lab/ownership_simulation.py
@@ -10,8 +10,8 @@
 
 from lapishaven.ownership.coordinators.sqlite import SqliteCoordinator
 from lapishaven.ownership.driver import perform
-from lapishaven.ownership.member import Member, Notice, Rules, Silent
-from lapishaven.ownership.model import Card, Shard
+from lapishaven.ownership.member import Member, Notice, Rules, Unknown
+from lapishaven.ownership.model import MemberRecord, Shard
 
 LEAST = 0.002  # s between two steps of a member
 
@@ -50,7 +50,9 @@
 
     def start(self, name: str) -> None:
         self._count += 1
-        member = Member(Card(name, f"{name}:{self._count}"), self.shards, self.rules, Random(self.random.random()))
+        member = Member(
+            MemberRecord(name, f"{name}:{self._count}"), self.shards, self.rules, Random(self.random.random())
+        )
         self.members[name] = Simulated(member)
         self._wake(self.clock.time + self.random.uniform(0.0, 0.01), name)
 
@@ -80,7 +82,7 @@
                 continue
             self.calls[type(op).__name__] += 1
             sent, silent = self.clock.time, self.away(name)
-            outcome = Silent() if silent else perform(self.coordinator, op, self.rules.ttl)
+            outcome = Unknown() if silent else perform(self.coordinator, op, self.rules.ttl)
             self.clock.time = sent  # what happens meanwhile is in the queue
             took = 0.5 if silent else self._latency
             one.member.done(sent + took, op, outcome)
--- a/lapishaven/record/audit.py
+++ b/lapishaven/ledger/audit.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-from lapishaven.record.base import EARNED
-from lapishaven.record.table import Standing
+from lapishaven.ledger.database import EARNED
+from lapishaven.ledger.transitions import Standing
 
 Name = tuple[str, str]  # class and key
 
--- a/lapishaven/record/flow.py
+++ b/lapishaven/ledger/backpressure.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FlowRules:
+class BackpressureRules:
     most: int = 2000  # entries that wait at most
     stall: float = 0.5  # s
     faults: int = 3
@@ -20,8 +20,8 @@
     pause_most: float = 2.0  # s
 
 
-class Flow:
-    def __init__(self, rules: FlowRules) -> None:
+class Backpressure:
+    def __init__(self, rules: BackpressureRules) -> None:
         self.rules = rules
         self._since: deque[float] = deque()  # when each that is not durable yet was taken, in their order
         self._faults = 0
--- a/lapishaven/record/command.py
+++ b/lapishaven/ledger/command.py
@@ -7,16 +7,16 @@
 import time
 from collections import Counter
 
-from lapishaven.record import copies
-from lapishaven.record.audit import Charge, Effect, differences
-from lapishaven.record.base import Base, RecordError
-from lapishaven.record.settings import load
-from lapishaven.record.table import Standing
+from lapishaven.ledger import file_copies
+from lapishaven.ledger.audit import Charge, Effect, differences
+from lapishaven.ledger.database import LedgerDatabase, LedgerError
+from lapishaven.ledger.settings import load
+from lapishaven.ledger.transitions import Standing
 
 DOUBT = 60.0  # s after which an intent without an end is told as in doubt
 
 
-def _rows(base: Base) -> tuple[list[Effect], list[Charge]]:
+def _rows(base: LedgerDatabase) -> tuple[list[Effect], list[Charge]]:
     effects = [
         Effect((str(cls), str(key)), Standing(standing), str(customer), int(str(words)))
         for cls, key, standing, customer, words in base.read("select class, key, standing, customer, words from effect")
@@ -30,7 +30,7 @@
 
 def audit(path: str) -> int:
     """Every difference between effects and ledger; exit 1 if there are any."""
-    base = Base(load(path).file)
+    base = LedgerDatabase(load(path).file)
     effects, charges = _rows(base)
     base.close()
     found = list(differences(effects, charges))
@@ -47,7 +47,7 @@
 
 def stat(path: str, as_json: bool) -> int:
     """Effects by standing; exit 1 if some are in doubt: intended over a minute ago, with no end."""
-    base = Base(load(path).file)
+    base = LedgerDatabase(load(path).file)
     counts = Counter(str(standing) for (standing,) in base.read("select standing from effect"))
     doubts = base.read(
         "select class, key, start, since from effect where standing = 'intended' and since < ?", (time.time() - DOUBT,)
@@ -64,7 +64,7 @@
 
 def bill(path: str, since: float, until: float, as_json: bool) -> int:
     """Words by customer, of effects that ended from ``since`` on and before ``until`` (Unix seconds)."""
-    base = Base(load(path).file)
+    base = LedgerDatabase(load(path).file)
     found = base.read(
         "select substr(account, 10), count(*), sum(words) from ledger"
         " where account like 'customer/%' and at >= ? and at < ? group by account order by account",
@@ -87,7 +87,7 @@
 
 def backup(path: str, to: str) -> int:
     """A copy at one instant, while servers go on."""
-    copies.backup(load(path).file, to, _progress)
+    file_copies.backup(load(path).file, to, _progress)
     print(f"copied to {to}")
     return 0
 
@@ -95,7 +95,7 @@
 def restore(path: str, source: str) -> int:
     """A backup in the place of a record that is not there."""
     file = load(path).file
-    copies.restore(file, source, _progress)
+    file_copies.restore(file, source, _progress)
     print(f"{file} is as {source} was")
     return 0
 
@@ -104,8 +104,8 @@
     """Rows as CSV, into a file that is not there yet."""
     try:
         with open(to, "x", newline="") as out:
-            count = copies.export(load(path).file, table, out)
+            count = file_copies.export(load(path).file, table, out)
     except OSError as error:
-        raise RecordError(f"cannot write {to}: {error.strerror or error}") from None
+        raise LedgerError(f"cannot write {to}: {error.strerror or error}") from None
     print(f"{count} rows in {to}")
     return 0
--- a/lapishaven/record/base.py
+++ b/lapishaven/ledger/database.py
@@ -9,8 +9,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from lapishaven import sql
-from lapishaven.record.table import Event, Row, Standing, Verdict, judge
+from lapishaven import sqlite
+from lapishaven.ledger.transitions import Event, Row, Standing, Verdict, judge
 
 VERSION = 1
 BUSY = 1.0  # s for which a transaction waits for another server's
@@ -30,7 +30,7 @@
 EARNED = "earned"  # the account beside every customer's
 
 
-class RecordError(Exception):
+class LedgerError(Exception):
     """The file could not be read or written (busy, full, I/O, of a newer schema): nothing has changed."""
 
 
@@ -56,23 +56,23 @@
     row: Row
 
 
-class Base:
+class LedgerDatabase:
     """``path`` is made where it is not there, and brought up to this schema; ``RecordError`` if that cannot be."""
 
     def __init__(self, path: str, busy: float = BUSY) -> None:
         self.path = path
         try:
-            self._base = sql.connect(path, busy)
+            self._base = sqlite.connect(path, busy)
             self._migrate()
         except sqlite3.Error as error:
-            raise RecordError(f"{path}: {error}") from None
+            raise LedgerError(f"{path}: {error}") from None
 
     def _migrate(self) -> None:
         """In one transaction, so that a kill leaves the old file or the new one."""
-        with sql.writing(self._base):
+        with sqlite.writing(self._base):
             there = self._base.execute("pragma user_version").fetchone()[0]
             if there > VERSION:
-                raise RecordError(f"{self.path} is of schema {there}, newer than {VERSION}")
+                raise LedgerError(f"{self.path} is of schema {there}, newer than {VERSION}")
             if there == VERSION:
                 return
             self._base.execute(EFFECTS)
@@ -97,10 +97,10 @@
     def write(self, ops: Sequence[Op]) -> list[Told]:
         """Carry out operations in their order, in one durable transaction; ``RecordError`` if it could not be."""
         try:
-            with sql.writing(self._base):
+            with sqlite.writing(self._base):
                 return [self._one(op) for op in ops]
         except sqlite3.Error as error:
-            raise RecordError(str(error)) from None
+            raise LedgerError(str(error)) from None
 
     def _one(self, op: Op) -> Told:
         row = self._row(op.cls, op.key)
@@ -130,7 +130,7 @@
         try:
             return self._base.execute(query, values).fetchall()
         except sqlite3.Error as error:
-            raise RecordError(str(error)) from None
+            raise LedgerError(str(error)) from None
 
     def close(self) -> None:
         self._base.close()
--- a/lapishaven/record/copies.py
+++ b/lapishaven/ledger/file_copies.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import TextIO
 
-from lapishaven.record.base import VERSION, RecordError
+from lapishaven.ledger.database import VERSION, LedgerError
 
 PAGES = 256  # copied between two looks at what others wrote
 PART = ".part"
@@ -42,13 +42,13 @@
         _sync(to)
     except (sqlite3.Error, OSError) as error:
         part.unlink(missing_ok=True)
-        raise RecordError(f"cannot copy {source} to {to}: {error}") from None
+        raise LedgerError(f"cannot copy {source} to {to}: {error}") from None
 
 
 def backup(file: str, to: str, progress: Progress = lambda part: None) -> None:
     """A copy at one instant, while servers go on. ``RecordError`` where ``to`` is there already."""
     if Path(to).exists():
-        raise RecordError(f"{to} is there already")
+        raise LedgerError(f"{to} is there already")
     _copy(file, Path(to), progress)
 
 
@@ -56,19 +56,19 @@
     """A backup in the record's place. No server may have it open, which cannot be seen from here. ``RecordError`` where
     a record is there, or the backup is damaged or of another schema."""
     if Path(file).exists():
-        raise RecordError(f"{file} is there already: move it away first")
+        raise LedgerError(f"{file} is there already: move it away first")
     if not Path(source).exists():
-        raise RecordError(f"{source} is not there")
+        raise LedgerError(f"{source} is not there")
     try:
         with closing(sqlite3.connect(f"file:{source}?mode=ro", uri=True)) as base:
             there = base.execute("pragma user_version").fetchone()[0]
             sound = base.execute("pragma integrity_check").fetchone()[0]
     except sqlite3.Error as error:
-        raise RecordError(f"{source}: {error}") from None
+        raise LedgerError(f"{source}: {error}") from None
     if there != VERSION:
-        raise RecordError(f"{source} is of schema {there}, not {VERSION}")
+        raise LedgerError(f"{source} is of schema {there}, not {VERSION}")
     if sound != "ok":
-        raise RecordError(f"{source} is damaged: {sound}")
+        raise LedgerError(f"{source} is damaged: {sound}")
     _copy(source, Path(file), progress)
 
 
@@ -85,4 +85,4 @@
                 count += 1
             return count
     except sqlite3.Error as error:
-        raise RecordError(f"{file}: {error}") from None
+        raise LedgerError(f"{file}: {error}") from None
--- a/lapishaven/record/keeper.py
+++ b/lapishaven/ledger/recorder.py
@@ -9,13 +9,14 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lapishaven.core.model import Known, Submission
+from lapishaven.core.ports import KnownEffect
+from lapishaven.core.requests import Submission
+from lapishaven.ledger.backpressure import Backpressure, BackpressureRules
+from lapishaven.ledger.database import LedgerDatabase, Op, Told
+from lapishaven.ledger.metering import Meter
+from lapishaven.ledger.transitions import Event, Verdict
+from lapishaven.ledger.writer import Writer
 from lapishaven.net.wake import Wake
-from lapishaven.record.base import Base, Op, Told
-from lapishaven.record.flow import Flow, FlowRules
-from lapishaven.record.meter import Meter
-from lapishaven.record.table import Event, Verdict
-from lapishaven.record.writer import Writer
 
 KEPT = 20_000  # results that are answered from memory; older ones are found in the file
 LAST_WRITES = 0.1  # s that the end may take for what is still to be written: the kill comes soon after
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    standing: Met
+    state: Met
     result: bytes = b""
 
 
@@ -43,18 +44,18 @@
 
     def __init__(
         self,
-        base: Base,
+        base: LedgerDatabase,
         start: str,
         meters: Mapping[str, Meter],
         usual: Meter,
-        rules: FlowRules | None = None,
+        rules: BackpressureRules | None = None,
         wall: Callable[[], float] = time.time,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.start, self._meters, self._usual, self._wall, self._clock = start, meters, usual, wall, clock
         self._base = base
         self._lock = threading.Lock()  # of the flow, held for moments only
-        self._flow = Flow(rules or FlowRules())
+        self._flow = Backpressure(rules or BackpressureRules())
         self._writer = Writer(base, self._over)
         self._ends: deque[Callable[[], None]] = deque()
         self._wake = Wake()
@@ -67,12 +68,14 @@
         return self._wake.reader
 
     # ---- The Broker's port
-    def find(self, cls: str, key: str) -> Known:
+    def find(self, cls: str, key: str) -> KnownEffect:
         """What is known without a look into the file: results of this life, and others' that were met."""
         result = self._kept.get((cls, key))
         return Found(Met.UNKNOWN) if result is None else Found(Met.DONE, result)
 
-    def intend(self, cls: str, key: str, sub: Submission, then: Callable[[bool | Known], None]) -> float | None:
+    def record_intent(
+        self, cls: str, key: str, sub: Submission, then: Callable[[bool | KnownEffect], None]
+    ) -> float | None:
         """Have the intent made durable; ``then`` is told yes, no, or what else is known of the effect. Seconds to stay
         away if it is not even tried."""
         with self._lock:
@@ -82,7 +85,7 @@
             return wait
         name = cls, key
         self._open[name] = sub
-        customer = f"{sub.team}/{sub.service}" if sub.team else f"caller/{sub.caller}"
+        customer = f"{sub.team}/{sub.service}" if sub.team else f"caller/{sub.caller_id}"
 
         def written(told: Told | None) -> None:
             if told is not None and told.verdict is Verdict.DO:
@@ -101,7 +104,7 @@
         self._put(Op(Event.INTEND, cls, key, self.start, self._wall(), customer), written)
         return None
 
-    def done(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None:
+    def record_result(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None:
         """Have the result and its charge made durable; ``then`` is told whether they are."""
         name = cls, key
         sub = self._open.pop(name, None)
@@ -115,17 +118,17 @@
 
         self._put(Op(Event.FINISH, cls, key, self.start, self._wall(), "", result, words), written)
 
-    def failed(self, cls: str, key: str) -> None:
+    def record_failure(self, cls: str, key: str) -> None:
         """It ran and gave no result."""
         self._open.pop((cls, key), None)
         self._put(Op(Event.FAIL, cls, key, self.start, self._wall()), lambda told: None)
 
-    def void(self, cls: str, key: str) -> None:
+    def cancel_intent(self, cls: str, key: str) -> None:
         """It provably never ran: its key is free."""
         self._open.pop((cls, key), None)
         self._put(Op(Event.VOID, cls, key, self.start, self._wall()), lambda told: None)
 
-    def doubts(self) -> list[tuple[str, str, float]]:
+    def uncertain_effects(self) -> list[tuple[str, str, float]]:
         """None: each repeat is held against the file before it runs."""
         return []
 
@@ -148,7 +151,7 @@
         while len(self._kept) > KEPT:
             self._kept.popitem(last=False)
 
-    def told(self) -> None:
+    def process_completions(self) -> None:
         """On the event path: carry out what was told since."""
         self._wake.drain()
         while self._ends:
@@ -171,6 +174,6 @@
 
     def close(self) -> None:
         self._writer.close(LAST_WRITES)
-        self.told()
+        self.process_completions()
         self._wake.close()
         self._base.close()
--- a/lapishaven/record/settings.py
+++ b/lapishaven/ledger/settings.py
@@ -8,20 +8,20 @@
 from pathlib import Path
 from typing import Any
 
-from lapishaven.record.flow import FlowRules
-from lapishaven.record.meter import METERS, Meter
+from lapishaven.ledger.backpressure import BackpressureRules
+from lapishaven.ledger.metering import METERS, Meter
 
 
-class RecordSettingsError(ValueError):
+class LedgerSettingsError(ValueError):
     """One plain line on what is wrong."""
 
 
 @dataclass(frozen=True, slots=True)
-class RecordSettings:
+class LedgerSettings:
     """``meters`` by class; ``usual`` for the others. Times in seconds."""
 
     file: str
-    rules: FlowRules
+    rules: BackpressureRules
     meters: Mapping[str, Meter]
     usual: Meter
 
@@ -37,34 +37,34 @@
 
 def _meter(where: str, name: Any) -> Meter:
     if not isinstance(name, str) or name not in METERS:
-        raise RecordSettingsError(f"{where} is {name!r}, none of {', '.join(METERS)}")
+        raise LedgerSettingsError(f"{where} is {name!r}, none of {', '.join(METERS)}")
     return METERS[name]
 
 
-def load(path: str) -> RecordSettings:
+def load(path: str) -> LedgerSettings:
     """The checked settings; ``RecordSettingsError`` says what is wrong."""
     try:
         data = tomllib.loads(Path(path).read_text())
     except (OSError, ValueError) as error:
-        raise RecordSettingsError(f"cannot read {path}: {getattr(error, 'strerror', None) or error}") from None
+        raise LedgerSettingsError(f"cannot read {path}: {getattr(error, 'strerror', None) or error}") from None
     if odd := set(data) - {"file", "meter", "flow"}:
-        raise RecordSettingsError(f"{path}: unknown {sorted(odd)[0]}")
+        raise LedgerSettingsError(f"{path}: unknown {sorted(odd)[0]}")
     if not isinstance(data.get("file"), str) or not data["file"].startswith("/"):
-        raise RecordSettingsError(f"{path}: file is no path from the root")
+        raise LedgerSettingsError(f"{path}: file is no path from the root")
     meters, flow = data.get("meter", {}), data.get("flow", {})
     if not isinstance(meters, dict) or not isinstance(flow, dict):
-        raise RecordSettingsError(f"{path}: meter or flow is not a table")
+        raise LedgerSettingsError(f"{path}: meter or flow is not a table")
     values: dict[str, Any] = {}
-    kinds = {field.name: field.type for field in fields(FlowRules)}
+    kinds = {field.name: field.type for field in fields(BackpressureRules)}
     for name, value in flow.items():
         field = name.removesuffix("_s")
         if field not in LIMITS or (name.endswith("_s") is not (kinds[field] == "float")):
-            raise RecordSettingsError(f"{path}: flow has an unknown {name}")
+            raise LedgerSettingsError(f"{path}: flow has an unknown {name}")
         low, high = LIMITS[field]
         whole = kinds[field] == "int"
         if isinstance(value, bool) or not isinstance(value, int if whole else int | float) or not low <= value <= high:
             kind = "whole number" if whole else "number"
-            raise RecordSettingsError(f"{path}: flow.{name} is {value!r}, no {kind} from {low:g} to {high:g}")
+            raise LedgerSettingsError(f"{path}: flow.{name} is {value!r}, no {kind} from {low:g} to {high:g}")
         values[field] = value
     found = {cls: _meter(f"{path}: meter.{cls}", name) for cls, name in meters.items()}
-    return RecordSettings(data["file"], FlowRules(**values), found, found.get("usual", METERS["each"]))
+    return LedgerSettings(data["file"], BackpressureRules(**values), found, found.get("usual", METERS["each"]))
--- a/lapishaven/record/writer.py
+++ b/lapishaven/ledger/writer.py
@@ -7,8 +7,8 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 
-from lapishaven.record.base import Base, Op, RecordError, Told
-from lapishaven.record.table import Event
+from lapishaven.ledger.database import LedgerDatabase, LedgerError, Op, Told
+from lapishaven.ledger.transitions import Event
 
 GROUP = 256  # operations of one transaction at most
 AGAIN, AGAIN_MOST = 0.05, 0.5  # s between tries of what must not be lost
@@ -22,7 +22,7 @@
     again until it is durable or ``close`` comes.
     """
 
-    def __init__(self, base: Base, ended: Callable[[int, bool], None]) -> None:
+    def __init__(self, base: LedgerDatabase, ended: Callable[[int, bool], None]) -> None:
         self._base, self._ended = base, ended
         self._ops: deque[tuple[Op, Then]] = deque()
         self._come = threading.Condition()
@@ -49,7 +49,7 @@
                 return
             try:
                 told: Sequence[Told | None] = self._base.write([op for op, _ in group])
-            except RecordError:
+            except LedgerError:
                 self.failures += 1
                 keep = [] if closing else [pair for pair in group if pair[0].event is not Event.INTEND]
                 with self._come:
--- a/lapishaven/spread/spread.py
+++ b/lapishaven/load_balancing/balancer.py
@@ -12,12 +12,12 @@
 from random import Random
 from typing import Any
 
-from lapishaven.spread.budget import Budget
-from lapishaven.spread.draw import Draw
-from lapishaven.spread.known import Known
-from lapishaven.spread.model import Choice, Ending, Probe, Rules
-from lapishaven.spread.news import News
-from lapishaven.spread.silence import Silence
+from lapishaven.load_balancing.endpoint_state import EndpointState
+from lapishaven.load_balancing.failure_detector import FailureDetector
+from lapishaven.load_balancing.load_report import LoadReport
+from lapishaven.load_balancing.model import Choice, Ending, Probe, Rules
+from lapishaven.load_balancing.retry_budget import RetryBudget
+from lapishaven.load_balancing.weighted_sampler import WeightedSampler
 
 LEAST, MOST = 1 / 4, 4.0  # of the mean size: what a process says of its own is believed within these
 SMOOTH = 0.05  # part that a new measurement of the mean counts
@@ -27,23 +27,25 @@
 FORGET = 30.0  # s after which a question without an answer is forgotten
 
 
-class Spread:
+class LoadBalancer:
     """One chooser's view of all processes."""
 
     def __init__(self, rules: Rules, random: Random) -> None:
         self.rules, self._random = rules, random
-        self.known: dict[str, Known] = {}  # those that there was something to know of; of 10,000 a front meets few
-        self.draw = Draw()
-        self.silence: Silence[Known] = Silence(rules, random)
-        self.budget = Budget(rules)
+        self.known: dict[
+            str, EndpointState
+        ] = {}  # those that there was something to know of; of 10,000 a front meets few
+        self.draw = WeightedSampler()
+        self.silence: FailureDetector[EndpointState] = FailureDetector(rules, random)
+        self.budget = RetryBudget(rules)
         self.usual, self.mean = rules.usual, 0.5  # s of a usual request; in hand for a slot
         self.speed, self.slots, self.way = 1.0, 1.0, rules.wait / 4  # mean speed and slots; s of a question one way
         self.last: deque[tuple[float, str, list[tuple[str, float]]]] = deque(maxlen=LAST)  # when, who, of whom
         self.counts: Counter[str] = Counter()
-        self._pool: dict[Known, None] = {}  # oldest word first
+        self._pool: dict[EndpointState, None] = {}  # oldest word first
         self._probes: dict[int, Probe] = {}
         self._number = random.getrandbits(31)
-        self._out: set[Known] = set()
+        self._out: set[EndpointState] = set()
 
     # ---- Members
     def members(self, names: Iterable[str]) -> None:
@@ -60,14 +62,14 @@
             if name not in self.draw:
                 self.draw.put(name, 1.0)
 
-    def _of(self, name: str) -> Known | None:
+    def _of(self, name: str) -> EndpointState | None:
         """What is known of a member; none of one that left."""
         known = self.known.get(name)
         if known is None and name in self.draw:
-            known = self.known[name] = Known(name)
+            known = self.known[name] = EndpointState(name)
         return known
 
-    def usable(self, now: float, known: Known) -> bool:
+    def usable(self, now: float, known: EndpointState) -> bool:
         if known.news is not None and known.news.warm <= 0:
             return False  # it leaves
         if known.away > now or known.out > now or (known.trial and known.open):
@@ -108,7 +110,7 @@
             for old in [p for p in self._probes.values() if now - p.asked > FORGET]:
                 del self._probes[old.id]
 
-    def _drawn(self, now: float, avoid: frozenset[str], seen: set[str]) -> Known | None:
+    def _drawn(self, now: float, avoid: frozenset[str], seen: set[str]) -> EndpointState | None:
         for _ in range(REDRAWS if len(self.draw) else 0):
             name = self.draw.take(self._random)
             if name in seen or name in avoid:
@@ -134,7 +136,7 @@
         self.counts["chosen"] += 1
         return self._least(now, self._without_joiners(found, len(choice.ask))).name
 
-    def _without_joiners(self, found: list[Known], asked: int) -> list[Known]:
+    def _without_joiners(self, found: list[EndpointState], asked: int) -> list[EndpointState]:
         """One that is not warm, or fails, looks empty to all: each chooser leaves it to chance, so that from all
         together it draws the part that it wants, and no more however often it is the emptiest of those asked."""
         warmest = max(known.news.warm if known.news is not None else 1.0 for known in found)
@@ -147,16 +149,16 @@
         ]
         return left or found
 
-    def _cost(self, now: float, known: Known) -> float:
+    def _cost(self, now: float, known: EndpointState) -> float:
         return known.cost(now, self.mean, self.speed, self.usual, self.rules)
 
-    def _least(self, now: float, found: list[Known]) -> Known:
+    def _least(self, now: float, found: list[EndpointState]) -> EndpointState:
         costs = [(known.name, self._cost(now, known)) for known in found]
         best = min(range(len(found)), key=lambda n: (costs[n][1], self._random.random()))
         self.last.append((now, found[best].name, costs))
         return found[best]
 
-    def _best_kept(self, now: float, avoid: frozenset[str]) -> Known | None:
+    def _best_kept(self, now: float, avoid: frozenset[str]) -> EndpointState | None:
         """The best of the words in the pool, which are aged out and used a bounded number of times."""
         least, best = float("inf"), None
         for known in list(self._pool):
@@ -168,7 +170,7 @@
                     least, best = cost, known
         return best
 
-    def _blind(self, now: float, choice: Choice) -> Known | None:
+    def _blind(self, now: float, choice: Choice) -> EndpointState | None:
         """No answer came in time: the better of those that were drawn, as far as is known; else anybody."""
         drawn = [k for p in choice.ask if (k := self._of(p.name)) is not None and self.usable(now, k)]
         if not drawn:
@@ -176,7 +178,7 @@
         return self._least(now, drawn)
 
     # ---- Words
-    def heard(self, now: float, id: int, news: News) -> Choice | None:
+    def heard(self, now: float, id: int, news: LoadReport) -> Choice | None:
         """The answer to a question; gives the choice that is complete with it. One that nobody waits for is a word all
         the same; one of a question that was never asked is none."""
         probe = self._probes.pop(id, None)
@@ -200,7 +202,7 @@
         choice.told[known.name] = news
         return choice if choice.complete else None
 
-    def word(self, now: float, name: str, asked: float, news: News | None) -> None:
+    def word(self, now: float, name: str, asked: float, news: LoadReport | None) -> None:
         """Anything that came from a process: with ``news``, what it says of itself, not from before ``asked``."""
         known = self._of(name)
         if known is None:
@@ -218,7 +220,7 @@
             if len(self._pool) > self.rules.pool:
                 self._shrink(now)
 
-    def answered(self, now: float, name: str, news: News | None) -> None:
+    def answered(self, now: float, name: str, news: LoadReport | None) -> None:
         """The word that came with an attempt's answer, made as it was sent."""
         self.word(now, name, now - self.way, news)
 
@@ -260,7 +262,7 @@
                 self._out.add(known)
                 self.counts["cast out"] += 1
 
-    def _may_cast_out(self, known: Known) -> bool:
+    def _may_cast_out(self, known: EndpointState) -> bool:
         return known in self._out or len(self._out) + 1 <= max(1.0, self.rules.out_part * len(self.draw))
 
     # ---- Silence
--- a/lapishaven/spread/command.py
+++ b/lapishaven/load_balancing/command.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from lapishaven.spread.settings import SpreadError, address
+from lapishaven.load_balancing.settings import SpreadError, address
 
 SPAN = 2.0  # s for an answer
 COLUMNS = ("process", "standing", "in_hand", "slots", "speed", "warm", "age_s", "ours", "estimate", "cost", "faults")
--- a/lapishaven/spread/known.py
+++ b/lapishaven/load_balancing/endpoint_state.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from math import exp
 
-from lapishaven.spread.model import Ending, Rules
-from lapishaven.spread.news import News, newer
-from lapishaven.spread.silence import Asked
+from lapishaven.load_balancing.failure_detector import Asked
+from lapishaven.load_balancing.load_report import LoadReport, newer
+from lapishaven.load_balancing.model import Ending, Rules
 
 EVEN = 0.1  # how much the load counts where a slot is free all the same
 EXCESS = 1.5  # times what was expected that are chance; more is load that a process does not tell of
@@ -26,11 +26,11 @@
 
 
 @dataclass(slots=True, eq=False)
-class Known:
+class EndpointState:
     """``at``: when the question was sent that the last word answers, so that what was sent later is not in it."""
 
     name: str
-    news: News | None = None
+    news: LoadReport | None = None
     at: float = float("-inf")
     heard: float = float("-inf")  # when anything last came from it
     sends: list[float] = field(default_factory=list)  # of ours that the last word cannot have counted
@@ -47,7 +47,7 @@
     expected: dict[float, float] = field(default_factory=dict)  # usual spans that each of ours was to take, by its send
     excess: float = 1.0  # how many times what was expected its requests took of late
 
-    def hear(self, now: float, asked: float, news: News | None) -> bool:
+    def hear(self, now: float, asked: float, news: LoadReport | None) -> bool:
         """A word that answers a question of ``asked``; whether it was news."""
         self.heard = now
         if news is None or not newer(news, self.news):
--- a/lapishaven/spread/silence.py
+++ b/lapishaven/load_balancing/failure_detector.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import Generic, Protocol, TypeVar
 
-from lapishaven.spread.model import Rules
+from lapishaven.load_balancing.model import Rules
 
 RECENT = 32  # judgements by which panic is told
 AGAIN_MOST = 2.0  # s between questions to a suspect
@@ -43,7 +43,7 @@
 W = TypeVar("W", bound=Watched)
 
 
-class Silence(Generic[W]):
+class FailureDetector(Generic[W]):
     """Told of questions, words and attempts; ``due`` gives whom to ask and who fell silent."""
 
     def __init__(self, rules: Rules, random: Random) -> None:
--- a/lapishaven/spread/news.py
+++ b/lapishaven/load_balancing/load_report.py
@@ -15,12 +15,12 @@
 U32, U16, U8 = (1 << 32) - 1, (1 << 16) - 1, 255
 
 
-class NewsError(ValueError):
+class LoadReportError(ValueError):
     """What came is no word of load."""
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class LoadReport:
     """``start`` is drawn by each life of a process and ``number`` grows within it. ``open``: requests in hand.
     ``load``: the same, each counted by what its class takes beside a usual one. ``slots``: how many it works at at one
     time. ``speed``: usual requests that a slot which is never idle does in a second, as measured; 0 where it is not
@@ -39,7 +39,7 @@
     return max(0, min(most, round(value)))
 
 
-def pack(news: News) -> bytes:
+def pack(news: LoadReport) -> bytes:
     """What does not fit is told as the most (or least) that does."""
     speed = max(1, _within(ONE + OCTAVE * log2(news.speed), U8)) if news.speed > 0 else 0
     return WORD.pack(
@@ -53,30 +53,30 @@
     )
 
 
-def unpack(data: bytes) -> News:
+def unpack(data: bytes) -> LoadReport:
     """Raises ``NewsError``."""
     if len(data) != SIZE:
-        raise NewsError(f"a word of load has {SIZE} bytes, not {len(data)}")
+        raise LoadReportError(f"a word of load has {SIZE} bytes, not {len(data)}")
     start, number, open_, load, slots, speed, warm = WORD.unpack(data)
     if not slots:
-        raise NewsError("a word of load without slots")
+        raise LoadReportError("a word of load without slots")
     rate = 2.0 ** ((speed - ONE) / OCTAVE) if speed else 0.0
-    return News(start, number, open_, load / LOADS, slots, rate, warm / U8)
+    return LoadReport(start, number, open_, load / LOADS, slots, rate, warm / U8)
 
 
-def text(news: News) -> str:
+def text(news: LoadReport) -> str:
     """For a header."""
     return base64.b64encode(pack(news)).decode().rstrip("=")
 
 
-def parse(word: str) -> News:
+def parse(word: str) -> LoadReport:
     """Raises ``NewsError``."""
     try:
         return unpack(base64.b64decode(word + "=" * (-len(word) % 4), validate=True))
     except (binascii.Error, ValueError) as error:
-        raise NewsError(str(error)) from None
+        raise LoadReportError(str(error)) from None
 
 
-def newer(word: News, than: News | None) -> bool:
+def newer(word: LoadReport, than: LoadReport | None) -> bool:
     """Whether it is of another life, or a later word of the same one (numbers may wrap)."""
     return than is None or word.start != than.start or 0 < (word.number - than.number) & U32 < 1 << 31
--- a/lapishaven/spread/teller.py
+++ b/lapishaven/load_balancing/load_reporter.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from math import exp
 
-from lapishaven.spread.news import U8, News
+from lapishaven.load_balancing.load_report import U8, LoadReport
 
 MEMORY = 10.0  # s over which speed is measured
 ENOUGH = 1.0  # s of a slot's work before a speed is told
@@ -15,7 +15,7 @@
 FORGIVEN = 5.0  # s in which that falls to a third with nothing run
 
 
-class Teller:
+class LoadReporter:
     """Told of every run's start and end. ``start``: drawn for this life. ``warm_span``: s until it wants its full
     share, from ``warm_from`` of it at first; 0 where it starts warm."""
 
@@ -64,7 +64,7 @@
         self._usual += CLASS * (span - self._usual) if self._usual else span
         self._done += self.size(cls)
 
-    def news(self, now: float, in_hand: Mapping[int, int]) -> News:
+    def news(self, now: float, in_hand: Mapping[int, int]) -> LoadReport:
         """``in_hand``: how many requests it has of each class, waiting or running."""
         self._flow(now)
         self._number += 1
@@ -73,7 +73,7 @@
         if self._warm_span:
             age = (now - self._born) / self._warm_span
             warm = min(1.0, self._warm_from + (1.0 - self._warm_from) * age)
-        return News(
+        return LoadReport(
             self._start,
             self._number,
             sum(in_hand.values()),
--- a/lapishaven/spread/model.py
+++ b/lapishaven/load_balancing/model.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from lapishaven.spread.news import News
+from lapishaven.load_balancing.load_report import LoadReport
 
 
 class Ending(Enum):
@@ -66,7 +66,7 @@
     avoid: frozenset[str]
     ask: list[Probe]
     until: float
-    told: dict[str, News] = field(default_factory=dict)
+    told: dict[str, LoadReport] = field(default_factory=dict)
     settled: bool = False
 
     @property
--- a/lapishaven/spread/budget.py
+++ b/lapishaven/load_balancing/retry_budget.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from lapishaven.spread.model import Rules
+from lapishaven.load_balancing.model import Rules
 
 MOST = 20.0  # second tries that may be saved up
 START = 1.0
 
 
-class Budget:
+class RetryBudget:
     def __init__(self, rules: Rules) -> None:
         self._rules, self._left, self._high = rules, START, float("-inf")
 
--- a/lapishaven/spread/settings.py
+++ b/lapishaven/load_balancing/settings.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from lapishaven.spread.model import Rules
+from lapishaven.load_balancing.model import Rules
 
 
 class SpreadError(ValueError):
--- a/lapishaven/spread/draw.py
+++ b/lapishaven/load_balancing/weighted_sampler.py
@@ -13,7 +13,7 @@
 TURNS = 64  # after which the last one drawn is taken all the same
 
 
-class Draw:
+class WeightedSampler:
     """Members by name, each with a weight above 0."""
 
     def __init__(self) -> None:
--- a/lapishaven/net/conn.py
+++ b/lapishaven/net/connection.py
@@ -14,9 +14,9 @@
 from collections.abc import Callable, Generator
 from typing import Any
 
-from lapishaven.ends import End
+from lapishaven.connection_end import ConnectionEnd
 from lapishaven.net.loop import Loop, Timer, Wait
-from lapishaven.net.ring import Ring, RingFull
+from lapishaven.net.ring_buffer import RingBuffer, RingBufferFull
 
 IN_LIMIT = 16 * 1024
 OUT_LIMIT = 512 * 1024
@@ -26,20 +26,20 @@
 BROKEN = select.EPOLLERR | select.EPOLLHUP
 
 
-class Conn:
+class Connection:
     """A nonblocking stream. ``read`` is for its one coroutine; ``write`` and ``close`` for anyone.
 
     The peer's half-close is no end: ``read`` tells it as ``PEER_CLOSED`` behind all that was received, and what is
     written afterwards still goes out. ``on_end`` is called once, when the descriptor has been given back.
     """
 
-    def __init__(self, loop: Loop, sock: socket.socket, on_end: Callable[[End], None]) -> None:
+    def __init__(self, loop: Loop, sock: socket.socket, on_end: Callable[[ConnectionEnd], None]) -> None:
         self.loop, self.sock, self._on_end = loop, sock, on_end
-        self.ins, self.out = Ring(IN_LIMIT), Ring(OUT_LIMIT)
-        self.end: End | None = None
+        self.ins, self.out = RingBuffer(IN_LIMIT), RingBuffer(OUT_LIMIT)
+        self.end: ConnectionEnd | None = None
         self.sent = 0  # bytes handed to the kernel so far
         self.active = loop.now
-        self.closing: End | None = None  # why, from the first call of ``close`` on
+        self.closing: ConnectionEnd | None = None  # why, from the first call of ``close`` on
         self._eof = False  # the peer sends no more
         self._discards = False
         self._shut = False  # we send no more
@@ -53,7 +53,7 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     # ---- Reading
-    def read(self, span: float | None = None) -> Generator[Wait, Any, bytes | End | None]:
+    def read(self, span: float | None = None) -> Generator[Wait, Any, bytes | ConnectionEnd | None]:
         """What came; behind that, the end of the input once there is one; ``None`` if the time ran out."""
         if not self.ins.size and self._input_end() is None:
             self._reader = Wait(span)
@@ -62,8 +62,8 @@
             self._reader = None  # the interest in input is dropped when some comes that nobody waits for
         return self.ins.take() or self._input_end()
 
-    def _input_end(self) -> End | None:
-        return self.end or self.closing or (End.PEER_CLOSED if self._eof else None)
+    def _input_end(self) -> ConnectionEnd | None:
+        return self.end or self.closing or (ConnectionEnd.PEER_CLOSED if self._eof else None)
 
     def catch_up(self) -> bool:
         """Read once more what is there, as it may have come since the loop looked; whether anything had come."""
@@ -86,7 +86,7 @@
         if self._eof:
             if mask & BROKEN:
                 # Nothing can come behind its half-close but this: it has closed the other half as well.
-                self.abort(End.PEER_CLOSED)
+                self.abort(ConnectionEnd.PEER_CLOSED)
             return
         if self._reader is None and not self._discards and not mask & BROKEN:
             return self._interest()
@@ -99,13 +99,13 @@
             self.ins.take()
         if not self.ins.room:
             # Only a broken connection is read with nobody to take it, and there is no room left to find its end.
-            return self.abort(End.RESET)
+            return self.abort(ConnectionEnd.RESET)
         try:
             got = self.ins.receive(self.sock)
         except BlockingIOError:
             return
         except OSError:
-            return self.abort(End.RESET)
+            return self.abort(ConnectionEnd.RESET)
         self._received += got
         self.loop.received += got
         if got:
@@ -115,7 +115,7 @@
         if self._discards:
             self.ins.take()
         if self._shut and self._eof:
-            return self.abort(self.closing or End.PEER_CLOSED)
+            return self.abort(self.closing or ConnectionEnd.PEER_CLOSED)
         self._interest()
         if self._reader is not None:
             self._reader.wake()
@@ -155,7 +155,7 @@
             return
         try:
             self.out.write(data)
-        except RingFull:
+        except RingBufferFull:
             return self.evict()
         self.loop.unsent += len(data)
         self.loop.senders.add(self)
@@ -173,7 +173,7 @@
         except BlockingIOError:
             pass
         except OSError:
-            return self.abort(End.RESET)
+            return self.abort(ConnectionEnd.RESET)
         if not self.out.size:
             self.loop.senders.discard(self)
             if self.closing is not None and self.end is None and not self._shut:
@@ -181,7 +181,7 @@
         self._interest()
 
     # ---- Ending
-    def close(self, end: End, unsent: bool = True) -> None:
+    def close(self, end: ConnectionEnd, unsent: bool = True) -> None:
         """End in order: send what is queued, half-close, throw away what comes, and wait for the peer's close. With
         ``unsent`` off what is queued is not sent: a request that is withdrawn must not become whole at the peer."""
         if self.end is not None or self.closing is not None:
@@ -189,7 +189,7 @@
         self.closing = end
         if not unsent:
             self.loop.unsent -= self.out.size
-            self.out = Ring(0)
+            self.out = RingBuffer(0)
         self.loop.after(self.flush)
         until = self.loop.now + LINGER_MOST
         self._moved = self.sent + self._received
@@ -198,12 +198,12 @@
         if self._reader is not None:
             self._reader.wake()
 
-    def _half_close(self, end: End) -> None:
+    def _half_close(self, end: ConnectionEnd) -> None:
         self._shut = True
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:  # the peer's reset was quicker
-            return self.abort(End.RESET)
+            return self.abort(ConnectionEnd.RESET)
         if self._eof:
             return self.abort(end)
         self._interest()
@@ -212,7 +212,7 @@
         """Go on waiting for a peer that reads or sends; one that does neither is left."""
         moved = self.sent + self._received
         if moved == self._moved or self.loop.now >= until:
-            return self.abort(self.closing or End.TIMED_OUT)
+            return self.abort(self.closing or ConnectionEnd.TIMED_OUT)
         self._moved = moved
         self._patience = self.loop.at(min(until, self.loop.now + LINGER), lambda: self._impatient(until))
 
@@ -222,9 +222,9 @@
 
     def evict(self) -> None:
         """End at once, as what this peer does not read takes up the memory of the others."""
-        self.abort(End.EVICTED)
+        self.abort(ConnectionEnd.EVICTED)
 
-    def abort(self, end: End) -> None:
+    def abort(self, end: ConnectionEnd) -> None:
         """End at once; the first end counts. The reader is told, then the owner."""
         if self.end is not None:
             return
@@ -235,9 +235,9 @@
             self._patience.cancel()
         # Let go of at once: what refers to a connection may live on, and connections come by the hundred. What was
         # received before the peer's end is still there for the reader.
-        self.out = Ring(0)
+        self.out = RingBuffer(0)
         if self.closing is not None or not self.ins.size:
-            self.ins = Ring(0)
+            self.ins = RingBuffer(0)
         self.loop.unwatch(self.sock.fileno())
         self.sock.close()
         self._on_end(end)
@@ -245,15 +245,15 @@
             self._reader.wake()
 
 
-Dial = Callable[[Loop, tuple[str, int], float], Generator[Wait, Any, "socket.socket | End"]]
+Dial = Callable[[Loop, tuple[str, int], float], Generator[Wait, Any, "socket.socket | ConnectionEnd"]]
 
 
-def connect(loop: Loop, address: tuple[str, int], span: float) -> Generator[Wait, Any, socket.socket | End]:
+def connect(loop: Loop, address: tuple[str, int], span: float) -> Generator[Wait, Any, socket.socket | ConnectionEnd]:
     """A connected socket, or the end that the attempt came to."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError:  # no descriptor is left
-        return End.UNREACHED
+        return ConnectionEnd.UNREACHED
     sock.setblocking(False)
     code = sock.connect_ex(address)
     if code == errno.EINPROGRESS:
@@ -264,9 +264,9 @@
         loop.unwatch(fd)
         if mask is None:
             sock.close()
-            return End.TIMED_OUT
+            return ConnectionEnd.TIMED_OUT
         code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if code:
         sock.close()
-        return End.UNREACHED
+        return ConnectionEnd.UNREACHED
     return sock
--- a/lapishaven/net/room.py
+++ b/lapishaven/net/eviction.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from lapishaven.net.conn import Conn
+from lapishaven.net.connection import Connection
 from lapishaven.net.loop import Loop
 
 CROSSING = 0.05  # s for which a message may cross a close, by the protocol; then nothing more is expected there
 
 
-class Room:
+class Evictions:
     """Those whose orderly close was begun to make room, in the order in which it was.
 
     A peer that answers the half-close gives its descriptor back at once. One that does not is left as soon as nothing
@@ -17,16 +17,16 @@
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
-        self._closing: dict[Conn, float] = {}  # since when
+        self._closing: dict[Connection, float] = {}  # since when
 
     def __len__(self) -> int:
         self._forget_ended()
         return len(self._closing)
 
-    def __contains__(self, conn: Conn) -> bool:
+    def __contains__(self, conn: Connection) -> bool:
         return conn in self._closing
 
-    def add(self, conn: Conn) -> None:
+    def add(self, conn: Connection) -> None:
         """Its close was just begun."""
         self._closing[conn] = self._loop.now
 
--- a/lapishaven/net/ring.py
+++ b/lapishaven/net/ring_buffer.py
@@ -7,11 +7,11 @@
 KEPT = 4096  # bytes that an empty ring keeps at most
 
 
-class RingFull(Exception):
+class RingBufferFull(Exception):
     """There is no room up to the ring's limit."""
 
 
-class Ring:
+class RingBuffer:
     """Bytes in their order; one for each connection and direction."""
 
     __slots__ = ("_data", "_head", "size", "limit")
@@ -41,7 +41,7 @@
         """Append all of ``data``, or raise ``RingFull`` and take none."""
         count = len(data)
         if count > self.room:
-            raise RingFull(f"{count} bytes do not fit in {self.room}")
+            raise RingBufferFull(f"{count} bytes do not fit in {self.room}")
         if self.size + count > len(self._data):
             self._grow(self.size + count)
         at = (self._head + self.size) % len(self._data)
--- a/lapishaven/ownership/agent.py
+++ b/lapishaven/ownership/agent.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from lapishaven.ownership.book import Admission, BookError
 from lapishaven.ownership.driver import Driver
 from lapishaven.ownership.fence import Act, Verdict
+from lapishaven.ownership.fenced_store import Admission, FencedStoreError
 from lapishaven.ownership.member import Member, Notice
 from lapishaven.ownership.model import Clock, Coordinator, CoordinatorError, Shard
 
@@ -184,7 +184,7 @@
         except Exception as error:
             # Whatever a step may raise, the worker goes on: the other shards are owned by nobody else meanwhile.
             self.tally.failed += 1
-            why = str(error) if isinstance(error, BookError) else f"{type(error).__name__}: {error}"
+            why = str(error) if isinstance(error, FencedStoreError) else f"{type(error).__name__}: {error}"
             self._told("failed", {"duty": shard[0], "shard": shard[1], "token": standing.token, "why": why})
             wait = RETRY
         standing.due = self.clock.now() + wait
@@ -208,7 +208,7 @@
                 self._probe("before-act")
                 try:
                     found = self.receiver.admit(Act(shard, standing.token, number, standing.held), effect, detail)
-                except BookError:
+                except FencedStoreError:
                     tries += 1
                     if tries >= 3:
                         raise
--- a/lapishaven/ownership/command.py
+++ b/lapishaven/ownership/command.py
@@ -8,11 +8,11 @@
 from contextlib import suppress
 from typing import Any
 
-from lapishaven.ownership.book import Book, BookError
 from lapishaven.ownership.duties import restart
 from lapishaven.ownership.fence import Mark
-from lapishaven.ownership.model import Card, CoordinatorError, Gone, Shard, Standing, Taken, View
-from lapishaven.ownership.part import PLANS, coordinator
+from lapishaven.ownership.fenced_store import FencedStore, FencedStoreError
+from lapishaven.ownership.model import AlreadyOwned, CoordinatorError, MemberRecord, SessionGone, Shard, Standing, View
+from lapishaven.ownership.participant import PLANS, coordinator
 from lapishaven.ownership.settings import OwnershipError, load
 from lapishaven.ownership.verify import Row, broken
 
@@ -32,10 +32,10 @@
         print(json.dumps(row) if as_json else "  ".join(f"{key} {value}" for key, value in row.items()))
 
 
-def _book(path: str) -> Book:
+def _book(path: str) -> FencedStore:
     try:
-        return Book(load(path).receiver, PLANS)
-    except BookError as error:
+        return FencedStore(load(path).receiver, PLANS)
+    except FencedStoreError as error:
         raise OwnershipError(str(error)) from None
 
 
@@ -85,7 +85,7 @@
         raise OwnershipError(f"{duty} {shard} has no owner")
     try:
         done = there.hand(owned.session, (duty, shard), owned.token, None)
-    except (CoordinatorError, Gone) as error:
+    except (CoordinatorError, SessionGone) as error:
         raise OwnershipError(f"no answer, look again: {error}") from None
     finally:
         there.close()
@@ -101,7 +101,7 @@
     key: Shard = (duty, shard)
     try:
         name = f"operator-{os.getpid()}"
-        card = Card(name, f"{name}:{time.time():.0f}", Standing.LEAVING)  # is given no work
+        card = MemberRecord(name, f"{name}:{time.time():.0f}", Standing.LEAVING)  # is given no work
         session = there.join(card, ttl).session
         owned = there.look().owners.get(key)
         if owned is None:
@@ -119,9 +119,9 @@
                 time.sleep(min(ttl / 3, left))
                 there.renew(session)
         there.leave(session)
-    except Taken:
+    except AlreadyOwned:
         raise OwnershipError(f"{duty} {shard} was taken by another just now") from None
-    except (CoordinatorError, Gone) as error:
+    except (CoordinatorError, SessionGone) as error:
         raise OwnershipError(f"the coordinator did not keep it: {error}") from None
     finally:
         there.close()
@@ -142,7 +142,7 @@
     return 0
 
 
-def read_book(book: Book) -> str | None:
+def read_book(book: FencedStore) -> str | None:
     """The first thing in a book that does not hold."""
     rows = [
         Row((duty, shard), token, number)
--- a/lapishaven/ownership/coordinators/etcd.py
+++ b/lapishaven/ownership/coordinators/etcd.py
@@ -20,15 +20,15 @@
 from etcd3gw.exceptions import Etcd3Exception
 
 from lapishaven.ownership.model import (
-    Card,
+    AlreadyOwned,
     CoordinatorError,
-    Gone,
     Joined,
+    MemberRecord,
     Owned,
     Seen,
+    SessionGone,
     Shard,
     Standing,
-    Taken,
     View,
 )
 
@@ -57,7 +57,7 @@
         except Etcd3Exception as error:
             # "requested lease not found" is an answer, of which the gateway makes an error.
             if "lease not found" in (error.detail_text or ""):
-                raise Gone from None
+                raise SessionGone from None
             raise CoordinatorError(f"{type(error).__name__}: {error.detail_text}") from None
         except (requests.RequestException, ValueError, KeyError, TypeError) as error:
             raise CoordinatorError(f"{type(error).__name__}: {error}") from None
@@ -92,12 +92,12 @@
         return {"request_put": {**put, "lease": str(lease)} if lease else put}
 
     # ---- The port
-    def _card(self, session: int, card: Card) -> str:
+    def _card(self, session: int, card: MemberRecord) -> str:
         return json.dumps(
             {"session": session, "start": card.start, "standing": card.standing.value, "weight": card.weight}
         )
 
-    def join(self, card: Card, ttl: float) -> Joined:
+    def join(self, card: MemberRecord, ttl: float) -> Joined:
         session = int(self._post("/lease/grant", {"TTL": str(max(1, math.ceil(ttl))), "ID": "0"})["ID"])
         past = self._post("/kv/range", {"key": self._key("past", card.name)}).get("kvs", [])
         joins = 1 + (int(_text(past[0]["value"])) if past else 0)
@@ -108,7 +108,7 @@
         )
         if done is None:
             self._post("/lease/revoke", {"ID": str(session)})
-            raise Taken
+            raise AlreadyOwned
         return Joined(session, joins)
 
     def renew(self, session: int) -> int:
@@ -116,21 +116,21 @@
         with self._asking():
             result = found["result"]
             if int(result.get("TTL", 0)) <= 0:
-                raise Gone
+                raise SessionGone
             return int(result["header"]["revision"])
 
     def peek(self) -> int:
         with self._asking():
             return int(self._post("/kv/range", {"key": self._key("none"), "count_only": True})["header"]["revision"])
 
-    def announce(self, session: int, card: Card, calm: bool = False) -> None:
+    def announce(self, session: int, card: MemberRecord, calm: bool = False) -> None:
         key = self._key("member", card.name)
         then = [self._put(key, self._card(session, card), session)]
         if calm:
             then.append({"request_delete_range": {"key": self._key("past", card.name)}})
         # The lease names the session: a put with one that is over is turned down.
         if self._txn([{"key": key, "target": "LEASE", "result": "EQUAL", "lease": str(session)}], then) is None:
-            raise Gone
+            raise SessionGone
 
     def look(self) -> View:
         start = self._prefix.encode()
@@ -149,7 +149,8 @@
                     card = json.loads(value)
                     members.append(
                         Seen(
-                            int(card["session"]), Card(rest, card["start"], Standing(card["standing"]), card["weight"])
+                            int(card["session"]),
+                            MemberRecord(rest, card["start"], Standing(card["standing"]), card["weight"]),
                         )
                     )
                 elif kind in ("owner", "mark"):
@@ -164,7 +165,7 @@
         key = self._key("owner", *shard)
         done = self._txn([self._absent(key)], [self._put(key, str(session), session)])
         if done is None:
-            raise Taken
+            raise AlreadyOwned
         return done
 
     def hand(self, session: int, shard: Shard, token: int, to: int | None) -> bool:
@@ -172,7 +173,7 @@
         if to is not None:
             try:
                 return self._txn([self._at(key, token)], [self._put(key, str(to), to)]) is not None
-            except Gone:
+            except SessionGone:
                 pass  # the heir's session is over: nobody's then
         return self._txn([self._at(key, token)], [{"request_delete_range": {"key": key}}]) is not None
 
--- a/lapishaven/ownership/coordinators/sqlite.py
+++ b/lapishaven/ownership/coordinators/sqlite.py
@@ -11,19 +11,19 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from lapishaven import sql
+from lapishaven import sqlite
 from lapishaven.ownership.model import (
-    Card,
+    AlreadyOwned,
     Clock,
     CoordinatorError,
-    Gone,
     Joined,
+    MemberRecord,
     Owned,
     Seen,
+    SessionGone,
     Shard,
     Standing,
     SystemClock,
-    Taken,
     View,
 )
 
@@ -54,9 +54,9 @@
         self._watched: dict[int, tuple[int, float]] = {}  # session: its count, and since when it stands there
         self.calls = 0
         try:
-            self._base = sql.connect(path, busy)
-            with sql.writing(self._base):
-                sql.script(self._base, SCHEMA)
+            self._base = sqlite.connect(path, busy)
+            with sqlite.writing(self._base):
+                sqlite.script(self._base, SCHEMA)
         except sqlite3.Error as error:
             raise CoordinatorError(f"{path}: {error}") from None
 
@@ -65,7 +65,7 @@
         self.calls += 1
         try:
             if writes:
-                with sql.writing(self._base):
+                with sqlite.writing(self._base):
                     yield self._base
             else:
                 yield self._base
@@ -79,7 +79,7 @@
 
     def _alive(self, session: int) -> None:
         if self._base.execute("select 1 from session where id = ?", (session,)).fetchone() is None:
-            raise Gone
+            raise SessionGone
 
     def _end(self, session: int) -> None:
         self._base.execute("delete from session where id = ?", (session,))
@@ -100,18 +100,18 @@
         self._watched = {session: seen for session, seen in self._watched.items() if session in there}
         if not ripe:
             return
-        with sql.writing(self._base):
+        with sqlite.writing(self._base):
             for session, count in ripe:
                 found = self._base.execute("select count from session where id = ?", (session,)).fetchone()
                 if found is not None and found[0] == count:
                     self._end(session)
 
-    def join(self, card: Card, ttl: float) -> Joined:
+    def join(self, card: MemberRecord, ttl: float) -> Joined:
         with self._call(False):
             self._bury()
         with self._call() as base:
             if base.execute("select 1 from session where name = ?", (card.name,)).fetchone() is not None:
-                raise Taken
+                raise AlreadyOwned
             session = self._grow()
             base.execute(
                 "insert into session values (?, ?, ?, ?, ?, ?, 0)",
@@ -134,7 +134,7 @@
             self._bury()
             return int(base.execute("select revision from meta").fetchone()[0])
 
-    def announce(self, session: int, card: Card, calm: bool = False) -> None:
+    def announce(self, session: int, card: MemberRecord, calm: bool = False) -> None:
         with self._call() as base:
             self._alive(session)
             if calm:
@@ -151,7 +151,7 @@
             try:
                 revision = int(base.execute("select revision from meta").fetchone()[0])
                 members = tuple(
-                    Seen(row[0], Card(row[1], row[2], Standing(row[3]), row[4]))
+                    Seen(row[0], MemberRecord(row[1], row[2], Standing(row[3]), row[4]))
                     for row in base.execute("select id, name, start, standing, weight from session order by name")
                 )
                 owners = {
@@ -167,7 +167,7 @@
         with self._call() as base:
             self._alive(session)
             if base.execute("select 1 from owner where duty = ? and shard = ?", shard).fetchone() is not None:
-                raise Taken
+                raise AlreadyOwned
             token = self._grow()
             base.execute("insert into owner values (?, ?, ?, ?)", (*shard, token, session))
         return token
--- a/lapishaven/ownership/driver.py
+++ b/lapishaven/ownership/driver.py
@@ -8,21 +8,21 @@
 from lapishaven.ownership.member import (
     Announce,
     Claim,
-    Hand,
+    Completed,
     Join,
-    Look,
     Member,
-    Not,
     Notice,
     Op,
     Outcome,
-    Over,
-    Peek,
+    ReadRevision,
+    ReadState,
+    Rejected,
     Renew,
-    Silent,
-    Told,
+    SessionExpired,
+    Transfer,
+    Unknown,
 )
-from lapishaven.ownership.model import Clock, Coordinator, Gone, Taken
+from lapishaven.ownership.model import AlreadyOwned, Clock, Coordinator, SessionGone
 
 STEP = 0.5  # s at most between two looks at the own clock, so that a wake-up is noticed
 
@@ -31,29 +31,29 @@
     """Ask, and say what came back."""
     try:
         if isinstance(op, Join):
-            return Told(coordinator.join(op.card, ttl))
+            return Completed(coordinator.join(op.card, ttl))
         if isinstance(op, Renew):
-            return Told(coordinator.renew(op.session))
-        if isinstance(op, Look):
-            return Told(coordinator.look())
+            return Completed(coordinator.renew(op.session))
+        if isinstance(op, ReadState):
+            return Completed(coordinator.look())
         if isinstance(op, Announce):
             coordinator.announce(op.session, op.card, op.calm)
-            return Told()
-        if isinstance(op, Peek):
-            return Told(coordinator.peek())
+            return Completed()
+        if isinstance(op, ReadRevision):
+            return Completed(coordinator.peek())
         if isinstance(op, Claim):
-            return Told(coordinator.claim(op.session, op.shard))
-        if isinstance(op, Hand):
-            return Told(coordinator.hand(op.session, op.shard, op.token, op.to))
+            return Completed(coordinator.claim(op.session, op.shard))
+        if isinstance(op, Transfer):
+            return Completed(coordinator.hand(op.session, op.shard, op.token, op.to))
         coordinator.leave(op.session)
-        return Told()
-    except Taken:
-        return Not()
-    except Gone:
-        return Over()
+        return Completed()
+    except AlreadyOwned:
+        return Rejected()
+    except SessionGone:
+        return SessionExpired()
     except Exception:
         # ``CoordinatorError``, or an answer that makes no sense, which is none either: the thread must go on.
-        return Silent()
+        return Unknown()
 
 
 class Driver(threading.Thread):
--- a/lapishaven/ownership/duties/budgets.py
+++ b/lapishaven/ownership/duties/budgets.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lapishaven.ownership.book import Plan
+from lapishaven.ownership.fenced_store import Plan
 
 SCHEMA = """
 create table if not exists budget_need (
--- a/lapishaven/ownership/duties/periods.py
+++ b/lapishaven/ownership/duties/periods.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from lapishaven.ownership.book import Plan
+from lapishaven.ownership.fenced_store import Plan
 
 SCHEMA = """
 create table if not exists consumption (
--- a/lapishaven/ownership/duties/restart.py
+++ b/lapishaven/ownership/duties/restart.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import Any
 
-from lapishaven.ownership.book import Plan
+from lapishaven.ownership.fenced_store import Plan
 
 SCHEMA = """
 create table if not exists restart_member (
--- a/lapishaven/ownership/book.py
+++ b/lapishaven/ownership/fenced_store.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lapishaven import sql
+from lapishaven import sqlite
 from lapishaven.ownership.fence import Act, Mark, Verdict, judge, judge_unfenced, moved
 
 VERSION = 1
@@ -31,7 +31,7 @@
 BUSY = 5.0  # s for which a call waits for another writer
 
 
-class BookError(Exception):
+class FencedStoreError(Exception):
     """The receiver could not do it (disk full, I/O, busy, an act that makes no sense): nothing took effect."""
 
 
@@ -65,7 +65,7 @@
         )
 
 
-class Book:
+class FencedStore:
     """One file. Not to be shared by threads; processes may share the file. ``fenced=False`` is for measurements only:
     the baseline of leases without fences."""
 
@@ -73,29 +73,29 @@
         self._judge = judge if fenced else judge_unfenced
         self._effects = {name: effect for plan in plans.values() for name, effect in plan.effects.items()}
         try:
-            self._base = sql.connect(path, busy)
-            with sql.writing(self._base):
+            self._base = sqlite.connect(path, busy)
+            with sqlite.writing(self._base):
                 there = self._base.execute("pragma user_version").fetchone()[0]
                 if there > VERSION:
-                    raise BookError(f"{path} is of schema {there}, newer than {VERSION}")
-                sql.script(self._base, SCHEMA)
+                    raise FencedStoreError(f"{path} is of schema {there}, newer than {VERSION}")
+                sqlite.script(self._base, SCHEMA)
                 for plan in plans.values():
-                    sql.script(self._base, plan.schema)
+                    sqlite.script(self._base, plan.schema)
                     for table in plan.guarded:
                         for guard in _guards(table):
                             self._base.execute(guard)
                 self._base.execute(f"pragma user_version = {VERSION}")
         except sqlite3.Error as error:
-            raise BookError(f"{path}: {error}") from None
+            raise FencedStoreError(f"{path}: {error}") from None
 
     def admit(self, act: Act, effect: str, detail: Any) -> Admission:
         """Judge an act and, if it is admitted, let it take effect; all or nothing. ``BookError`` if it could not."""
         run = self._effects.get(effect)
         if run is None:
-            raise BookError(f"no effect {effect!r}")
+            raise FencedStoreError(f"no effect {effect!r}")
         duty, shard = act.shard
         try:
-            with sql.writing(self._base):
+            with sqlite.writing(self._base):
                 row = self._base.execute(
                     "select token, number, held from fence_mark where duty = ? and shard = ?", act.shard
                 ).fetchone()
@@ -124,21 +124,21 @@
                 )
                 return Admission(verdict, new.token, new.held, answer)
         except (sqlite3.Error, LookupError, TypeError, ValueError) as error:
-            raise BookError(f"{effect}: {error}") from None
+            raise FencedStoreError(f"{effect}: {error}") from None
 
     def note(self, work: Callable[[sqlite3.Connection], Any]) -> Any:
         """Write to tables that are not guarded (what members say of themselves), in one transaction."""
         try:
-            with sql.writing(self._base):
+            with sqlite.writing(self._base):
                 return work(self._base)
         except sqlite3.Error as error:
-            raise BookError(str(error)) from None
+            raise FencedStoreError(str(error)) from None
 
     def read(self, query: str, values: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
         try:
             return self._base.execute(query, values).fetchall()
         except sqlite3.Error as error:
-            raise BookError(str(error)) from None
+            raise FencedStoreError(str(error)) from None
 
     def close(self) -> None:
         self._base.close()
--- a/lapishaven/ownership/member.py
+++ b/lapishaven/ownership/member.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from lapishaven.ownership.lease import Event, Lease, State
-from lapishaven.ownership.model import Card, Joined, Shard, Standing, View
+from lapishaven.ownership.model import Joined, MemberRecord, Shard, Standing, View
 from lapishaven.ownership.placement import Part, plan
 
 
@@ -37,7 +37,7 @@
 # ---- What may be asked of the coordinator
 @dataclass(frozen=True, slots=True)
 class Join:
-    card: Card
+    card: MemberRecord
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,19 +46,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class ReadState:
     pass
 
 
 @dataclass(frozen=True, slots=True)
-class Peek:
+class ReadRevision:
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class Announce:
     session: int
-    card: Card
+    card: MemberRecord
     calm: bool = False
 
 
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hand:
+class Transfer:
     session: int
     shard: Shard
     token: int
@@ -77,37 +77,37 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class Deregister:
     session: int
 
 
-Op = Join | Renew | Peek | Look | Announce | Claim | Hand | Leave
+Op = Join | Renew | ReadRevision | ReadState | Announce | Claim | Transfer | Deregister
 
 
 # ---- What became of it
 @dataclass(frozen=True, slots=True)
-class Told:
+class Completed:
     """An answer: a session, revision or token, a view, or yes or no (``None`` for nothing more to say)."""
 
     value: int | bool | View | Joined | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Silent:
+class Unknown:
     """No answer: it may have been done, and may still be."""
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class SessionExpired:
     """The session is over."""
 
 
 @dataclass(frozen=True, slots=True)
-class Not:
+class Rejected:
     """Another one has it."""
 
 
-Outcome = Told | Silent | Over | Not
+Outcome = Completed | Unknown | SessionExpired | Rejected
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,7 +123,7 @@
 class Member:
     """``card.start`` has to be new for each start of a process."""
 
-    def __init__(self, card: Card, shards: Sequence[Shard], rules: Rules, random: Random) -> None:
+    def __init__(self, card: MemberRecord, shards: Sequence[Shard], rules: Rules, random: Random) -> None:
         self.card, self.shards, self.rules, self.random = card, tuple(shards), rules, random
         self.lease = Lease(rules.ttl, rules.margin)
         self.session: int | None = None
@@ -229,21 +229,21 @@
             self._calm = True
             return Announce(self.session, self.card, calm=True)
         if now >= self._look_at and (self._stale or self._expect):
-            return Look()
+            return ReadState()
         return self._work(now) or self._news(now)
 
     def _news(self, now: float) -> Op | None:
         if now < self._peek_at:
             return None
         self._peek_at = now + self._pause()
-        return Peek()
+        return ReadRevision()
 
     def _enter(self, now: float) -> Op | None:
         if self.leaving:
             self.left = True
             return None
         if self.lease.state is State.DOUBTFUL:
-            return Look()  # an acquisition without answer is read back
+            return ReadState()  # an acquisition without answer is read back
         if self.lease.state is State.ASKING:
             return None
         if self._asked:
@@ -273,7 +273,7 @@
             self._give.pop(0)
             if (token := self.held.pop(shard, None)) is not None:
                 self._say("handed", shard, token)
-                return Hand(self.session, shard, token, to)
+                return Transfer(self.session, shard, token, to)
         while self._want and self._budget > 0 and self.card.standing is Standing.SERVING:
             shard = self._want.pop(0)
             if shard not in self.held and self._shed.get(shard, now) <= now:
@@ -286,16 +286,16 @@
         if self.card.standing is not Standing.LEAVING:
             return Announce(self.session, replace(self.card, standing=Standing.LEAVING))
         if now < self._leave_at:
-            return Look() if now >= self._look_at and self._stale else self._news(now)
+            return ReadState() if now >= self._look_at and self._stale else self._news(now)
         heirs = self._heirs()
         for shard in sorted(self.held):
             if shard not in self._busy:
                 token = self.held.pop(shard)
                 self._say("handed", shard, token)
-                return Hand(self.session, shard, token, heirs.get(shard))
+                return Transfer(self.session, shard, token, heirs.get(shard))
         if self.held and self.lease.usable(now):
             return None  # an act is under way
-        return Leave(self.session)
+        return Deregister(self.session)
 
     # ---- Answers
     def done(self, now: float, op: Op, outcome: Outcome) -> None:
@@ -304,38 +304,38 @@
             self._entered(now, outcome)
         elif isinstance(op, Renew):
             self._renewed(now, op, outcome)
-        elif isinstance(op, Look):
+        elif isinstance(op, ReadState):
             self._looked(now, outcome)
-        elif isinstance(op, Peek):
-            self._stale |= isinstance(outcome, Told) and outcome.value != self._revision
-        elif isinstance(outcome, Over):
+        elif isinstance(op, ReadRevision):
+            self._stale |= isinstance(outcome, Completed) and outcome.value != self._revision
+        elif isinstance(outcome, SessionExpired):
             self._lose(now, "the session is over")
         elif isinstance(op, Claim):
             self._claimed(op, outcome)
         elif isinstance(op, Announce):
             self._stale = True
-            if isinstance(outcome, Told):
+            if isinstance(outcome, Completed):
                 self.card = op.card
                 self._look_at = now
-        elif isinstance(op, Hand):
+        elif isinstance(op, Transfer):
             self._stale = True
-        elif isinstance(op, Leave):
+        elif isinstance(op, Deregister):
             self.left, self.session = True, None
             self._lost_all("it left")
 
     def _looked(self, now: float, outcome: Outcome) -> None:
         self._look_at = now + (self.rules.quick if self._expect else self._pause())
-        if isinstance(outcome, Told) and isinstance(outcome.value, View):
+        if isinstance(outcome, Completed) and isinstance(outcome.value, View):
             self._saw(now, outcome.value)
         elif self.session is None:
             self._quiet_to = now + self._pause()
 
     def _entered(self, now: float, outcome: Outcome) -> None:
-        if isinstance(outcome, Told) and isinstance(outcome.value, Joined):
+        if isinstance(outcome, Completed) and isinstance(outcome.value, Joined):
             self.lease.answered(Event.GRANTED)
             self._in(now, outcome.value.session, outcome.value.joins)
             return
-        if isinstance(outcome, Silent):
+        if isinstance(outcome, Unknown):
             self.lease.step(Event.SILENT)
             self._say("doubt", why="joining got no answer")
         else:
@@ -346,12 +346,12 @@
     def _renewed(self, now: float, op: Renew, outcome: Outcome) -> None:
         if op.session != self.session:
             return  # of an earlier session
-        if isinstance(outcome, Told):
+        if isinstance(outcome, Completed):
             if self.lease.state is State.RENEWING:
                 self.lease.answered(Event.RENEWED)
             self._stale |= outcome.value != self._revision
             self.tick(now)  # the answer may have come after its time
-        elif isinstance(outcome, Silent):
+        elif isinstance(outcome, Unknown):
             if self.lease.state is State.RENEWING:
                 self.lease.step(Event.SILENT)
                 self._say("doubt", why="a renewal got no answer")
@@ -442,11 +442,11 @@
         return {shard: sessions[name] for shard, name in plan(self.shards, parts, current).items()}
 
     def _claimed(self, op: Claim, outcome: Outcome) -> None:
-        if isinstance(outcome, Told):
+        if isinstance(outcome, Completed):
             assert isinstance(outcome.value, int)
             self.held[op.shard] = outcome.value
             self._say("gained", op.shard, outcome.value)
-        elif isinstance(outcome, Silent):
+        elif isinstance(outcome, Unknown):
             self._stale = True
             self._say("doubt", op.shard, why="a claim got no answer")
         else:
--- a/lapishaven/ownership/model.py
+++ b/lapishaven/ownership/model.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Card:
+class MemberRecord:
     """A member as the others see it. ``weight`` is its part of the work beside the others' weights."""
 
     name: str
@@ -43,7 +43,7 @@
     """A living member in a view."""
 
     session: int
-    card: Card
+    card: MemberRecord
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,11 +71,11 @@
     """The coordinator gave no answer that says whether it was done: it may have been, and may still be."""
 
 
-class Gone(Exception):
+class SessionGone(Exception):
     """The coordinator answered: this session is over."""
 
 
-class Taken(Exception):
+class AlreadyOwned(Exception):
     """The coordinator answered: another one has it."""
 
 
@@ -83,7 +83,7 @@
     """Where leases are kept. Each call blocks for a bounded time and raises ``CoordinatorError`` where the answer did
     not come, ``Gone`` where the session is over; all but ``look`` may have been done although they raised."""
 
-    def join(self, card: Card, ttl: float) -> Joined:
+    def join(self, card: MemberRecord, ttl: float) -> Joined:
         """A session for a new member, for ``ttl`` seconds from now unless it is renewed. ``Taken``: the name is."""
 
     def renew(self, session: int) -> int:
@@ -92,7 +92,7 @@
     def peek(self) -> int:
         """The revision alone, which is cheap; it is another one whenever a look would show something else."""
 
-    def announce(self, session: int, card: Card, calm: bool = False) -> None:
+    def announce(self, session: int, card: MemberRecord, calm: bool = False) -> None:
         """The member's card changes. ``calm``: it has been there for long, its joins are forgotten."""
 
     def look(self) -> View: ...
--- a/lapishaven/ownership/strain.py
+++ b/lapishaven/ownership/overload.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StrainRules:
+class OverloadRules:
     """Seconds."""
 
     after: float = 2.0
@@ -27,10 +27,10 @@
     refused: float = 0.2  # part of the answers
 
 
-class Strain:
+class OverloadDetector:
     """Told how it goes from time to time; ``due`` says what to give back."""
 
-    def __init__(self, rules: StrainRules) -> None:
+    def __init__(self, rules: OverloadRules) -> None:
         self.rules = rules
         self._since: float | None = None  # overloaded since then
         self._answers = self._refusals = 0
