--- a/lapishaven/ownership/part.py
+++ b/lapishaven/ownership/participant.py
@@ -16,14 +16,14 @@
 from typing import Any
 
 from lapishaven.core.contracts import Contract
-from lapishaven.core.once import OnceGuard
+from lapishaven.core.deduplication import AttemptRegistry
 from lapishaven.ownership.agent import Agent, Duty
-from lapishaven.ownership.book import Book, BookError, Plan
 from lapishaven.ownership.duties import budgets, periods, restart
+from lapishaven.ownership.fenced_store import FencedStore, FencedStoreError, Plan
 from lapishaven.ownership.member import Member
-from lapishaven.ownership.model import Card, Clock, Coordinator, CoordinatorError, Shard, Standing, SystemClock
+from lapishaven.ownership.model import Clock, Coordinator, CoordinatorError, MemberRecord, Shard, Standing, SystemClock
+from lapishaven.ownership.overload import OverloadDetector
 from lapishaven.ownership.settings import Ownership, OwnershipError
-from lapishaven.ownership.strain import Strain
 
 PLANS: Mapping[str, Plan] = {"periods": periods.PLAN, "restart": restart.PLAN, "budgets": budgets.PLAN}
 COUNTED, COUNTED_LIFE = 100_000, 3600.0  # keys, and s: a repeat may return for 15 minutes
@@ -52,7 +52,7 @@
     os.kill(os.getpid(), signal.SIGTERM)
 
 
-class Part:
+class Participant:
     """Start with ``start``; ``log`` hears one JSON line for each event that operators care about. ``classes`` are the
     names behind the contracts' class numbers, which may differ between servers. ``go`` is called on the errands' thread
     when a rolling restart permits it to leave."""
@@ -72,19 +72,19 @@
         self._clock = clock or SystemClock()
         self.start_id = f"{name}:{os.getpid()}:{int(self._clock.now() * 1000)}"
         try:
-            self._book, self._errands = (Book(settings.receiver, PLANS) for _ in range(2))
-        except BookError as error:
+            self._book, self._errands = (FencedStore(settings.receiver, PLANS) for _ in range(2))
+        except FencedStoreError as error:
             raise OwnershipError(f"cannot open the book: {error}") from None
         self._lock = threading.Lock()  # of what the event path shares with the errands; held for moments only
         self._collector: periods.Collector | None = None
         self._purses: dict[str, budgets.Purse] = {}
-        self._counted = OnceGuard(COUNTED_LIFE, COUNTED)  # keys whose effect is in the rows
+        self._counted = AttemptRegistry(COUNTED_LIFE, COUNTED)  # keys whose effect is in the rows
         self._seen = 0
         self._obedience = restart.Obedience()
         self._leaving = False
         self._over = threading.Event()
         duties, shards = self._duties(contracts)
-        card = Card(name, self.start_id, weight=settings.weight)
+        card = MemberRecord(name, self.start_id, weight=settings.weight)
         member = Member(card, shards, settings.rules, Random(self.start_id))
         self.agent = Agent(
             member,
@@ -95,7 +95,7 @@
             self._event,
             spare=coordinator(settings, self._clock),
         )
-        self._strain = Strain(settings.overload) if settings.overload is not None else None
+        self._strain = OverloadDetector(settings.overload) if settings.overload is not None else None
         self._answers = self._refusals = 0  # so far; written by the event path, read by the errands
         self._late = False
         self._thread = threading.Thread(target=self._errand, name="errands", daemon=True)
@@ -148,7 +148,7 @@
         self.agent.start()
         self._thread.start()
 
-    def served(self, team: str | None, cls: str, worth: float, key: str | None) -> None:
+    def request_served(self, team: str | None, cls: str, worth: float, key: str | None) -> None:
         self._answers += 1
         if self._collector is None:
             return
@@ -162,18 +162,18 @@
         with self._lock:
             self._collector.served(self._clock.wall(), team or "", cls, worth)
 
-    def take(self, now: float, contract: Contract) -> float:
+    def take_budget(self, now: float, contract: Contract) -> float:
         purse = self._purses.get(self._contract(contract))
         if purse is None:
             return -1.0
         with self._lock:
             return purse.take(self._clock.now()) or 0.0
 
-    def unserved(self, refused: bool) -> None:
+    def request_not_served(self, refused: bool) -> None:
         self._answers += 1
         self._refusals += refused
 
-    def late(self, so: bool) -> None:
+    def set_overloaded(self, so: bool) -> None:
         self._late = so
 
     def state(self) -> dict[str, int]:
@@ -200,7 +200,7 @@
             "shed": self._strain.given if self._strain is not None else 0,
         }
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         self._leaving = True
         self.agent.leave()
 
@@ -229,7 +229,7 @@
             if self._purses:
                 self._needs()
             self._report()
-        except BookError as error:
+        except FencedStoreError as error:
             self.failed += 1
             self._event("failed", {"why": str(error)})
 
--- a/lapishaven/ownership/receiver.py
+++ b/lapishaven/ownership/receiver.py
@@ -13,8 +13,8 @@
 from contextlib import suppress
 from typing import Any
 
-from lapishaven.ownership.book import Admission, Book, BookError
 from lapishaven.ownership.fence import Act, Verdict
+from lapishaven.ownership.fenced_store import Admission, FencedStore, FencedStoreError
 
 LINE = 64 * 1024  # bytes of one act or answer at most
 
@@ -25,7 +25,7 @@
     request_queue_size = 512
 
 
-def _answer(book: Book, line: bytes) -> dict[str, Any]:
+def _answer(book: FencedStore, line: bytes) -> dict[str, Any]:
     try:
         words = json.loads(line)
         act = Act(
@@ -36,12 +36,12 @@
         return {"error": f"no act: {type(error).__name__}: {error}"}
     try:
         found = book.admit(act, effect, words.get("detail"))
-    except BookError as error:
+    except FencedStoreError as error:
         return {"error": str(error)}
     return {"verdict": found.verdict.value, "token": found.token, "held": found.held, "answer": found.answer}
 
 
-def serve(host: str, port: int, book: Book) -> tuple[socketserver.ThreadingTCPServer, int]:
+def serve(host: str, port: int, book: FencedStore) -> tuple[socketserver.ThreadingTCPServer, int]:
     """Answer acts at an address, on threads; gives the server, to be shut down, and its port."""
     lock = threading.Lock()
 
@@ -97,9 +97,9 @@
             found = json.loads(got)
         except (OSError, ValueError) as error:
             self.close()
-            raise BookError(f"no answer: {error}") from None
+            raise FencedStoreError(f"no answer: {error}") from None
         if "error" in found:
-            raise BookError(found["error"])
+            raise FencedStoreError(found["error"])
         return Admission(Verdict(found["verdict"]), found["token"], found["held"], found["answer"])
 
     def close(self) -> None:
--- a/lapishaven/ownership/settings.py
+++ b/lapishaven/ownership/settings.py
@@ -10,7 +10,7 @@
 
 from lapishaven.ownership.member import Rules
 from lapishaven.ownership.model import SHARDS
-from lapishaven.ownership.strain import StrainRules
+from lapishaven.ownership.overload import OverloadRules
 
 
 class OwnershipError(ValueError):
@@ -33,7 +33,7 @@
     budgets: tuple[float, float, int] | None  # span, fallback, members
     restart: bool  # whether this process goes when a rolling restart permits it to
     flush: float
-    overload: StrainRules | None = None  # when it gives shards back; none: never
+    overload: OverloadRules | None = None  # when it gives shards back; none: never
     supervised: bool = False  # what started it sees to its restarts: by an upgrade, when they are permitted
 
 
@@ -125,7 +125,7 @@
     if (table := data.get("overload")) is not None:
         where = f"{path}: overload"
         after, rest = _number(where, table, "after_s", 0.1, 600.0), _number(where, table, "rest_s", 1.0, 3600.0)
-        overload = StrainRules(after, rest=rest)
+        overload = OverloadRules(after, rest=rest)
     weight = _number(f"{path}: lease", {"weight": 1.0, **lease}, "weight", 0.01, 100.0)
     return Ownership(
         coordinator,
--- a/lapishaven/pools/__init__.py
+++ b/lapishaven/pools/__init__.py
@@ -1,6 +1,6 @@
 """Pools by class with a reserve, and limits that follow each box's measured capacity. Pure, no I/O.
 
-The Controller goes on deciding; it asks ``Pools`` through the port in ``cometdrum/interface.py``.
+The Controller goes on deciding; it asks ``Pools`` through the port in ``admission/ports.py``.
 """
 
 from lapishaven.pools.pools import Pools
--- a/lapishaven/pools/pools.py
+++ b/lapishaven/pools/pools.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from cometdrum.interface import Effect, Poll, Settings
+from lapishaven.admission import Idempotency, LoadSample, Settings
 from lapishaven.pools.capacity import Capacity
 from lapishaven.pools.ready import Entry, ReadyQueue
 from lapishaven.pools.settings import PoolSettings
@@ -53,9 +53,9 @@
         self.settings = settings
         self.capacity = Capacity(
             settings.cores,
-            [FIRST_WORK * spec.aim for spec in settings.classes],
-            settings.cold_from if settings.cold else 1.0,
-            settings.cold_span if settings.cold else 0.0,
+            [FIRST_WORK * spec.latency_objective for spec in settings.classes],
+            settings.slow_start_initial_speed if settings.slow_start else 1.0,
+            settings.slow_start_span if settings.slow_start else 0.0,
             now,
         )
         self.running: dict[int, Running] = {}
@@ -137,11 +137,11 @@
             return None
         if alone > left * SAFETY:
             # Not even an idle box would make it. What is safe may still come late, and tells when it is quick again.
-            safe = self.settings.classes[cls].effect is Effect.SAFE
-            if safe and not wait and self.settings.classes[cls].late_worth > 0 and alone < due - now:
+            safe = self.settings.classes[cls].idempotency is Idempotency.IDEMPOTENT
+            if safe and not wait and self.settings.classes[cls].late_weight > 0 and alone < due - now:
                 return None
             self.pools[n].refused += 1
-            return "slow box" if self.capacity.speed < SLOWED else "past its aim", self.settings.advice_max or 1.0
+            return "slow box" if self.capacity.speed < SLOWED else "past its aim", self.settings.max_retry_after or 1.0
         self.pools[n].refused += 1
         return "pool full", max(LEAST_WAIT, wait + alone - left * SAFETY)
 
@@ -199,22 +199,22 @@
         return True
 
     # ---- Each poll
-    def poll(self, now: float, poll: Poll) -> list[int]:
+    def poll(self, now: float, poll: LoadSample) -> list[int]:
         """Weigh what the box does; gives the runs that are to be paused, as another pool waits for its share."""
         self.capacity.sample(now)
         self._adapt(poll)
-        return self._take_back(now) if self.settings.halt == "pause" else []
+        return self._take_back(now) if self.settings.cancellation == "pause" else []
 
-    def _adapt(self, poll: Poll) -> None:
+    def _adapt(self, poll: LoadSample) -> None:
         """As many runs as there are cores keep them busy; more only where runs leave the cores idle, as they wait
         for something else, and never past the concurrency that was seen to cost."""
         cores = float(self.settings.cores)
-        idle = poll.cpu is not None and 0.0 <= poll.cpu < IDLE_CORES
+        idle = poll.cpu_utilization is not None and 0.0 <= poll.cpu_utilization < IDLE_CORES
         if idle and len(self.ready) and len(self.running) >= self.limit:
             self.limit += 1.0
         elif not idle and self.limit > cores:
             self.limit -= 0.5
-        most = min(self.settings.fall_multiple * 0.8, self.capacity.concurrency()) * cores
+        most = min(self.settings.collapse_concurrency * 0.8, self.capacity.concurrency()) * cores
         self.limit = max(cores, min(self.limit, most))
 
     def _take_back(self, now: float) -> list[int]:
@@ -243,7 +243,9 @@
             mine = [
                 (run.since, id)
                 for id, run in self.running.items()
-                if run.pool == n and not run.halting and self.settings.classes[run.cls].effect is Effect.SAFE
+                if run.pool == n
+                and not run.halting
+                and self.settings.classes[run.cls].idempotency is Idempotency.IDEMPOTENT
             ]
             for since, id in sorted(mine, reverse=True)[:1]:
                 run = self.running[id]
--- a/lapishaven/server.py
+++ b/lapishaven/server.py
@@ -14,36 +14,37 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from cometdrum.interface import Outcome, Settings
-from lapishaven.backends import Driver
-from lapishaven.backends.interpreter import Interpreter
-from lapishaven.backends.uwsgi import Uwsgi
-from lapishaven.callers import Callers
-from lapishaven.catalog import Reporter
-from lapishaven.config import Config, ConfigError, Files, UwsgiBackend, UwsgiFront, renumbered
-from lapishaven.control import Door
-from lapishaven.control.door import LIMIT as CONTROL_LIMIT
-from lapishaven.control.metrics import render
+from lapishaven.admin import AdminServer
+from lapishaven.admin.metrics import render
+from lapishaven.admin.server import LIMIT as CONTROL_LIMIT
+from lapishaven.admission import Outcome, Settings
+from lapishaven.attempt_log import AttemptLog, LogEntry
+from lapishaven.backends import BackendDriver
+from lapishaven.backends.interpreter import InterpreterBackend
+from lapishaven.backends.uwsgi import UwsgiBackend
+from lapishaven.catalog_reporter import CatalogReporter
+from lapishaven.client_connections import ClientConnections
+from lapishaven.config import Config, ConfigError, Files, UwsgiBackendConfig, UwsgiFrontendConfig, renumbered
+from lapishaven.connection_end import ConnectionEnd
 from lapishaven.core import Submission
 from lapishaven.core.broker import Broker
 from lapishaven.core.contracts import Contract, Contracts
-from lapishaven.core.guard import ONCE_LIFE
-from lapishaven.core.model import FleetPart, Kind, LastingKeeper
+from lapishaven.core.execution_guard import ONCE_LIFE
+from lapishaven.core.ports import DurableResultStore, FleetMember
+from lapishaven.core.requests import AnswerKind
 from lapishaven.counters import Counters
-from lapishaven.ends import End
-from lapishaven.fronts import Session, platform, uwsgi
-from lapishaven.leaving import Leaving
-from lapishaven.net.conn import Dial, connect
+from lapishaven.frontends import Session, platform, uwsgi
+from lapishaven.graceful_shutdown import GracefulShutdown
+from lapishaven.net.connection import Dial, connect
 from lapishaven.net.listener import Budget, Listener
 from lapishaven.net.loop import Loop
 from lapishaven.signals import Signals
-from lapishaven.store import Entry, Store
 
 if TYPE_CHECKING:
-    from lapishaven.backends.spread import Spreading
-    from lapishaven.fronts.load import LoadDoor
+    from lapishaven.backends.load_balanced import LoadBalancedBackend
+    from lapishaven.frontends.load_endpoint import LoadEndpoint
+    from lapishaven.load_balancing.settings import Settings as SpreadSettings
     from lapishaven.pools import Pools, PoolSettings
-    from lapishaven.spread.settings import Settings as SpreadSettings
 
 RESERVE = 32  # descriptors for the program itself: streams, epoll, doors, links and those on their way out
 ATTEMPTS = 64  # and for attempts of the uwsgi backend, where there is one
@@ -59,18 +60,18 @@
     def __init__(
         self,
         config: Config,
-        front: UwsgiFront | None = None,
-        backend: UwsgiBackend | None = None,
+        front: UwsgiFrontendConfig | None = None,
+        backend: UwsgiBackendConfig | None = None,
         loop: Loop | None = None,
         log: Callable[[str], None] | None = None,
         dial: Dial = connect,
         contracts: list[Contract] | None = None,
-        store: Store | None = None,
+        store: AttemptLog | None = None,
         counters: Counters | None = None,
         files: Callable[[], Files] | None = None,
         pools: PoolSettings | None = None,
-        keeper: LastingKeeper | None = None,
-        fleet: FleetPart | None = None,
+        keeper: DurableResultStore | None = None,
+        fleet: FleetMember | None = None,
         spread: SpreadSettings | None = None,
     ) -> None:
         self.config, self.loop = config, loop or Loop()
@@ -80,19 +81,19 @@
         attempts = spread.attempts if spread is not None else ATTEMPTS if backend is not None else 0
         reserve = RESERVE + attempts + (CONTROL_LIMIT if config.control else 0)
         self.budget = Budget(config.descriptors, min(reserve, config.descriptors // (2 if spread else 4)))
-        self.callers = Callers(self.loop, self.budget, self.counters, config.settings.idle or IDLE)
+        self.callers = ClientConnections(self.loop, self.budget, self.counters, config.settings.idle_timeout or IDLE)
         self.loop.unsent_limit = config.memory_mb * 1024 * 1024 // UNSENT_PART
         self.classes = {spec.name: n for n, spec in enumerate(config.settings.classes)}
         self.tenants = {tenant.name: n for n, tenant in enumerate(config.settings.tenants)}
         self.store, self._contracts, self._files = store, contracts, files
         self.keeper, self.fleet = keeper, fleet
         if keeper is not None:
-            self.loop.watch(keeper.ready, 1, lambda mask: keeper.told())
+            self.loop.watch(keeper.ready, 1, lambda mask: keeper.process_completions())
         self._pool_rules, self.pools = pools, None  # type: PoolSettings | None, Pools | None
-        self.drivers: dict[str, Driver] = {}
+        self.drivers: dict[str, BackendDriver] = {}
         if backend is not None:
             spans = {spec.name: spec.deadline for spec in config.settings.classes}
-            self.drivers["uwsgi"] = Uwsgi(
+            self.drivers["uwsgi"] = UwsgiBackend(
                 self.loop,
                 backend.address,
                 backend.path,
@@ -106,12 +107,12 @@
         if self.spreading is not None:
             self.drivers["uwsgi"] = self.spreading
         if not self.drivers or any(c.route == "interpreter" for c in contracts or []):
-            self.drivers["interpreter"] = Interpreter(
+            self.drivers["interpreter"] = InterpreterBackend(
                 self.loop, config.interpreter, config.gauges, self, self.counters, dial
             )
         # The first one runs what no contract routes elsewhere, and tells the gauges that the module sees.
         self.backend = next(iter(self.drivers.values()))
-        self.reporter = Reporter(self.loop, config.catalog, config.name, self.counters, dial)
+        self.reporter = CatalogReporter(self.loop, config.catalog, config.name, self.counters, dial)
         self._good = False
 
         def platform_session(sock: socket.socket) -> Session:
@@ -121,8 +122,8 @@
         if config.inherited is not None:
             # Until the interpreter is up this process could only say "not up yet", while an old one may serve.
             self.loop.at(self.loop.now + HOLD_OFF, self.listeners[0].open)
-        self.control_door = Door(self.loop, config.control, self, self.counters) if config.control else None
-        self.load: LoadDoor | None = None
+        self.control_door = AdminServer(self.loop, config.control, self, self.counters) if config.control else None
+        self.load: LoadEndpoint | None = None
         if front is not None:
             # Not the same in another life of the same configuration: the interpreter still knows the names of its runs.
             random = Random(f"{config.seed}/{os.getpid()}/{time.time_ns()}")
@@ -131,7 +132,7 @@
             self.listeners.append(
                 self._listen(front.listen, lambda sock: uwsgi.Session(self, sock, front, random, word))
             )
-        self.leaving = Leaving(self.loop, self.callers, self.listeners)
+        self.leaving = GracefulShutdown(self.loop, self.callers, self.listeners)
         for name, driver in self.drivers.items():
             self._keep_running(name, driver)
         self._keep_running("catalog", self.reporter)
@@ -139,9 +140,9 @@
     @property
     def draining(self) -> bool:
         """Whether the notice to leave has come."""
-        return self.leaving.noticed is not None
+        return self.leaving.requested_at is not None
 
-    def _keep_running(self, name: str, part: Driver | Reporter) -> None:
+    def _keep_running(self, name: str, part: BackendDriver | CatalogReporter) -> None:
         """Run a part's coroutine, and again after a fault of ours in it: a server that has lost its link to the
         interpreter or the catalog for good would serve nobody."""
 
@@ -152,26 +153,26 @@
 
         self.loop.spawn(part.run(), failed)
 
-    def _spreading(self, settings: SpreadSettings, dial: Dial) -> Spreading:
-        from lapishaven.backends.spread import Spreading
+    def _spreading(self, settings: SpreadSettings, dial: Dial) -> LoadBalancedBackend:
+        from lapishaven.backends.load_balanced import LoadBalancedBackend
 
         spans = {spec.name: spec.deadline for spec in self.config.settings.classes}
         # Choosers are not to act alike, however alike their configurations are.
         random = Random(f"{self.config.seed}/{self.config.name}/{os.getpid()}/{time.time()}")
         cores = self.config.settings.cores
-        return Spreading(self.loop, settings, cores, spans, self, self.counters, random, dial)
+        return LoadBalancedBackend(self.loop, settings, cores, spans, self, self.counters, random, dial)
 
-    def _load_door(self, front: UwsgiFront) -> LoadDoor:
-        from lapishaven.fronts.load import LoadDoor
+    def _load_door(self, front: UwsgiFrontendConfig) -> LoadEndpoint:
+        from lapishaven.frontends.load_endpoint import LoadEndpoint
 
         random = Random(f"{self.config.seed}/{os.getpid()}/{time.time()}")
         cores = self.config.settings.cores
-        return LoadDoor(self.loop, front.listen, random, cores, lambda: self.broker, self.counters)
+        return LoadEndpoint(self.loop, front.listen, random, cores, lambda: self.broker, self.counters)
 
     # ---- What the interpreter says
     def up(self, cold: bool, up_for: float) -> None:
         if self.broker is None:
-            settings = replace(self.config.settings, cold=cold)
+            settings = replace(self.config.settings, slow_start=cold)
             contracts = Contracts(self._contracts, self.fleet) if self._contracts is not None else None
             self.broker = Broker(
                 settings,
@@ -190,13 +191,16 @@
                 if cls in self.classes:
                     self.broker.remember(self.loop.now, cls, key, age)
 
-            for cls, key, age in self.keeper.doubts() if self.keeper is not None else ():
+            for cls, key, age in self.keeper.uncertain_effects() if self.keeper is not None else ():
                 if cls in self.classes:
                     self.broker.remember(self.loop.now, cls, key, age)
             if not self.draining:
                 self.listeners[0].open()
             if self.load is not None:
-                self.load.up(settings.cold_from if cold else 1.0, settings.cold_span - up_for if cold else 0.0)
+                self.load.up(
+                    settings.slow_start_initial_speed if cold else 1.0,
+                    settings.slow_start_span - up_for if cold else 0.0,
+                )
 
     def _make_pools(self, settings: Settings) -> Pools | None:
         if self._pool_rules is None:
@@ -217,28 +221,28 @@
             self.broker.gauges(values)
 
     def _record(self, event: str, sub: Submission, detail: str) -> None:
-        if self.fleet is not None and event == "answered" and detail == Kind.SERVED.value:
-            spec = self.config.settings.classes[sub.cls]
-            self.fleet.served(sub.team, spec.name, spec.worth, sub.key)
+        if self.fleet is not None and event == "answered" and detail == AnswerKind.SERVED.value:
+            spec = self.config.settings.classes[sub.class_index]
+            self.fleet.request_served(sub.team, spec.name, spec.priority_weight, sub.idempotency_key)
         elif self.fleet is not None and event == "answered":
-            self.fleet.unserved(detail == Kind.REFUSED.value)
+            self.fleet.request_not_served(detail == AnswerKind.REJECTED.value)
         if self.load is not None and event == "started":
-            self.load.started(sub.handle, sub.cls)
+            self.load.started(sub.attempt_id, sub.class_index)
         if self.store is not None:
-            cls = self.config.settings.classes[sub.cls].name
-            self.store.record(Entry(event, sub.handle, cls, sub.key, sub.team, sub.service, detail))
+            cls = self.config.settings.classes[sub.class_index].name
+            self.store.record(LogEntry(event, sub.attempt_id, cls, sub.idempotency_key, sub.team, sub.service, detail))
 
     # ---- What the module says
-    def health(self, good: bool) -> None:
+    def set_health(self, good: bool) -> None:
         self._good = good
         self.reporter.tell(good)
         if self.fleet is not None:
-            self.fleet.late(not good)
+            self.fleet.set_overloaded(not good)
 
-    def idle(self, span: float) -> None:
-        self.callers.idle = span or self.config.settings.idle or IDLE
+    def set_idle_timeout(self, span: float) -> None:
+        self.callers.idle = span or self.config.settings.idle_timeout or IDLE
 
-    def remark(self, text: str) -> None:
+    def log_remark(self, text: str) -> None:
         self.log(f"remark: {text}")
 
     # ---- Callers
@@ -263,7 +267,7 @@
     def spread_state(self) -> dict[str, Any] | None:
         return self.spreading.state() if self.spreading is not None else None
 
-    def ended(self, session: Session, end: End) -> None:
+    def ended(self, session: Session, end: ConnectionEnd) -> None:
         """A front's connection has ended and its descriptor is free."""
         self.callers.ended(session, end)
         for listener in self.listeners:
@@ -273,7 +277,7 @@
         if not self._good or not deep:
             told(self._good)
         else:
-            self.backend.smoke(told)
+            self.backend.health_check(told)
 
     # ---- Reloading
     def reload(self) -> None:
@@ -304,7 +308,7 @@
             self.spreading.take(files.spread.addresses)
         for name, driver in self.drivers.items():
             if name in moves:
-                driver.move(moves[name])
+                driver.change_address(moves[name])
         self.reporter.move(new.catalog)
         if files.contracts is not None and self._contracts is not None:
             self._contracts = files.contracts
@@ -327,7 +331,7 @@
         if self.draining:
             return
         if self.fleet is not None:
-            self.fleet.leave()
+            self.fleet.drain()
         if self.load is not None:
             self.load.leave()
         if self.config.inherited is not None:
--- a/cometdrum/simhost.py
+++ b/lapishaven/simulator/adapter.py
@@ -6,9 +6,8 @@
 import traceback
 from typing import BinaryIO
 
-from cometdrum import wire
-from cometdrum.controller import Controller
-from cometdrum.interface import Event
+from lapishaven.admission import Controller, Event
+from lapishaven.simulator import codec
 
 
 class Instance:
@@ -17,7 +16,7 @@
     __slots__ = ("controller", "gauges")
 
     def __init__(self, seed: int, text: bytes) -> None:
-        settings, self.gauges = wire.settings(text)
+        settings, self.gauges = codec.settings(text)
         self.controller = Controller(settings, seed)
 
 
@@ -30,32 +29,32 @@
     def batch(self, number: int, now: float, count: int, body: memoryview) -> bytes:
         lives, pending = self.lives, dict[int, list[Event]]()
         current: int | None = None
-        for code, at in wire.records(body, count):
-            if code == wire.SELECT:
-                current = wire.instance_of(body, at)
+        for code, at in codec.records(body, count):
+            if code == codec.SELECT:
+                current = codec.instance_of(body, at)
                 continue
-            where = f"record {at // wire.RECORD} (code {code})"
+            where = f"record {at // codec.RECORD} (code {code})"
             if current is None:
-                raise wire.WireError(f"{where}: no SELECT before it")
-            if code == wire.BORN:
-                seed, text = wire.born(body, at, count)
+                raise codec.WireError(f"{where}: no SELECT before it")
+            if code == codec.BORN:
+                seed, text = codec.born(body, at, count)
                 lives[current] = Instance(seed, text)
                 pending[current] = []
             elif current not in lives:
-                raise wire.WireError(f"{where}: instance {current} was never born")
-            elif code == wire.DOWN:
+                raise codec.WireError(f"{where}: instance {current} was never born")
+            elif code == codec.DOWN:
                 del lives[current]
                 pending.pop(current, None)
             else:
                 life = lives[current]
                 try:
-                    event = wire.decode_event(code, body, at, lambda life=life: life.gauges)  # type: ignore[misc]
-                except wire.WireError as error:
-                    raise wire.WireError(f"record {at // wire.RECORD}: {error}") from None
+                    event = codec.decode_event(code, body, at, lambda life=life: life.gauges)  # type: ignore[misc]
+                except codec.WireError as error:
+                    raise codec.WireError(f"record {at // codec.RECORD}: {error}") from None
                 if event is None:
-                    raise wire.WireError(f"{where}: unknown event code")
+                    raise codec.WireError(f"{where}: unknown event code")
                 pending.setdefault(current, []).append(event)
-        reply = wire.Reply()
+        reply = codec.Reply()
         for instance, events in pending.items():
             try:
                 actions = lives[instance].controller.handle(now, events)
@@ -85,13 +84,13 @@
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends."""
     host = Host()
-    while head := read_exactly(source, wire.HEADER.size):
-        if len(head) < wire.HEADER.size:
-            raise wire.WireError(f"frame header: {len(head)} bytes of {wire.HEADER.size}")
-        number, length, now, count = wire.HEADER.unpack(head)
+    while head := read_exactly(source, codec.HEADER.size):
+        if len(head) < codec.HEADER.size:
+            raise codec.WireError(f"frame header: {len(head)} bytes of {codec.HEADER.size}")
+        number, length, now, count = codec.HEADER.unpack(head)
         body = read_exactly(source, length)
         if len(body) < length:
-            raise wire.WireError(f"frame length: {len(body)} bytes of {length}")
+            raise codec.WireError(f"frame length: {len(body)} bytes of {length}")
         sink.write(host.batch(number, now, count, memoryview(body)))
         sink.flush()
 
@@ -100,8 +99,8 @@
     """Run on standard input and output; a malformed frame ends it with one plain line."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except (wire.WireError, ValueError) as error:
-        print(f"cometdrum: {error}", file=sys.stderr)
+    except (codec.WireError, ValueError) as error:
+        print(f"simulator adapter: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/cometdrum/wire.py
+++ b/lapishaven/simulator/codec.py
@@ -10,7 +10,36 @@
 from struct import Struct
 from typing import Any
 
-from cometdrum import interface as i
+from lapishaven.admission import (
+    Action,
+    AwaitOriginal,
+    CallDependency,
+    CancelRun,
+    DependencyCallFinished,
+    DependencyCallNeeded,
+    DrainRequested,
+    Event,
+    Fail,
+    Idempotency,
+    LoadSample,
+    Log,
+    Outcome,
+    PublishLoad,
+    Reject,
+    ReleaseKey,
+    RequestArrived,
+    RequestCancelled,
+    RequestClass,
+    ReserveKey,
+    RunFinished,
+    ScheduleTimer,
+    SetHealth,
+    SetIdleTimeout,
+    Settings,
+    SkipDependency,
+    StartRun,
+    Tenant,
+)
 
 HEADER = Struct(">IIdI")
 REPLY = Struct(">III")
@@ -26,7 +55,7 @@
 _CALLED = Struct(">IHd")
 _POLL = Struct(">IB")
 
-_EFFECTS = {"free": i.Effect.SAFE, "guarded": i.Effect.KEYED, "single_shot": i.Effect.UNSAFE}
+_EFFECTS = {"free": Idempotency.IDEMPOTENT, "guarded": Idempotency.WITH_KEY, "single_shot": Idempotency.NOT_IDEMPOTENT}
 _SAYS = {"threshold": "level", "window": "window", "share_of": "weight", "silent": None}
 _HALTS = {"abort": "abort", "suspend": "pause", "silent": None}
 
@@ -83,7 +112,7 @@
         return row[n] if isinstance(row, list) and n < len(row) else None
 
 
-def settings(text: bytes) -> tuple[i.Settings, tuple[str, ...]]:
+def settings(text: bytes) -> tuple[Settings, tuple[str, ...]]:
     """Settings from the start text, and the gauges' names in their order."""
     try:
         top = _Table(json.loads(text), "")
@@ -93,22 +122,22 @@
         raise WireError("BORN profile-data: not JSON") from None
     extra, rules, limits = top.table("extra"), top.table("obligations"), top.table("limits")
     classes = tuple(
-        i.ClassSpec(
+        RequestClass(
             name=str(row.data.get("name", "")),
-            aim=row.number("aim"),
+            latency_objective=row.number("aim"),
             deadline=row.number("deadline"),
-            worth=row.number("credit"),
-            effect=row.word("effect", _EFFECTS),
-            late_worth=row.optional("late-worth") or 0.0,
-            window=row.optional("window"),
-            calls=bool(extra.place("calls-by-class", n)),
-            skip_worth=float(extra.place("class-skip-worth", n) or 0.0),
-            aim_stretch=row.optional("aim-stretch"),
+            priority_weight=row.number("credit"),
+            idempotency=row.word("effect", _EFFECTS),
+            late_weight=row.optional("late-worth") or 0.0,
+            idempotency_window=row.optional("window"),
+            calls_dependency=bool(extra.place("calls-by-class", n)),
+            degraded_weight=float(extra.place("class-skip-worth", n) or 0.0),
+            objective_per_cost=row.optional("aim-stretch"),
         )
         for n, row in enumerate(top.tables("profiles"))
     )
     tenants = tuple(
-        i.TenantSpec(str(row.data.get("name", "")), row.number("allowance-per-s"))
+        Tenant(str(row.data.get("name", "")), row.number("allowance-per-s"))
         for row in (top.tables("customers") if top.data.get("customers") else [])
     )
     gauges = extra.data.get("gauges")
@@ -116,55 +145,55 @@
         raise WireError("BORN profile-data: extra.gauges is not a list")
     advice = limits.optional("max-retry-after")
     callers = _Table(top.data.get("callers") or {}, "callers")
-    return i.Settings(
+    return Settings(
         classes=classes,
         tenants=tenants,
         cores=int(extra.number("cores")),
         memory_kb=extra.number("memory-kb"),
-        run_factor=extra.number("run-factor"),
-        key_kb=extra.optional("key-kb") or 0.0,
-        peers=int(top.number("peers-total")),
-        callers=int(extra.optional("upstreams") or 1),
-        cold=extra.flag("cold"),
-        cold_span=rules.number("cold"),
-        cold_from=rules.number("cold-from"),
-        fall_multiple=rules.number("fall-multiple"),
-        fall_span=rules.number("tip-after"),
+        running_memory_factor=extra.number("run-factor"),
+        key_entry_kb=extra.optional("key-kb") or 0.0,
+        peer_count=int(top.number("peers-total")),
+        caller_count=int(extra.optional("upstreams") or 1),
+        slow_start=extra.flag("cold"),
+        slow_start_span=rules.number("cold"),
+        slow_start_initial_speed=rules.number("cold-from"),
+        collapse_concurrency=rules.number("fall-multiple"),
+        collapse_span=rules.number("tip-after"),
         drain_grace=rules.number("drain-grace"),
-        answer_slack=rules.number("answer-slack"),
-        over_share_worth=top.optional("over-share-worth") or 0.0,
-        worth_by_work=top.data.get("value-by") == "work",
-        advice_max=advice if limits.flag("retry-after") else None,
-        say=extra.word("say", _SAYS),
-        said_for=extra.optional("said-for") or 0.0,
-        halt=extra.word("halt", _HALTS),
-        fresh=extra.optional("fresh") or 0.0,
-        fair_calls=extra.optional("fair-calls") if extra.data.get("below") == "shared" else None,
-        call_window=extra.optional("dep-window") or 0.0,
-        linger=extra.optional("linger") or 0.0,
-        passes_deadline=extra.flag("passes-deadline"),
-        tells_gone=extra.flag("tells-gone"),
-        marks_retry=callers.flag("marks-retry"),
-        deep_checks=extra.flag("deep-checks"),
-        listed_by_health=extra.flag("registry-follows"),
-        idle=extra.optional("idle"),
+        response_slack=rules.number("answer-slack"),
+        over_quota_weight=top.optional("over-share-worth") or 0.0,
+        weight_per_request=top.data.get("value-by") == "work",
+        max_retry_after=advice if limits.flag("retry-after") else None,
+        load_signal=extra.word("say", _SAYS),
+        load_signal_ttl=extra.optional("said-for") or 0.0,
+        cancellation=extra.word("halt", _HALTS),
+        result_freshness=extra.optional("fresh") or 0.0,
+        dependency_quota=extra.optional("fair-calls") if extra.data.get("below") == "shared" else None,
+        dependency_window=extra.optional("dep-window") or 0.0,
+        dependency_linger=extra.optional("linger") or 0.0,
+        propagates_deadline=extra.flag("passes-deadline"),
+        reports_cancellation=extra.flag("tells-gone"),
+        marks_retries=callers.flag("marks-retry"),
+        deep_health_checks=extra.flag("deep-checks"),
+        registry_follows_health=extra.flag("registry-follows"),
+        idle_timeout=extra.optional("idle"),
     ), tuple(str(name) for name in gauges)
 
 
-def _outcome(code: int, where: str) -> i.Outcome:
+def _outcome(code: int, where: str) -> Outcome:
     try:
-        return i.Outcome(code)
+        return Outcome(code)
     except ValueError:
         raise WireError(f"{where} result: {code} is no outcome") from None
 
 
-def decode_event(code: int, body: memoryview, at: int, gauges: Callable[[], tuple[str, ...]]) -> i.Event | None:
+def decode_event(code: int, body: memoryview, at: int, gauges: Callable[[], tuple[str, ...]]) -> Event | None:
     """One event record as an interface event; ``None`` for a code that is unknown."""
     if code == 20:
         (xid, kb, tenant, due, caller, age, opts, cls, rank, subject, cost, repeats) = _ARRIVAL.unpack_from(
             body, at + 1
         )
-        return i.Arrival(
+        return RequestArrived(
             xid,
             kb,
             tenant,
@@ -181,23 +210,23 @@
         )
     if code == 30:
         xid, spent, result = _FINISHED.unpack_from(body, at + 1)
-        return i.Finished(xid, spent, _outcome(result, "FINISHED"))
+        return RunFinished(xid, spent, _outcome(result, "FINISHED"))
     if code == 40:
-        return i.NeedsCall(_U32.unpack_from(body, at + 1)[0])
+        return DependencyCallNeeded(_U32.unpack_from(body, at + 1)[0])
     if code == 50:
         xid, result, spent = _CALLED.unpack_from(body, at + 1)
-        return i.CallEnded(xid, _outcome(result, "DOWNSTREAM"), spent)
+        return DependencyCallFinished(xid, _outcome(result, "DOWNSTREAM"), spent)
     if code == 60:
-        return i.Drain(_F64.unpack_from(body, at + 1)[0])
+        return DrainRequested(_F64.unpack_from(body, at + 1)[0])
     if code == 70:
-        return i.Gone(_U32.unpack_from(body, at + 1)[0])
+        return RequestCancelled(_U32.unpack_from(body, at + 1)[0])
     if code == 80:
         mark, count = _POLL.unpack_from(body, at + 1)
         if 6 + 4 * count > RECORD:
             raise WireError(f"TIMER pressure: {count} values do not fit a record")
         values = dict(zip(gauges(), Struct(f">{count}f").unpack_from(body, at + 6), strict=False))
         told = (values.get(name) for name in ("core_use", "on_cores", "heap_share", "links"))
-        return i.Poll(mark, *told)
+        return LoadSample(mark, *told)
     return None
 
 
@@ -238,12 +267,12 @@
 _TEXT = Struct(">BII7x")
 _FOR = Struct(">BH13x")
 _IDS: dict[type, int] = {
-    i.Run: 10,
-    i.Fail: 30,
-    i.Halt: 40,
-    i.Skip: 60,
-    i.Forget: 80,
-    i.Attach: 90,
+    StartRun: 10,
+    Fail: 30,
+    CancelRun: 40,
+    SkipDependency: 60,
+    ReleaseKey: 80,
+    AwaitOriginal: 90,
 }
 
 
@@ -269,25 +298,27 @@
     def die(self, text: str) -> None:
         self._text(150, text)
 
-    def add(self, action: i.Action) -> None:
+    def add(self, action: Action) -> None:
         kind = type(action)
         if kind in _IDS:
-            self.records.append(_ID.pack(_IDS[kind], action.id))  # type: ignore[union-attr]
-        elif isinstance(action, i.Refuse):
-            self.records.append(_REFUSE.pack(20, action.id, action.advice or 0.0, action.last))
-        elif isinstance(action, i.Call):
-            self.records.append(_ID_SPAN.pack(50, action.id, action.patience))
-        elif isinstance(action, i.Keep):
-            self.records.append(_ID_SPAN.pack(70, action.id, action.life))
-        elif isinstance(action, i.Timer):
-            self.records.append(_TIMER.pack(130, action.span, action.mark))
-        elif isinstance(action, i.Say):
+            self.records.append(_ID.pack(_IDS[kind], action.request_id))  # type: ignore[union-attr]
+        elif isinstance(action, Reject):
+            self.records.append(
+                _REFUSE.pack(20, action.request_id, action.retry_after or 0.0, action.no_retry_elsewhere)
+            )
+        elif isinstance(action, CallDependency):
+            self.records.append(_ID_SPAN.pack(50, action.request_id, action.timeout))
+        elif isinstance(action, ReserveKey):
+            self.records.append(_ID_SPAN.pack(70, action.request_id, action.ttl))
+        elif isinstance(action, ScheduleTimer):
+            self.records.append(_TIMER.pack(130, action.delay, action.timer_id))
+        elif isinstance(action, PublishLoad):
             self.records.append(_SAY.pack(110, action.value))
-        elif isinstance(action, i.Health):
-            self.records.append(_HEALTH.pack(100, True, action.good))
-        elif isinstance(action, i.KeepIdle):
-            self.records.append(_SPAN.pack(120, action.span))
-        elif isinstance(action, i.Remark):
+        elif isinstance(action, SetHealth):
+            self.records.append(_HEALTH.pack(100, True, action.healthy))
+        elif isinstance(action, SetIdleTimeout):
+            self.records.append(_SPAN.pack(120, action.timeout))
+        elif isinstance(action, Log):
             self._text(140, action.text)
         else:
             raise TypeError(f"no wire form for {kind.__name__}")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,68 +5,76 @@
 from dataclasses import replace
 from typing import Any
 
-from cometdrum import interface as i
-from cometdrum.controller import Controller
+from lapishaven.admission import (
+    Action,
+    Controller,
+    Idempotency,
+    LoadSample,
+    RequestArrived,
+    RequestClass,
+    Settings,
+    Tenant,
+)
 
-SAFE = i.ClassSpec("safe", 2.0, 8.0, 1.0, i.Effect.SAFE, 0.2, None, False, 0.0)
-KEYED = i.ClassSpec("keyed", 1.0, 3.0, 3.0, i.Effect.KEYED, 0.0, 8.0, False, 0.0)
-CALLING = i.ClassSpec("calling", 2.0, 8.0, 1.0, i.Effect.SAFE, 0.0, None, True, 0.5)
-MUST_CALL = i.ClassSpec("must call", 2.0, 8.0, 1.0, i.Effect.KEYED, 0.0, 8.0, True, 0.0)
+SAFE = RequestClass("safe", 2.0, 8.0, 1.0, Idempotency.IDEMPOTENT, 0.2, None, False, 0.0)
+KEYED = RequestClass("keyed", 1.0, 3.0, 3.0, Idempotency.WITH_KEY, 0.0, 8.0, False, 0.0)
+CALLING = RequestClass("calling", 2.0, 8.0, 1.0, Idempotency.IDEMPOTENT, 0.0, None, True, 0.5)
+MUST_CALL = RequestClass("must call", 2.0, 8.0, 1.0, Idempotency.WITH_KEY, 0.0, 8.0, True, 0.0)
 
-BASE = i.Settings(
+BASE = Settings(
     classes=(SAFE, KEYED, CALLING, MUST_CALL),
-    tenants=(i.TenantSpec("a", 1000.0), i.TenantSpec("b", 1000.0)),
+    tenants=(Tenant("a", 1000.0), Tenant("b", 1000.0)),
     cores=4,
     memory_kb=100_000.0,
-    run_factor=16.0,
-    key_kb=100.0,
-    peers=10,
-    callers=3,
-    cold=False,
-    cold_span=10.0,
-    cold_from=0.2,
-    fall_multiple=5.0,
-    fall_span=2.0,
+    running_memory_factor=16.0,
+    key_entry_kb=100.0,
+    peer_count=10,
+    caller_count=3,
+    slow_start=False,
+    slow_start_span=10.0,
+    slow_start_initial_speed=0.2,
+    collapse_concurrency=5.0,
+    collapse_span=2.0,
     drain_grace=2.0,
-    answer_slack=0.06,
-    over_share_worth=0.1,
-    worth_by_work=False,
-    advice_max=1.0,
-    say="level",
-    said_for=1.0,
-    halt=None,
-    fresh=0.0,
-    fair_calls=5.0,
-    call_window=5.0,
-    linger=0.2,
-    passes_deadline=False,
-    tells_gone=True,
-    marks_retry=False,
-    deep_checks=False,
-    listed_by_health=True,
-    idle=15.0,
+    response_slack=0.06,
+    over_quota_weight=0.1,
+    weight_per_request=False,
+    max_retry_after=1.0,
+    load_signal="level",
+    load_signal_ttl=1.0,
+    cancellation=None,
+    result_freshness=0.0,
+    dependency_quota=5.0,
+    dependency_window=5.0,
+    dependency_linger=0.2,
+    propagates_deadline=False,
+    reports_cancellation=True,
+    marks_retries=False,
+    deep_health_checks=False,
+    registry_follows_health=True,
+    idle_timeout=15.0,
 )
 
 
-def settings(**changes: Any) -> i.Settings:
+def settings(**changes: Any) -> Settings:
     return replace(BASE, **changes)
 
 
-def arrival(id: int, cls: int = 0, **changes: Any) -> i.Arrival:
-    base = i.Arrival(id, 30.0, 0, None, 0, 0.0, False, False, cls, 0.5, None, None, None)
+def arrival(id: int, cls: int = 0, **changes: Any) -> RequestArrived:
+    base = RequestArrived(id, 30.0, 0, None, 0, 0.0, False, False, cls, 0.5, None, None, None)
     return replace(base, **changes)
 
 
-def poll(cpu: float = 0.5, on_cores: float = 1.0) -> i.Poll:
-    return i.Poll(0, cpu, on_cores, 0.1, 5.0)
+def poll(cpu: float = 0.5, on_cores: float = 1.0) -> LoadSample:
+    return LoadSample(0, cpu, on_cores, 0.1, 5.0)
 
 
-def of(actions: list[i.Action], *kinds: type) -> list[Any]:
+def of(actions: list[Action], *kinds: type) -> list[Any]:
     return [a for a in actions if isinstance(a, kinds)]
 
 
-def ids(actions: list[i.Action], *kinds: type) -> list[int]:
-    return [a.id for a in of(actions, *kinds)]
+def ids(actions: list[Action], *kinds: type) -> list[int]:
+    return [a.request_id for a in of(actions, *kinds)]
 
 
 def started(**changes: Any) -> Controller:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -30,13 +30,13 @@
 from typing import Any
 
 from lapishaven import config
+from lapishaven.attempt_log import SqliteAttemptLog
+from lapishaven.connection_end import ConnectionEnd
 from lapishaven.core.contracts import Contract
-from lapishaven.ends import End
 from lapishaven.net.loop import Loop
 from lapishaven.proto import uwsgi
 from lapishaven.proto.lines import Lines
 from lapishaven.server import Server
-from lapishaven.store import Sqlite
 
 CLASSES = [("fuzzy-match", 1.5, 5.6, "free", 1.0), ("approve-commit", 1.1, 3.8, "single_shot", 3.0)]
 SETTINGS: dict[str, Any] = {
@@ -195,9 +195,9 @@
     """One server and its stand-ins; ``play`` runs a scenario."""
 
     banner: str | None = "WARM"
-    backend: config.UwsgiBackend | None = None
+    backend: config.UwsgiBackendConfig | None = None
     contracts: list[Contract] | None = None
-    store: Sqlite | None = None
+    store: SqliteAttemptLog | None = None
     settings: dict[str, Any] = SETTINGS
     inherits = False  # whether callers' listening socket is one that another process holds too (``held``)
 
@@ -214,7 +214,7 @@
             self.held = socket.create_server(("127.0.0.1", 0))
             self.addCleanup(self.held.close)
             environ["NODE_INHERITED_FD"] = str(os.dup(self.held.fileno()))
-        front = config.UwsgiFront(("127.0.0.1", 0), "/match/", 30.0)
+        front = config.UwsgiFrontendConfig(("127.0.0.1", 0), "/match/", 30.0)
         self.said: list[str] = []
         self.files = text
         self.server = Server(
@@ -233,7 +233,7 @@
 
     def tearDown(self) -> None:
         for session in list(self.server.callers.sessions):
-            session.conn.abort(End.SHUTDOWN)
+            session.conn.abort(ConnectionEnd.SHUTDOWN)
         for listener in self.server.listeners:
             listener.abandon()
         if self.server.control_door is not None:
@@ -257,7 +257,7 @@
             return self.vm.dialled()
         there, peers = (self.up_there, self.up) if address[1] == 3 else (self.catalog_up, self.catalog)
         if not there:
-            return End.UNREACHED
+            return ConnectionEnd.UNREACHED
         peers.append(Peer(ours))
         return theirs
         yield
--- a/tests/test_control.py
+++ b/tests/test_admin.py
@@ -9,7 +9,7 @@
 from scenario import World, configuration
 
 from lapishaven import config
-from lapishaven.control.door import LIMIT
+from lapishaven.admin.server import LIMIT
 from lapishaven.net.listener import Budget, Listener
 from lapishaven.net.loop import Loop
 
--- a/tests/test_catalog_crossings.py
+++ b/tests/test_catalog_crossings.py
@@ -10,9 +10,9 @@
 from scenario import Peer
 from wire import wait_for
 
-from lapishaven.catalog import AGAIN, ANSWER, EVERY, Reporter
+from lapishaven.catalog_reporter import AGAIN, ANSWER, EVERY, CatalogReporter
+from lapishaven.connection_end import ConnectionEnd
 from lapishaven.counters import Counters
-from lapishaven.ends import End
 from lapishaven.net.loop import Loop, Wait
 
 OLD, NEW = ("127.0.0.1", 1), ("127.0.0.1", 2)
@@ -31,17 +31,19 @@
         self.held: list[Wait] | None = None  # dials that wait, while they are held
         self.up = True
         self.counters = Counters()
-        self.reporter = Reporter(self.loop, OLD, "n1", self.counters, self.dial)
+        self.reporter = CatalogReporter(self.loop, OLD, "n1", self.counters, self.dial)
         self.loop.spawn(self.reporter.run(), lambda error: self.reporter.failed())
 
-    def dial(self, loop: Loop, address: tuple[str, int], span: float) -> Generator[Wait, Any, socket.socket | End]:
+    def dial(
+        self, loop: Loop, address: tuple[str, int], span: float
+    ) -> Generator[Wait, Any, socket.socket | ConnectionEnd]:
         self.dialled.append(address)
         if self.held is not None:
             wait = Wait(span)
             self.held.append(wait)
             yield wait
         if not self.up:
-            return End.UNREACHED
+            return ConnectionEnd.UNREACHED
         ours, theirs = socket.socketpair()
         self.peers.append(Peer(ours))
         return theirs
--- a/tests/test_client_driver.py
+++ b/tests/test_client_driver.py
@@ -445,7 +445,7 @@
 
     code = (
         "import sys, lapishaven.cli, lapishaven.server\n"
-        "print([m for m in sys.modules if m.startswith(('lapishaven.client', 'lapishaven.lab')) or m in "
+        "print([m for m in sys.modules if f'{m}.'.startswith(('lapishaven.client.', 'lapishaven.lab.')) or m in "
         "('asyncio', 'msgspec', 'xxhash', 'structlog', 'prometheus_client', 'numpy')])"
     )
     out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
--- a/tests/test_client_fleet.py
+++ b/tests/test_client_fleet.py
@@ -1,8 +1,8 @@
 """The client at the size of a fleet: the hard cases of issue 21, caused in simulated time or on paper.
 
-The simulation runs the real policy of every client over a model of servers (``lab/clientsim.py``); the same seed
-gives the same figures. Today's client before the aperture (``subsetting = "rendezvous"``) runs beside ours where
-a case says what the aperture changed.
+The simulation runs the real policy of every client over a model of servers (``lab/client_simulation.py``); the
+same seed gives the same figures. The client before the aperture (``subsetting = "rendezvous"``) runs beside ours
+where a case says what the aperture changed.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from client_world import ClientWorld, Connections, Ending, listing, settings
 
 from lapishaven.client.settings import Catalog, Retry
-from lapishaven.lab.clientsim import Simulation, Spec
+from lapishaven.lab.client_simulation import Simulation, Spec
 
 FREE = Retry(share=0.5, floor_per_s=10.0, burst=20.0)
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -12,13 +12,13 @@
 from scenario import World
 from wire import Tcp, buffered, reset, wait_for
 
-from cometdrum.interface import Outcome
-from lapishaven.backends.uwsgi import Uwsgi
-from lapishaven.callers import WHOLE
+from lapishaven.admission import Outcome
+from lapishaven.backends.uwsgi import UwsgiBackend
+from lapishaven.client_connections import WHOLE
+from lapishaven.connection_end import ConnectionEnd
 from lapishaven.counters import Counters
-from lapishaven.ends import End
-from lapishaven.fronts import platform
-from lapishaven.net.conn import LINGER, LINGER_MOST, Conn
+from lapishaven.frontends import platform
+from lapishaven.net.connection import LINGER, LINGER_MOST, Connection
 from lapishaven.net.loop import Loop, Wait
 from lapishaven.proto import jsonrpc
 
@@ -81,7 +81,7 @@
         self.assertNotIn("t1.2", self.vm.handles)
         caller.sock.close()
         self.until(lambda: session.conn.end is not None, "the close of both")
-        self.assertEqual((session.conn.end, self.server.budget.used), (End.IDLE, 0))
+        self.assertEqual((session.conn.end, self.server.budget.used), (ConnectionEnd.IDLE, 0))
 
     # Guards against a close that waits for ever: a peer that rests in its turn is left.
     def test_a_peer_that_never_closes_is_left(self) -> None:
@@ -118,7 +118,7 @@
             if session.conn.end is None:
                 caller.sock.sendall(b"x" * 100)
                 self.wait(0.5)
-        self.assertEqual(session.conn.end, End.TOO_LARGE)
+        self.assertEqual(session.conn.end, ConnectionEnd.TOO_LARGE)
 
 
 class HalfClosed(Tcp):
@@ -183,7 +183,7 @@
         conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
         whole = b"".join(jsonrpc.result(n, bytes(4096)) for n in range(1, 6))
         conn.write(whole)
-        conn.close(End.FINISHED)
+        conn.close(ConnectionEnd.FINISHED)
         self.round()
         self.assertGreater(conn.out.size, 0)
         got, began = b"", self.now
@@ -209,14 +209,14 @@
         self.server.loop.unsent_limit = conn.out.size + 10
         other.write(jsonrpc.well(1, True))
         self.answered(innocent, "well")
-        self.assertEqual((conn.end, other.end), (End.EVICTED, None))
+        self.assertEqual((conn.end, other.end), (ConnectionEnd.EVICTED, None))
         self.assertEqual(self.server.loop.unsent, 0)
 
     def test_nothing_is_sent_after_a_close(self) -> None:
         caller = self.connect()
         conn = self.of(caller).conn
         conn.write(b"first\n")
-        conn.close(End.FINISHED)
+        conn.close(ConnectionEnd.FINISHED)
         conn.write(b"second\n")
         self.ended(caller, "closed")
         self.assertEqual(bytes(caller.data), b"first\n")
@@ -337,12 +337,12 @@
 
 def test_many_short_connections_leave_nothing_behind() -> None:
     """Guards against timers and connections that outlive their end."""
-    loop, ended = Loop(), list[End]()
+    loop, ended = Loop(), list[ConnectionEnd]()
     for n in range(300):
         ours, theirs = socket.socketpair()
-        conn = Conn(loop, ours, ended.append)
+        conn = Connection(loop, ours, ended.append)
         conn.write(b"answer\n")
-        conn.close(End.FINISHED)
+        conn.close(ConnectionEnd.FINISHED)
         theirs.close() if n % 2 else reset(theirs)
         wait_for(lambda conn=conn: (loop.round(0.001, lambda now: None), conn.end)[1], "its end")
     assert len(ended) == 300
@@ -371,11 +371,11 @@
         yield
 
     spans = {"fuzzy-match": 5.6}
-    backend = Uwsgi(loop, ("127.0.0.1", 1), "/run/", 1, spans, Listener(), Counters(), dial)  # type: ignore[arg-type]
+    backend = UwsgiBackend(loop, ("127.0.0.1", 1), "/run/", 1, spans, Listener(), Counters(), dial)  # type: ignore[arg-type]
     backend.start("h", "fuzzy-match", bytes(60_000), True)
     loop.round(0, lambda now: None)
     if how == "halted":
-        backend.halt("h")
+        backend.pause("h")
     else:
         clock[0] += 6.0
     got = b""
@@ -396,7 +396,7 @@
 
 def test_a_dial_without_a_descriptor_is_an_end_and_no_fault() -> None:
     """Guards against a link that is lost for good as the table of descriptors was full for a moment."""
-    from lapishaven.net.conn import connect
+    from lapishaven.net.connection import connect
 
     loop, got = Loop(), list[object]()
 
@@ -405,7 +405,7 @@
 
     with mock.patch("socket.socket", side_effect=OSError(24, "too many open files")):
         loop.spawn(dials())  # type: ignore[arg-type]
-    assert got == [End.UNREACHED]
+    assert got == [ConnectionEnd.UNREACHED]
     loop.close()
 
 
--- a/tests/test_keeping.py
+++ b/tests/test_connection_manager.py
@@ -1,4 +1,4 @@
-"""Which servers a client keeps and when it dials them (``client/fleet/keeping.py``), with times passed in."""
+"""Which servers a client keeps connected and when it dials them (``client/fleet/connection_manager.py``)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 from client_world import ClientWorld, Connections, Ending, listing, settings
 
-from lapishaven.client.fleet.keeping import Keeping
+from lapishaven.client.fleet.connection_manager import ConnectionManager
 from lapishaven.client.membership import Membership
 from lapishaven.client.settings import Catalog
 
@@ -36,7 +36,7 @@
 
     def __init__(self, number: int = 4) -> None:
         self.membership, self.peers, self.version = Membership(Catalog()), {}, 0  # type: Membership, dict[str, Known], int
-        self.keeping = Keeping(Connections(), self.membership, self.peers, number, Random(1), True)
+        self.keeping = ConnectionManager(Connections(), self.membership, self.peers, number, Random(1), True)
         self.hear(0.0)
         for name in self.keeping.window:
             self.peers[name] = Known()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,7 @@
 
 from lapishaven.client.fleet import Dealt, Pace, Ring, Turns, ring_of, ticket, width
 from lapishaven.client.fleet.aperture import order
-from lapishaven.client.fleet.pace import slot
+from lapishaven.client.fleet.dial_schedule import slot
 
 NAMES = [f"n{n}" for n in range(1, 11)]
 
--- a/tests/test_leaving.py
+++ b/tests/test_graceful_shutdown.py
@@ -16,9 +16,9 @@
 from scenario import Peer, Vm, World, configuration
 from wire import Caller, Tcp, wait_for
 
-from lapishaven.callers import CLOSED_AT_ONCE
+from lapishaven.client_connections import CLOSED_AT_ONCE
 from lapishaven.core.broker import LEAVE_ROOM
-from lapishaven.leaving import EXIT_ROOM
+from lapishaven.graceful_shutdown import EXIT_ROOM
 from lapishaven.net.listener import ACCEPTS
 from lapishaven.signals import Signals
 
--- a/tests/test_recovery.py
+++ b/tests/test_idempotency.py
@@ -19,31 +19,31 @@
 
 from lapishaven import config
 from lapishaven.cli import app
+from lapishaven.idempotency import DurableResults, ResultIndex, Standing
+from lapishaven.idempotency.result_index import Entry, decode, encode
 from lapishaven.lab import site
 from lapishaven.lab.catalog import Catalog
 from lapishaven.lab.disk import Disk
 from lapishaven.lab.interpreter import Box, Interpreter
 from lapishaven.proto import uwsgi
-from lapishaven.recovery import KeyedResults, Ledger, Standing
-from lapishaven.recovery.ledger import Entry, decode, encode
 from lapishaven.storage import Limits, Store
 
 ROOT = Path(__file__).parent.parent
 
 
 def test_the_ledger_ages_out_and_never_earlier() -> None:
-    ledger = Ledger(100.0)
+    ledger = ResultIndex(100.0)
     ledger.intend(10.0, b"a")
     ledger.done(12.0, b"a", b"r")
     ledger.intend(50.0, b"b")
     ledger.failed(b"b")
     assert ledger.find(109.0, b"a") == Entry(Standing.DONE, 10.0, b"r")
-    assert ledger.find(110.0, b"a").standing is Standing.UNKNOWN
-    assert ledger.find(60.0, b"b").standing is Standing.DOUBT
+    assert ledger.find(110.0, b"a").state is Standing.UNKNOWN
+    assert ledger.find(60.0, b"b").state is Standing.DOUBT
     assert ledger.frees_in(60.0) == 50.0
     assert ledger.sweep(120.0) == 1 and len(ledger) == 1
     ledger.void(b"b")
-    assert ledger.find(60.0, b"b").standing is Standing.UNKNOWN
+    assert ledger.find(60.0, b"b").state is Standing.UNKNOWN
 
 
 def test_values_are_read_back_and_nonsense_is_refused() -> None:
@@ -57,7 +57,7 @@
 class Keeping(World):
     """The real server over a store on a disk in memory, which commits only when the scenario says so."""
 
-    backend = config.UwsgiBackend(("127.0.0.1", 3), "/run/")
+    backend = config.UwsgiBackendConfig(("127.0.0.1", 3), "/run/")
     contracts = None
 
     def setUp(self) -> None:
@@ -69,14 +69,14 @@
         """A life of the server over what the disk has."""
         self.disk.locked = False
         self.base = Store(self.disk.mount(), Limits(segment=100_000), lambda: 1000.0, thread=False)
-        self.keeper = KeyedResults(self.base, 900.0, wall=lambda: 1000.0)
+        self.keeper = DurableResults(self.base, 900.0, wall=lambda: 1000.0)
         self.server.keeper, self.server.broker = self.keeper, None
         self.server.up(False, 1.0)
 
     def durable(self) -> None:
         while self.base.commit():
             pass
-        self.keeper.told()
+        self.keeper.process_completions()
         self.play("wait 0.01")
 
     def runs(self, count: int) -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -40,9 +40,9 @@
 
 
 def test_what_stands_there_is_passed_over_and_printed_and_no_more(tmp_path: Path) -> None:
-    done = run(tmp_path, "tests/test_here.py::test_bad | the clock of the box | #30\n")
+    done = run(tmp_path, "tests/test_here.py::test_bad | pytest -k bad, seed 1 | the clock of the box | #30\n")
     assert done.returncode == 0
-    assert "tests/test_here.py::test_bad (issue 30): the clock of the box" in done.stderr
+    assert "tests/test_here.py::test_bad (issue 30): the clock of the box; pytest -k bad, seed 1" in done.stderr
     command = [sys.executable, "-m", "pytest", "-q", *done.stdout.split()]
     assert subprocess.run(command, cwd=tmp_path, capture_output=True).returncode == 0
     assert subprocess.run(command[:-1], cwd=tmp_path, capture_output=True).returncode == 1
@@ -51,13 +51,17 @@
 @pytest.mark.parametrize(
     ("text", "told"),
     [
-        ("tests/test_here.py::test_gone | why | 30\n", "no such test: tests/test_here.py::test_gone"),
-        ("tests/test_here.py | a whole file | 30\n", "no such test"),
-        ("tests/test_here.py::test_bad\n", "KNOWN-RED.txt:1: not TEST | CAUSE | ISSUE"),
-        ("\ntests/test_here.py::test_bad | why | soon\n", "KNOWN-RED.txt:2: not TEST"),
-        ("tests/test_here.py::test_bad | | 30\n", "not TEST"),
-        ("tests/test_here.py::test_bad | a | 1\ntests/test_here.py::test_bad | b | 2\n", "stands there twice"),
-        ("".join(f"tests/test_here.py::test_{n} | why | 30\n" for n in range(4)), "4 tests, and at most 3"),
+        ("tests/test_here.py::test_gone | pytest | why | 30\n", "no such test: tests/test_here.py::test_gone"),
+        ("tests/test_here.py | pytest | a whole file | 30\n", "no such test"),
+        ("tests/test_here.py::test_bad | why | 30\n", "KNOWN-RED.txt:1: not TEST | COMMAND AND SEED | SEEN | ISSUE"),
+        ("tests/test_here.py::test_bad\n", "KNOWN-RED.txt:1: not TEST | COMMAND AND SEED | SEEN | ISSUE"),
+        ("\ntests/test_here.py::test_bad | pytest | why | soon\n", "KNOWN-RED.txt:2: not TEST"),
+        ("tests/test_here.py::test_bad | pytest | | 30\n", "not TEST"),
+        (
+            "tests/test_here.py::test_bad | pytest | a | 1\ntests/test_here.py::test_bad | pytest | b | 2\n",
+            "stands there twice",
+        ),
+        ("".join(f"tests/test_here.py::test_{n} | pytest | why | 30\n" for n in range(4)), "4 tests, and at most 3"),
     ],
 )
 def test_a_wrong_list_ends_the_run(tmp_path: Path, text: str, told: str) -> None:
@@ -66,7 +70,7 @@
 
 
 def test_three_are_allowed(known_red: ModuleType) -> None:
-    assert len(known_red.parse("".join(f"t.py::t{n} | why | 1\n" for n in range(3)))) == 3
+    assert len(known_red.parse("".join(f"t.py::t{n} | pytest | why | 1\n" for n in range(3)))) == 3
 
 
 def test_the_project_s_own_list_is_right() -> None:
--- a/tests/test_record.py
+++ b/tests/test_ledger.py
@@ -22,19 +22,19 @@
 from lapishaven.lab import modelcheck
 from lapishaven.lab.field import Field
 from lapishaven.lab.field.tier import Call, Tier
-from lapishaven.lab.recordmodel import RECORD
-from lapishaven.record import copies
-from lapishaven.record.audit import Charge, Effect, differences
-from lapishaven.record.base import EARNED, Base, Op, RecordError
-from lapishaven.record.flow import Flow, FlowRules
-from lapishaven.record.settings import RecordSettingsError, load
-from lapishaven.record.table import Event, Row, Standing, Verdict, judge
+from lapishaven.lab.ledger_model import RECORD
+from lapishaven.ledger import file_copies
+from lapishaven.ledger.audit import Charge, Effect, differences
+from lapishaven.ledger.backpressure import Backpressure, BackpressureRules
+from lapishaven.ledger.database import EARNED, LedgerDatabase, LedgerError, Op
+from lapishaven.ledger.settings import LedgerSettingsError, load
+from lapishaven.ledger.transitions import Event, Row, Standing, Verdict, judge
 
 ROOT = Path(__file__).parent.parent
 
 
-def effects(base: Base) -> tuple[list[Effect], list[Charge]]:
-    from lapishaven.record.command import _rows
+def effects(base: LedgerDatabase) -> tuple[list[Effect], list[Charge]]:
+    from lapishaven.ledger.command import _rows
 
     return _rows(base)
 
@@ -69,7 +69,7 @@
 
 def test_flow_turns_away_at_once_when_the_record_is_full_stalled_or_broken_and_tries_it_again() -> None:
     """Guards commits from waiting behind a record that stands still, and the record from being given up for good."""
-    flow = Flow(FlowRules(most=3, stall=0.5, faults=2, pause=0.2, pause_most=1.0))
+    flow = Backpressure(BackpressureRules(most=3, stall=0.5, faults=2, pause=0.2, pause_most=1.0))
     for _ in range(3):
         assert flow.wait(0.0) is None
         flow.taken(0.0)
@@ -92,7 +92,7 @@
 
 def test_an_effect_and_its_charge_are_one_transaction_and_a_lost_answer_is_no_second_charge(tmp_path: Path) -> None:
     """Guards billing: no effect without its charge, none charged twice, and another start's row is left alone."""
-    a, b = Base(str(tmp_path / "r.db")), Base(str(tmp_path / "r.db"))
+    a, b = LedgerDatabase(str(tmp_path / "r.db")), LedgerDatabase(str(tmp_path / "r.db"))
 
     def op(event: Event, start: str, **more: object) -> Op:
         return Op(event, "c", "k", start, 1.0, **more)  # type: ignore[arg-type]
@@ -111,7 +111,7 @@
             "create trigger full before insert on effect when new.key = 'bad' begin"
             " select raise(abort, 'database or disk is full'); end"
         )
-    with pytest.raises(RecordError, match="full"):
+    with pytest.raises(LedgerError, match="full"):
         a.write([Op(Event.INTEND, "c", "good", "a", 1.0), Op(Event.INTEND, "c", "bad", "a", 1.0)])
     assert a.read("select count(*) from effect") == [(1,)]
     assert not list(differences(*effects(a)))
@@ -134,7 +134,7 @@
 )
 def test_the_audit_names_each_planted_fault(tmp_path: Path, change: str, said: str) -> None:
     """Guards the audit: one that finds nothing whatever is wrong would be believed."""
-    base = Base(str(tmp_path / "r.db"))
+    base = LedgerDatabase(str(tmp_path / "r.db"))
     base.write([Op(Event.INTEND, "c", "k", "a", 1.0, "t/s"), Op(Event.FINISH, "c", "k", "a", 1.0, "", b"r", 7)])
     assert not list(differences(*effects(base)))
     with closing(sqlite3.connect(tmp_path / "r.db")) as raw, raw:
@@ -144,21 +144,21 @@
 
 def test_the_old_store_is_migrated_and_a_newer_schema_is_refused(tmp_path: Path) -> None:
     """Guards an upgrade: runs of the old store are not run again, and a file of a later version is not written to."""
-    from lapishaven.store import Entry, Sqlite
+    from lapishaven.attempt_log import LogEntry, SqliteAttemptLog
 
     path = str(tmp_path / "r.db")
-    store = Sqlite(path, lambda: None)
+    store = SqliteAttemptLog(path, lambda: None)
     for event, key in (("started", "k1"), ("answered", "k1"), ("started", "k2"), ("unrun", "k2")):
-        store.record(Entry(event, "h", "c", key, "t", "s", ""))
+        store.record(LogEntry(event, "h", "c", key, "t", "s", ""))
     store.close()
-    base = Base(path)
+    base = LedgerDatabase(path)
     assert base.read("select key, standing from effect") == [("k1", "spent")]
     assert base.write([Op(Event.INTEND, "c", "k1", "a", 1.0)])[0].verdict is Verdict.UNCERTAIN
     assert base.read("select count(*) from record") == [(4,)]  # nothing is lost
     with closing(sqlite3.connect(path)) as raw:
         raw.execute("pragma user_version = 9")
-    with pytest.raises(RecordError, match="newer"):
-        Base(path)
+    with pytest.raises(LedgerError, match="newer"):
+        LedgerDatabase(path)
 
 
 @pytest.mark.parametrize(
@@ -176,7 +176,7 @@
     """Guards operators from a traceback, and from a setting that is not heard."""
     path = tmp_path / "record.toml"
     path.write_text(text)
-    with pytest.raises(RecordSettingsError, match=said):
+    with pytest.raises(LedgerSettingsError, match=said):
         load(str(path))
 
 
@@ -185,7 +185,7 @@
     put back would forget commits; a record that is there is not written over."""
     file, settings_file = tmp_path / "r.db", tmp_path / "record.toml"
     settings_file.write_text(f'file = "{file}"\n')
-    base, over = Base(str(file)), threading.Event()
+    base, over = LedgerDatabase(str(file)), threading.Event()
 
     def write() -> None:
         n = 0
@@ -198,28 +198,28 @@
     writing.start()
     try:
         for n in range(5):
-            copies.backup(str(file), str(tmp_path / f"b{n}.db"))
-            found = effects(Base(str(tmp_path / f"b{n}.db")))
+            file_copies.backup(str(file), str(tmp_path / f"b{n}.db"))
+            found = effects(LedgerDatabase(str(tmp_path / f"b{n}.db")))
             assert not list(differences(*found)) and len(found[1]) == 2 * len(found[0])
     finally:
         over.set()
         writing.join()
-    with pytest.raises(RecordError, match="there already"):
-        copies.backup(str(file), str(tmp_path / "b0.db"))
-    with pytest.raises(RecordError, match="move it away"):
-        copies.restore(str(file), str(tmp_path / "b4.db"))
-    count = len(effects(Base(str(tmp_path / "b4.db")))[0])
+    with pytest.raises(LedgerError, match="there already"):
+        file_copies.backup(str(file), str(tmp_path / "b0.db"))
+    with pytest.raises(LedgerError, match="move it away"):
+        file_copies.restore(str(file), str(tmp_path / "b4.db"))
+    count = len(effects(LedgerDatabase(str(tmp_path / "b4.db")))[0])
     base.close()
     for name in ("r.db", "r.db-wal", "r.db-shm"):
         (tmp_path / name).unlink(missing_ok=True)
     whole = (tmp_path / "b4.db").read_bytes()
     half = tmp_path / "half.db"
     half.write_bytes(whole[: len(whole) // 2])
-    with pytest.raises(RecordError):
-        copies.restore(str(file), str(half))
+    with pytest.raises(LedgerError):
+        file_copies.restore(str(file), str(half))
     assert not file.exists() and not list(tmp_path.glob("*.part"))
-    copies.restore(str(file), str(tmp_path / "b4.db"))
-    assert len(effects(Base(str(file)))[0]) == count > 0
+    file_copies.restore(str(file), str(tmp_path / "b4.db"))
+    assert len(effects(LedgerDatabase(str(file)))[0]) == count > 0
     line = [
         sys.executable,
         "-m",
--- a/tests/test_spread.py
+++ b/tests/test_load_balancing.py
@@ -11,28 +11,39 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapishaven.lab.spreadcases import AT, CASES, build, play
+from lapishaven.lab.load_balancing_cases import AT, CASES, build, play
+from lapishaven.load_balancing import (
+    Choice,
+    Ending,
+    LoadBalancer,
+    LoadReport,
+    LoadReportError,
+    Rules,
+    load_report,
+    newer,
+    pack,
+    unpack,
+)
+from lapishaven.load_balancing.endpoint_state import EndpointState, wait
+from lapishaven.load_balancing.load_reporter import LoadReporter
+from lapishaven.load_balancing.retry_budget import RetryBudget
+from lapishaven.load_balancing.settings import SpreadError, load
+from lapishaven.load_balancing.weighted_sampler import WeightedSampler
 from lapishaven.proto import ProtocolError
 from lapishaven.proto import load as questions
-from lapishaven.spread import Choice, Ending, News, NewsError, Rules, Spread, newer, news, pack, unpack
-from lapishaven.spread.budget import Budget
-from lapishaven.spread.draw import Draw
-from lapishaven.spread.known import Known, wait
-from lapishaven.spread.settings import SpreadError, load
-from lapishaven.spread.teller import Teller
 
 
-def word(number: int, open_: int, start: int = 1, slots: int = 4, speed: float = 1.0, warm: float = 1.0) -> News:
-    return News(start, number, open_, float(open_), slots, speed, warm)
+def word(number: int, open_: int, start: int = 1, slots: int = 4, speed: float = 1.0, warm: float = 1.0) -> LoadReport:
+    return LoadReport(start, number, open_, float(open_), slots, speed, warm)
 
 
-def chooser(count: int = 4, **rules: float) -> Spread:
-    spread = Spread(Rules(**rules), Random(3))  # type: ignore[arg-type]
+def chooser(count: int = 4, **rules: float) -> LoadBalancer:
+    spread = LoadBalancer(Rules(**rules), Random(3))  # type: ignore[arg-type]
     spread.members(f"p{n}" for n in range(count))
     return spread
 
 
-def choose(spread: Spread, now: float, loads: dict[str, News]) -> str | None:
+def choose(spread: LoadBalancer, now: float, loads: dict[str, LoadReport]) -> str | None:
     """A choice whose questions are answered 1 ms later, by those that are in ``loads``."""
     choice = spread.begin(now)
     for probe in choice.ask:
@@ -55,28 +66,28 @@
     start: int, number: int, open_: int, load_: float, slots: int, speed: float, warm: float
 ) -> None:
     """Guards the wire: 15 bytes, 20 characters, each figure within a step."""
-    said = News(start, number, open_, load_, slots, speed, warm)
-    for back in (unpack(pack(said)), news.parse(news.text(said))):
+    said = LoadReport(start, number, open_, load_, slots, speed, warm)
+    for back in (unpack(pack(said)), load_report.parse(load_report.text(said))):
         assert (back.start, back.number, back.open, back.slots) == (start, number, open_, slots)
         assert abs(back.load - load_) <= 1 / 32 and abs(back.warm - warm) <= 1 / 255
         assert abs(back.speed / speed - 1) < 0.03
-    assert len(pack(said)) <= 32 and len(news.text(said)) <= 32
+    assert len(pack(said)) <= 32 and len(load_report.text(said)) <= 32
 
 
 @given(st.binary(max_size=64))
 def test_no_bytes_break_the_reading_of_words_and_questions(data: bytes) -> None:
     """Guards the loop from what strangers send to an open UDP port."""
     for read in (unpack, questions.asked, questions.answered):
-        with suppress(NewsError, ProtocolError):
+        with suppress(LoadReportError, ProtocolError):
             read(data)  # type: ignore[operator]
-    with suppress(NewsError):
-        news.parse(data.decode("latin-1"))
+    with suppress(LoadReportError):
+        load_report.parse(data.decode("latin-1"))
     assert len(questions.answer(1, pack(word(1, 1)))) <= len(questions.ask(1))  # no flood through an answer
 
 
 def test_old_words_are_told_from_new_ones_also_over_a_restart_and_a_wrap() -> None:
     """Guards against a late word that undoes a newer one."""
-    known = Known("p")
+    known = EndpointState("p")
     assert known.hear(1.0, 0.9, word(5, 3)) and not known.hear(1.1, 1.0, word(4, 9))
     assert known.news is not None and known.news.open == 3
     assert known.hear(1.2, 1.1, word(1, 0, start=2))
@@ -85,7 +96,7 @@
 
 def test_what_was_sent_since_the_question_is_on_top_and_old_news_falls_to_the_mean() -> None:
     """Guards against herds of one's own: a burst must not all go to what was empty a moment ago."""
-    known, rules = Known("p"), Rules(memory=1.0)
+    known, rules = EndpointState("p"), Rules(memory=1.0)
     known.hear(1.0, 0.9, word(1, 0))
     for n in range(3):
         known.sent(1.0 + n / 1000, 0.5, 1.0, rules)
@@ -111,7 +122,7 @@
 )
 def test_draws_follow_the_weights_through_changes(steps: list[tuple[int, float, bool]], seed: int) -> None:
     """Guards the structure: places that are moved by a removal, a largest weight that is gone."""
-    draw, model = Draw(), dict[str, float]()
+    draw, model = WeightedSampler(), dict[str, float]()
     for number, weight, keep in steps:
         if keep:
             draw.put(str(number), weight)
@@ -143,7 +154,7 @@
         assert spread.settle(n * 1.0, asked) == max(probe.name for probe in asked.ask)
     firsts = Counter()
     for seed in range(400):
-        other = Spread(Rules(), Random(seed))
+        other = LoadBalancer(Rules(), Random(seed))
         other.members(loads)
         firsts[choose(other, 0.0, {name: word(1, 0) for name in loads})] += 1
     assert max(firsts.values()) < 1.6 * 400 / 8
@@ -154,7 +165,7 @@
     spread = chooser(6)
     found = Counter(choose(spread, n * 0.02, {}) for n in range(5))
     assert None not in found and spread.counts["blind"] == 5
-    empty = Spread(Rules(), Random(1))
+    empty = LoadBalancer(Rules(), Random(1))
     assert empty.settle(0.0, empty.begin(0.0)) is None
 
 
@@ -163,7 +174,7 @@
     its fair part and more."""
     won = asked = 0
     for seed in range(3000):
-        spread = Spread(Rules(), Random(seed))
+        spread = LoadBalancer(Rules(), Random(seed))
         spread.members(f"p{n}" for n in range(4))
         loads = {f"p{n}": word(1, 3) for n in range(3)} | {"p3": word(1, 0, warm=0.5)}
         won += choose(spread, 0.0, loads) == "p3"
@@ -279,7 +290,7 @@
 
 def test_second_tries_are_a_part_of_the_first_and_more_for_a_while_when_several_fall_silent() -> None:
     """Guards against storms of repeats, and against a fifth of the processes that fall silent at once."""
-    budget, taken = Budget(Rules(budget=0.1)), 0
+    budget, taken = RetryBudget(Rules(budget=0.1)), 0
     for n in range(1000):
         budget.first(n * 0.01)
         taken += budget.take(n * 0.01)
@@ -295,7 +306,7 @@
     """Guards the word itself: a box twice as fast says so, whatever it is loaded with."""
     speeds = {}
     for factor in (1.0, 2.0):
-        teller, now = Teller(7, 2, 0.0), 0.0
+        teller, now = LoadReporter(7, 2, 0.0), 0.0
         for n in range(40):
             teller.started(now, f"a{n}", 0)
             teller.started(now, f"b{n}", 1)
@@ -317,7 +328,7 @@
 
 def test_a_process_that_starts_cold_wants_its_share_by_and_by() -> None:
     """Guards a cold process by its own word."""
-    teller = Teller(1, 4, 100.0, 0.25, 10.0)
+    teller = LoadReporter(1, 4, 100.0, 0.25, 10.0)
     assert [round(teller.news(100.0 + age, {}).warm, 2) for age in (0, 5, 10, 20)] == [0.25, 0.62, 1.0, 1.0]
 
 
--- a/tests/test_spread_tier.py
+++ b/tests/test_load_balancing_tier.py
@@ -11,8 +11,8 @@
 
 from lapishaven.lab.field import Field
 from lapishaven.lab.field.tier import Call, Tier
-from lapishaven.spread import command
-from lapishaven.spread.settings import SpreadError
+from lapishaven.load_balancing import command
+from lapishaven.load_balancing.settings import SpreadError
 
 STOPS = 2.2  # s, more than any aim
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 from scenario import World
 
-from lapishaven.callers import CLOSED_AT_ONCE
-from lapishaven.core.keys import KeyTable
-from lapishaven.net.ring import Ring, RingFull
+from lapishaven.client_connections import CLOSED_AT_ONCE
+from lapishaven.core.idempotency_keys import IdempotencyKeyTable
+from lapishaven.net.ring_buffer import RingBuffer, RingBufferFull
 from lapishaven.proto import ProtocolError, catalog, interpreter, jsonrpc, uwsgi
 
 LINES = (
@@ -79,10 +79,10 @@
     @settings(derandomize=True, deadline=None, max_examples=60)
     @given(st.lists(st.tuples(st.binary(max_size=90), st.integers(0, 90)), max_size=40))
     def test_the_ring_is_a_queue_with_a_limit(self, steps: list[tuple[bytes, int]]) -> None:
-        ring, model = Ring(200, 16), b""
+        ring, model = RingBuffer(200, 16), b""
         for data, count in steps:
             if len(model) + len(data) > 200:
-                self.assertRaises(RingFull, ring.write, data)
+                self.assertRaises(RingBufferFull, ring.write, data)
             else:
                 ring.write(data)
                 model += data
@@ -107,7 +107,7 @@
 class Bounds(World):
     # Guards against memory that grows with keys: results are let go, oldest first, and none is counted twice.
     def test_kept_results_are_bounded(self) -> None:
-        table = KeyTable(100)
+        table = IdempotencyKeyTable(100)
         for id in range(1, 50):
             table.open((0, f"k{id % 7}"), id)
             table.keep((0, f"k{id % 7}"), id, 10.0)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,7 +12,7 @@
 from client_world import CLASSES, listing
 
 from lapishaven.client import Client, Settings
-from lapishaven.client.fleet.roster import EMPTY, applied, whole
+from lapishaven.client.fleet.endpoint_list import EMPTY, applied, whole
 from lapishaven.client.membership import Membership
 from lapishaven.client.policy import Policy
 from lapishaven.client.settings import Catalog
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -16,21 +16,21 @@
 
 from lapishaven.core.contracts import Contract, Contracts, Denied
 from lapishaven.lab import modelcheck
-from lapishaven.lab.simfleet import SimClock, SimFleet
+from lapishaven.lab.ownership_simulation import SimClock, SimFleet
 from lapishaven.ownership.agent import Agent, Standing
-from lapishaven.ownership.book import Admission, Book, BookError
 from lapishaven.ownership.command import read_book
 from lapishaven.ownership.coordinators.sqlite import SqliteCoordinator
 from lapishaven.ownership.duties import budgets, periods, restart
 from lapishaven.ownership.fence import Act, Mark, Verdict, judge, moved
+from lapishaven.ownership.fenced_store import Admission, FencedStore, FencedStoreError
 from lapishaven.ownership.lease import TABLE, Event, Lease, LeaseError, State
-from lapishaven.ownership.member import Join, Member, Renew, Rules, Silent, Told
-from lapishaven.ownership.model import Card, Joined, Seen, Shard, View
+from lapishaven.ownership.member import Completed, Join, Member, Renew, Rules, Unknown
+from lapishaven.ownership.model import Joined, MemberRecord, Seen, Shard, View
 from lapishaven.ownership.model import Standing as Serves
-from lapishaven.ownership.part import PLANS
+from lapishaven.ownership.overload import OverloadDetector, OverloadRules
+from lapishaven.ownership.participant import PLANS
 from lapishaven.ownership.placement import Part, place
 from lapishaven.ownership.settings import OwnershipError, load
-from lapishaven.ownership.strain import Strain, StrainRules
 
 
 # ---- Leases
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("table", [table for plan in PLANS.values() for table in plan.guarded])
 def test_no_duty_s_effect_can_be_reached_around_the_fence(tmp_path: Path, table: str) -> None:
     """Guards every receiver in the product: plain SQL on the same file must not write what only the fence may."""
-    Book(str(tmp_path / "b"), PLANS).close()
+    FencedStore(str(tmp_path / "b"), PLANS).close()
     base = sqlite3.connect(tmp_path / "b")
     columns = [row[1] for row in base.execute(f"pragma table_info({table})")]
     with pytest.raises(sqlite3.Error, match="not through the fence"):
@@ -90,9 +90,9 @@
 
 def test_an_effect_that_fails_leaves_no_mark_and_the_act_may_come_again(tmp_path: Path) -> None:
     """Guards the one transaction: a mark without its effect would answer the repeat as done."""
-    book = Book(str(tmp_path / "b"), PLANS)
+    book = FencedStore(str(tmp_path / "b"), PLANS)
     act = Act(("periods", 0), 5, 1)
-    with pytest.raises(BookError):
+    with pytest.raises(FencedStoreError):
         book.admit(act, "close", {"shard": "no number", "period": 1})
     assert book.admit(act, "close", {"shard": 0, "period": 1}).verdict is Verdict.ADMIT
     assert book.admit(act, "close", {"shard": 0, "period": 1}).verdict is Verdict.REPEAT
@@ -105,8 +105,8 @@
     base = sqlite3.connect(tmp_path / "b")
     base.execute("pragma user_version = 99")
     base.close()
-    with pytest.raises(BookError, match="newer"):
-        Book(str(tmp_path / "b"), PLANS)
+    with pytest.raises(FencedStoreError, match="newer"):
+        FencedStore(str(tmp_path / "b"), PLANS)
 
 
 # ---- Placement
@@ -207,10 +207,10 @@
 def test_a_refused_act_ends_the_session_and_all_that_it_holds() -> None:
     """Guards the wake-up: one refusal says that time went by unseen, so nothing else may be believed either."""
     shards: list[Shard] = [("w", 0), ("w", 1)]
-    member = Member(Card("a", "a1"), shards, Rules(), Random(1))
+    member = Member(MemberRecord("a", "a1"), shards, Rules(), Random(1))
     op = member.next(0.0)
     assert op is not None
-    member.done(0.1, op, Told(Joined(5, 1)))
+    member.done(0.1, op, Completed(Joined(5, 1)))
     member.held.update({("w", 0): 7, ("w", 1): 8})
     member.refused(0.2, ("w", 0), 7, 9)
     assert member.session is None and not member.held and member.token(0.3, ("w", 1)) is None
@@ -221,37 +221,37 @@
 def test_each_attempt_to_join_is_another_start() -> None:
     """Guards the read-back, as the model does: a first attempt that came late must not be taken for the second, whose
     time is counted from a later instant."""
-    member = Member(Card("a", "a1"), [("w", 0)], Rules(), Random(1))
+    member = Member(MemberRecord("a", "a1"), [("w", 0)], Rules(), Random(1))
     first = member.next(0.0)
     assert isinstance(first, Join)
-    member.done(0.5, first, Silent())
+    member.done(0.5, first, Unknown())
     look = member.next(2.0)
     assert look is not None
-    member.done(2.0, look, Told(View(1, (), {}, {})))  # not there, yet
+    member.done(2.0, look, Completed(View(1, (), {}, {})))  # not there, yet
     second = member.next(4.0)
     assert isinstance(second, Join) and second.card.start != first.card.start
-    member.done(4.5, second, Silent())
+    member.done(4.5, second, Unknown())
     late = View(2, (Seen(7, first.card),), {}, {})  # the first one came after the look
     look = member.next(6.0)
     assert look is not None
-    member.done(6.0, look, Told(late))
+    member.done(6.0, look, Completed(late))
     assert member.session is None
 
 
 def test_a_renewal_without_answer_keeps_the_old_time() -> None:
     """Guards doubt: neither yes nor no, so nothing is gained by it and nothing is given up before its time."""
     rules = Rules(ttl=3.0, margin=0.3)
-    member = Member(Card("a", "a1"), [("w", 0)], rules, Random(1))
+    member = Member(MemberRecord("a", "a1"), [("w", 0)], rules, Random(1))
     op = member.next(0.0)
     assert op is not None
-    member.done(0.1, op, Told(Joined(5, 1)))
+    member.done(0.1, op, Completed(Joined(5, 1)))
     member.held[("w", 0)] = 7
     now, renewals = 0.1, 0
     while now < 4.0:
         op = member.next(now)
         if op is not None:
             renewals += isinstance(op, Renew)
-            member.done(now, op, Silent())
+            member.done(now, op, Unknown())
         assert (member.token(now, ("w", 0)) is not None) == (now < 2.7)
         now = round(now + 0.01, 2)
     assert renewals > 3  # it asks again while it doubts
@@ -260,7 +260,7 @@
 # ---- Duties
 def test_a_period_is_closed_once_and_late_rows_go_to_the_next(tmp_path: Path) -> None:
     """Guards billing: a row in no statement, or in two, is a dispute."""
-    book = Book(str(tmp_path / "b"), PLANS)
+    book = FencedStore(str(tmp_path / "b"), PLANS)
     collector = periods.Collector("n1", "n1:1", 1, 10.0)
     for wall, team in ((1.0, "x"), (2.0, "x"), (12.0, "y")):
         collector.served(wall, team, "c", 0.5)
@@ -346,7 +346,7 @@
 
 def test_a_dealer_that_owns_a_contract_again_counts_what_another_dealt_meanwhile() -> None:
     """Guards a process that loses its shard and gets it back: what it remembers of grants is not what is out."""
-    book = Book(":memory:", {"budgets": budgets.PLAN})
+    book = FencedStore(":memory:", {"budgets": budgets.PLAN})
     numbers: Counter[int] = Counter()
 
     def dealer(token: int) -> Any:
@@ -375,7 +375,9 @@
     book.close()
 
 
-def rolling(reports: dict[str, tuple[str, bool, bool]], serving: dict[str, float], book: Book) -> list[tuple[str, Any]]:
+def rolling(
+    reports: dict[str, tuple[str, bool, bool]], serving: dict[str, float], book: FencedStore
+) -> list[tuple[str, Any]]:
     """What the duty does at one step, on a book with one rollout."""
     done: list[tuple[str, Any]] = []
     for name, report in reports.items():
@@ -395,7 +397,7 @@
 def test_a_rollout_takes_only_members_that_serve_and_obey_and_counts_the_dead_as_away() -> None:
     """Guards a rollout from waiting for ever for an operator's session or a member that does not obey, and capacity
     from one that died while its last word was that it is ready."""
-    book = Book(":memory:", PLANS)
+    book = FencedStore(":memory:", PLANS)
     assert rolling({}, {}, book) == []  # nobody ordered anything
     book.note(lambda base: restart.order(base, "r", 1, 0.5, 1))
     all_up = {name: (f"{name}1", True, name != "deaf") for name in ("a", "b", "deaf", "dead")}
@@ -417,22 +419,22 @@
         def admit(self, act: Act, effect: str, detail: Any) -> Admission:
             sent.append((act.number, detail))
             if len(sent) <= 6:
-                raise BookError("no answer")
+                raise FencedStoreError("no answer")
             return Admission(Verdict.ADMIT, act.token, 1, "yes")
 
     shard: Shard = ("w", 0)
-    member = Member(Card("a", "a1"), [shard], Rules(), Random(1))
+    member = Member(MemberRecord("a", "a1"), [shard], Rules(), Random(1))
     clock = SimClock()
     op = member.next(0.0)
     assert op is not None
-    member.done(0.0, op, Told(Joined(5, 1)))
+    member.done(0.0, op, Completed(Joined(5, 1)))
     member.held[shard] = 7
     agent = Agent(member, SqliteCoordinator(":memory:", clock), Deaf(), [], clock)
     agent._wake.set()  # nothing is waited for
     standing = Standing(7)
     for detail in ("one", "one", "two"):
         if len(sent) < 6:
-            with pytest.raises(BookError):
+            with pytest.raises(FencedStoreError):
                 agent._act(shard, standing, "e", detail)
         else:
             assert agent._act(shard, standing, "e", detail) == "yes"
@@ -443,7 +445,7 @@
     """Guards the port: an undealt contract is served from its own bucket, as before."""
 
     class Dealt:
-        def take(self, now: float, contract: Contract) -> float:
+        def take_budget(self, now: float, contract: Contract) -> float:
             return 2.5 if contract.team == "dealt" else -1.0
 
     terms = [Contract(team, "s", 0, 1.0, "interpreter", 1.0, 1.0) for team in ("dealt", "own")]
@@ -496,11 +498,13 @@
     shards = [("tick", n) for n in range(12)]
 
     def view(*weights: float) -> View:
-        seen = tuple(Seen(n, Card(f"m{n}", f"s{n}", Serves.SERVING, weight)) for n, weight in enumerate(weights))
+        seen = tuple(
+            Seen(n, MemberRecord(f"m{n}", f"s{n}", Serves.SERVING, weight)) for n, weight in enumerate(weights)
+        )
         return View(1, seen, {}, {})
 
     def moved_by(there: View, until: float, overloaded: Callable[[float], bool], before: View | None = None) -> int:
-        strain, now = Strain(StrainRules(after=2.0, pace=0.5)), 0.0
+        strain, now = OverloadDetector(OverloadRules(after=2.0, pace=0.5)), 0.0
         held = {shard: n for n, shard in enumerate(shards[:4])}
         if before is not None:
             strain.told(now, 0, 0, True)
@@ -523,7 +527,7 @@
     assert moved_by(view(1.0), 10.0, lambda now: True) == 0  # nobody there
     assert moved_by(view(1.0, 0.5, 0.5), 10.0, lambda now: True, even) == 0  # all the others are strained too
     assert moved_by(view(1.0, 0.5, 1.0), 10.0, lambda now: True, even) == 1
-    strain, answers, refusals = Strain(StrainRules(after=2.0)), 0, 0
+    strain, answers, refusals = OverloadDetector(OverloadRules(after=2.0)), 0, 0
     for n in range(40):  # a tenth refused is no overload, three tenths are
         answers, refusals = answers + 10, refusals + (1 if n < 20 else 3)
         strain.told(n * 0.2, answers, refusals, False)
@@ -534,7 +538,7 @@
 
 def test_what_purses_spill_is_dealt_once_more_up_to_the_stated_part() -> None:
     """Guards the contract's use where many small members each waste a little, and its bound whatever they claim."""
-    book = Book(":memory:", {"budgets": budgets.PLAN})
+    book = FencedStore(":memory:", {"budgets": budgets.PLAN})
     numbers = [0]
 
     def act(effect: str, detail: Any) -> Any:
--- a/tests/test_ownership_budgets.py
+++ b/tests/test_ownership_budgets.py
@@ -9,10 +9,10 @@
 
 from lapishaven.lab.field import Field
 from lapishaven.lab.field.tier import Call, Tier
-from lapishaven.ownership.book import Book
 from lapishaven.ownership.command import read_book
 from lapishaven.ownership.duties import budgets
-from lapishaven.ownership.part import PLANS
+from lapishaven.ownership.fenced_store import FencedStore
+from lapishaven.ownership.participant import PLANS
 
 RATE, FALLBACK, MEMBERS = 60.0, 0.1, 3
 PARTY = {"HTTP_X_TEAM": "t", "HTTP_X_SERVICE": "s"}
@@ -85,7 +85,7 @@
         assert used >= 0.88, used  # even parts would give 0.83
         after = sum(at >= ran[-1] - 3.0 for at in ran) / (3.0 * RATE)
         assert after >= 0.88, after  # an heir deals on, and what the dead had is dealt again
-    book = Book(str(tmp_path / "book.db"), PLANS)
+    book = FencedStore(str(tmp_path / "book.db"), PLANS)
     assert read_book(book) is None
     assert book.read("select count(distinct token) from fence_log where duty = 'budgets'")[0][0] >= 2
     book.close()
--- a/tests/test_ownership_field.py
+++ b/tests/test_ownership_field.py
@@ -15,11 +15,11 @@
 import pytest
 
 from lapishaven.lab.field import Field
+from lapishaven.lab.field.member_process import FAST, Team, evenly
 from lapishaven.lab.field.relay import Mode, Relays
-from lapishaven.lab.field.team import FAST, Team, evenly
-from lapishaven.ownership.book import Book
 from lapishaven.ownership.command import read_book
-from lapishaven.ownership.part import PLANS
+from lapishaven.ownership.fenced_store import FencedStore
+from lapishaven.ownership.participant import PLANS
 
 
 @pytest.fixture(params=["sqlite", "etcd"])
@@ -80,7 +80,7 @@
 
 def test_kill_at_every_step_of_a_hand_over(field: Team) -> None:
     """Guards that a shard that was being handed over has one owner again, whichever side died at which step."""
-    for n, point in enumerate(("before-hand", "after-hand", "before-announce", "before-leave")):
+    for n, point in enumerate(("before-transfer", "after-transfer", "before-announce", "before-deregister")):
         old, heir = f"old{n}", f"heir{n}"
         field.start(old, shards=2, arm=[[point, "kill", 2 if point == "before-announce" else 1]])
         since = len(field.field.lines)
@@ -323,7 +323,7 @@
         served = [line for line in list(field.lines) if line["what"] == "served"]
         count = sum(line["count"] for line in served)
         field.kill("b")
-        checked = Book(str(book), PLANS)
+        checked = FencedStore(str(book), PLANS)
         assert read_book(checked) is None
         # All that a server knew to be in the book is there, in one statement or in none yet.
         rows = set(checked.read("select start, number from consumption"))
--- a/tests/test_ownership_part.py
+++ b/tests/test_ownership_participant.py
@@ -11,8 +11,8 @@
 
 from lapishaven.core.contracts import Contract, Contracts
 from lapishaven.ownership import command
-from lapishaven.ownership.book import Book
-from lapishaven.ownership.part import PLANS, Part
+from lapishaven.ownership.fenced_store import FencedStore
+from lapishaven.ownership.participant import PLANS, Participant
 from lapishaven.ownership.settings import load
 
 TERMS = [Contract("t", "s", 0, 1.0, "interpreter", 80.0, 80.0)]
@@ -26,14 +26,14 @@
 
 
 @pytest.fixture
-def parts(tmp_path: Path) -> Iterator[tuple[str, dict[str, Part]]]:
+def parts(tmp_path: Path) -> Iterator[tuple[str, dict[str, Participant]]]:
     path = tmp_path / "o.toml"
     path.write_text(
         f'[coordinator]\nfile = "{tmp_path}/l.db"\n[receiver]\nfile = "{tmp_path}/b.db"\n'
         "[lease]\nttl_s = 0.6\nmargin_s = 0.1\nsettle_s = 0.0\n[periods]\nshards = 2\nlength_s = 0.5\ngrace_s = 0.1\n"
         "[budgets]\nspan_s = 1.2\nfallback = 0.1\nmembers = 2\n"
     )
-    there = {name: Part(load(str(path)), name, TERMS, ["fuzzy"], lambda text: None) for name in ("a", "b")}
+    there = {name: Participant(load(str(path)), name, TERMS, ["fuzzy"], lambda text: None) for name in ("a", "b")}
     for part in there.values():
         part.start()
     until(
@@ -43,12 +43,12 @@
     )
     yield str(path), there
     for part in there.values():
-        part.leave()
+        part.drain()
     for part in there.values():
         part.close()
 
 
-def test_a_budget_follows_need_and_is_kept(parts: tuple[str, dict[str, Part]]) -> None:
+def test_a_budget_follows_need_and_is_kept(parts: tuple[str, dict[str, Participant]]) -> None:
     """Guards the dealing on real threads and files: the busy one gets what the idle one does not ask for."""
     _, there = parts
     books = {name: Contracts(TERMS, part) for name, part in there.items()}
@@ -68,7 +68,7 @@
 
 
 def test_operators_see_take_and_hold_shards(
-    parts: tuple[str, dict[str, Part]], capsys: pytest.CaptureFixture[str]
+    parts: tuple[str, dict[str, Participant]], capsys: pytest.CaptureFixture[str]
 ) -> None:
     """Guards the commands against a live fleet: what they print is so, and a shard that is held is nobody else's."""
     path, there = parts
@@ -82,7 +82,7 @@
     until("a new owner", lambda: command.status(path, True) == 0)
     assert command.claim(path, "periods", 1, 1.0) == 0
     assert "held with token" in capsys.readouterr().out
-    there["a"].served("t", "c", 2.0, None)
+    there["a"].request_served("t", "c", 2.0, None)
     until("a statement", lambda: command.history(path, "periods", 5, False) == 0 and "close" in capsys.readouterr().out)
     assert command.verify(path) == 0
 
@@ -96,18 +96,18 @@
         "[restart]\nobey = true\n"
     )
     told = threading.Event()
-    part = Part(load(str(path)), "a", None, log=lambda text: None, go=told.set)
+    part = Participant(load(str(path)), "a", None, log=lambda text: None, go=told.set)
     part.start()
     try:
         until("the member", lambda: part.state()["shards"] == 3)
         assert command.rollout(str(path), "r", 1, 1.0) == 0
         assert told.wait(20.0)
-        part.leave()
+        part.drain()
         for key in ("k1", "k1", None, None):
-            part.served("t", "c", 1.0, key)
+            part.request_served("t", "c", 1.0, key)
     finally:
         part.close()
-    book = Book(str(tmp_path / "b.db"), PLANS)
+    book = FencedStore(str(tmp_path / "b.db"), PLANS)
     assert book.read("select sum(count) from consumption") == [(3,)]
     assert book.read("select ready from restart_report") == [(0,)]
     book.close()
--- a/tests/test_packaging.py
+++ b/tests/test_packaging.py
@@ -12,7 +12,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-PACKAGES = ("cometdrum", "lapishaven")
+PACKAGES = ("lapishaven",)
 IMPORT_ALL = """
 import importlib, sys
 for name in sys.argv[2:]:
@@ -56,7 +56,7 @@
 def test_the_wheel_has_every_module(wheel: Path) -> None:
     names = set(zipfile.ZipFile(wheel).namelist())
     assert sources(ROOT) - names == set()
-    assert {"cometdrum/py.typed", "lapishaven/py.typed"} <= names
+    assert "lapishaven/py.typed" in names
 
 
 # Guards against a module that only imports beside the checkout, or needs what the install list lacks.
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -4,7 +4,7 @@
 
 import hashlib
 import random
-from dataclasses import replace
+from dataclasses import astuple, replace
 from pathlib import Path
 from typing import Any
 
@@ -16,8 +16,32 @@
 from scenario import World, configuration
 from typer.testing import CliRunner
 
-from cometdrum import interface as i
-from cometdrum.controller import Controller
+from lapishaven.admission import (
+    Action,
+    AwaitOriginal,
+    CallDependency,
+    CancelRun,
+    Controller,
+    DrainRequested,
+    Event,
+    Fail,
+    Idempotency,
+    LoadSample,
+    Log,
+    Outcome,
+    PublishLoad,
+    Reject,
+    ReleaseKey,
+    RequestCancelled,
+    RequestClass,
+    ReserveKey,
+    RunFinished,
+    ScheduleTimer,
+    SetHealth,
+    SetIdleTimeout,
+    SkipDependency,
+    StartRun,
+)
 from lapishaven.cli import app
 from lapishaven.config import Files, parse
 from lapishaven.lab.emulator import EmulatorSpec, main
@@ -27,16 +51,16 @@
 from lapishaven.pools.settings import parse as parse_pools
 
 ROOT = Path(__file__).parent.parent
-QUICK = i.ClassSpec("quick", 0.5, 2.0, 0.3, i.Effect.SAFE, 0.0, None, False, 0.0)
-SLOW = i.ClassSpec("slow", 1.5, 5.6, 1.0, i.Effect.SAFE, 0.2, None, False, 0.0)
-ONCE = i.ClassSpec("once", 1.1, 3.8, 3.0, i.Effect.UNSAFE, 0.0, None, False, 0.0)
+QUICK = RequestClass("quick", 0.5, 2.0, 0.3, Idempotency.IDEMPOTENT, 0.0, None, False, 0.0)
+SLOW = RequestClass("slow", 1.5, 5.6, 1.0, Idempotency.IDEMPOTENT, 0.2, None, False, 0.0)
+ONCE = RequestClass("once", 1.1, 3.8, 3.0, Idempotency.NOT_IDEMPOTENT, 0.0, None, False, 0.0)
 SITE = settings(
     classes=(SLOW, ONCE, QUICK),
     tenants=(),
     cores=4,
     memory_kb=1e6,
-    halt="pause",
-    advice_max=1.0,
+    cancellation="pause",
+    max_retry_after=1.0,
 )
 RULES: dict[str, Any] = {
     "pool": [
@@ -305,44 +329,77 @@
     for cpu in (None, -1.0, 1e9, 0.0, float("nan")):
         bench.start()
         bench.now += 0.1
-        bench.pools.poll(bench.now, i.Poll(0, cpu, cpu, cpu, None))
-        assert SITE.cores <= bench.pools.limit <= SITE.cores * SITE.fall_multiple
+        bench.pools.poll(bench.now, LoadSample(0, cpu, cpu, cpu, None))
+        assert SITE.cores <= bench.pools.limit <= SITE.cores * SITE.collapse_concurrency
         assert len(bench.pools.running) <= bench.pools.limit + bench.pools.reserve_slots
 
 
 # ---- The Controller
-def stream(seed: int, rounds: int = 400) -> list[tuple[float, list[i.Event]]]:
+def stream(seed: int, rounds: int = 400) -> list[tuple[float, list[Event]]]:
     """Recorded batches: arrivals, ends, departures, polls and a drain, all drawn by the seed."""
-    rnd, now, batches, open_ids = random.Random(seed), 0.0, list[tuple[float, list[i.Event]]](), list[int]()
+    rnd, now, batches, open_ids = random.Random(seed), 0.0, list[tuple[float, list[Event]]](), list[int]()
     for n in range(rounds):
         now += rnd.random() * 0.05
-        events: list[i.Event] = []
+        events: list[Event] = []
         for k in range(rnd.randrange(4)):
             id = n * 8 + k + 1
             rank, kb = rnd.random(), rnd.uniform(10, 60)
-            events.append(replace(arrival(id, cls=rnd.randrange(4), age=rnd.random() * 0.3), rank=rank, kb=kb))
+            events.append(
+                replace(arrival(id, class_index=rnd.randrange(4), age=rnd.random() * 0.3), rank=rank, memory_kb=kb)
+            )
             open_ids.append(id)
         for _ in range(rnd.randrange(3)):
             if open_ids:
                 id = open_ids.pop(rnd.randrange(len(open_ids)))
-                outcome = rnd.choice([i.Outcome.OK] * 6 + [i.Outcome.ERROR, i.Outcome.CANCELLED])
-                events.append(i.Finished(id, rnd.uniform(0.1, 1.5), outcome) if rnd.random() < 0.9 else i.Gone(id))
+                outcome = rnd.choice([Outcome.OK] * 6 + [Outcome.ERROR, Outcome.CANCELLED])
+                events.append(
+                    RunFinished(id, rnd.uniform(0.1, 1.5), outcome) if rnd.random() < 0.9 else RequestCancelled(id)
+                )
         if n % 3 == 0:
-            events.append(i.Poll(0, rnd.random() * 1.1, rnd.uniform(0, 12), rnd.random(), 5.0))
+            events.append(LoadSample(0, rnd.random() * 1.1, rnd.uniform(0, 12), rnd.random(), 5.0))
         if n == rounds - 40:
-            events.append(i.Drain(now + 3.0))
+            events.append(DrainRequested(now + 3.0))
         batches.append((now, events))
     return batches
 
 
+# The names that actions and their fields had when the digest below was taken.
+FIRST_NAMES: dict[type, tuple[str, tuple[str, ...]]] = {
+    StartRun: ("Run", ("id",)),
+    Reject: ("Refuse", ("id", "reason", "advice", "last")),
+    Fail: ("Fail", ("id", "reason")),
+    CancelRun: ("Halt", ("id",)),
+    CallDependency: ("Call", ("id", "patience")),
+    SkipDependency: ("Skip", ("id",)),
+    ReserveKey: ("Keep", ("id", "life")),
+    ReleaseKey: ("Forget", ("id",)),
+    AwaitOriginal: ("Attach", ("id",)),
+    SetHealth: ("Health", ("good",)),
+    PublishLoad: ("Say", ("value",)),
+    SetIdleTimeout: ("KeepIdle", ("span",)),
+    ScheduleTimer: ("Timer", ("span", "mark")),
+    Log: ("Remark", ("text",)),
+}
+
+
+def first_form(actions: list[Action]) -> str:
+    """The actions as ``repr`` printed them when the digest was taken."""
+    texts = []
+    for action in actions:
+        name, fields = FIRST_NAMES[type(action)]
+        pairs = zip(fields, astuple(action), strict=True)
+        texts.append(f"{name}({', '.join(f'{field}={value!r}' for field, value in pairs)})")
+    return f"[{', '.join(texts)}]"
+
+
 # Guards against pools that change anything where they are off. The digest is of the actions of the module as it was
 # before there were pools, on the same batches.
 def test_without_pools_the_actions_are_the_same_to_the_last_bit() -> None:
     digest = hashlib.sha256()
     for seed in range(6):
-        controller = Controller(settings(halt="pause" if seed % 2 else None), seed)
+        controller = Controller(settings(cancellation="pause" if seed % 2 else None), seed)
         for now, events in stream(seed):
-            digest.update(repr(controller.handle(now, events)).encode())
+            digest.update(first_form(controller.handle(now, events)).encode())
     assert digest.hexdigest() == "5302735e6b175110c125410b372db98921f6cba4efc357d142f33f524114aed3"
 
 
@@ -354,7 +411,7 @@
     controller = Controller(SITE, seed, pools)
     now, running, answered, gone = 0.0, dict[int, float](), dict[int, str](), set[int]()
     arrived, halted, halts, id = dict[int, float](), set[int](), 0, 0
-    pending: list[i.Event] = []
+    pending: list[Event] = []
     while now < 30.0:
         now = round(now + 0.02, 6)
         events, pending = pending, []
@@ -362,33 +419,37 @@
             for _ in range(rnd.choice([0, 0, 1, 1, 2])):
                 id += 1
                 arrived[id] = now
-                events.append(replace(arrival(id, cls=rnd.choices(range(3), [6, 2, 2])[0]), rank=rnd.random()))
+                events.append(replace(arrival(id, class_index=rnd.choices(range(3), [6, 2, 2])[0]), rank=rnd.random()))
         for each, end in list(running.items()):
             if end <= now and each not in halted:
                 del running[each]
-                events.append(i.Finished(each, 0.3, i.Outcome.OK))
+                events.append(RunFinished(each, 0.3, Outcome.OK))
                 answered.setdefault(each, "served")
         waiting = [r for r, at in arrived.items() if at < now and r not in answered and r not in gone]
         if waiting and rnd.random() < 0.03:
             leaver = rnd.choice(waiting)
             gone.add(leaver)
-            events.append(i.Gone(leaver))
+            events.append(RequestCancelled(leaver))
         if round(now / 0.02) % 5 == 0:
-            events.append(i.Poll(0, min(1.0, len(running) / 4), float(len(running)), 0.1, 5.0))
+            events.append(LoadSample(0, min(1.0, len(running) / 4), float(len(running)), 0.1, 5.0))
         for action in controller.handle(now, events):
-            if isinstance(action, i.Run):
-                assert action.id not in running and action.id not in answered and action.id not in gone
-                running[action.id] = now + rnd.uniform(0.1, 1.2)
-            elif isinstance(action, i.Refuse | i.Fail):
-                assert action.id not in answered and action.id not in gone, "answered twice"
-                answered[action.id] = "refused" if isinstance(action, i.Refuse) else "failed"
-                if isinstance(action, i.Refuse):
-                    assert action.advice is not None and 0 < action.advice <= 1.0
-            elif isinstance(action, i.Halt) and action.id in running:
-                del running[action.id]
+            if isinstance(action, StartRun):
+                assert (
+                    action.request_id not in running
+                    and action.request_id not in answered
+                    and action.request_id not in gone
+                )
+                running[action.request_id] = now + rnd.uniform(0.1, 1.2)
+            elif isinstance(action, Reject | Fail):
+                assert action.request_id not in answered and action.request_id not in gone, "answered twice"
+                answered[action.request_id] = "refused" if isinstance(action, Reject) else "failed"
+                if isinstance(action, Reject):
+                    assert action.retry_after is not None and 0 < action.retry_after <= 1.0
+            elif isinstance(action, CancelRun) and action.request_id in running:
+                del running[action.request_id]
                 halts += 1
-                pending.append(i.Finished(action.id, 0.1, i.Outcome.CANCELLED))
-        assert len(running) <= 0.85 * SITE.cores * SITE.fall_multiple
+                pending.append(RunFinished(action.request_id, 0.1, Outcome.CANCELLED))
+        assert len(running) <= 0.85 * SITE.cores * SITE.collapse_concurrency
     assert set(arrived) == set(answered) | gone
     assert not pools.running and len(pools.ready) == 0 and controller.memory == pytest.approx(0.0, abs=1e-6)
     assert halts > 0 and sum(controller.count) == 0
@@ -397,11 +458,11 @@
 def test_refusals_of_a_full_pool_come_from_the_pool_and_spare_the_others() -> None:
     controller = Controller(SITE, 1, Pools(rules(), SITE))
     controller.handle(0.0, [])
-    actions = controller.handle(0.0, [arrival(n, cls=0, rank=0.9) for n in range(1, 60)])
-    full = [a for a in of(actions, i.Refuse) if a.reason == "pool full"]
-    assert full and all(0.05 <= a.advice <= 1.0 for a in full)
-    actions = controller.handle(0.01, [arrival(100, cls=1), arrival(101, cls=2)])
-    assert not ids(actions, i.Refuse) and 101 in ids(actions, i.Run)
+    actions = controller.handle(0.0, [arrival(n, class_index=0, rank=0.9) for n in range(1, 60)])
+    full = [a for a in of(actions, Reject) if a.reason == "pool full"]
+    assert full and all(0.05 <= a.retry_after <= 1.0 for a in full)
+    actions = controller.handle(0.01, [arrival(100, class_index=1), arrival(101, class_index=2)])
+    assert not ids(actions, Reject) and 101 in ids(actions, StartRun)
 
 
 # Guards against a module that takes part only on paper: the server, its file, its reload and its counters.
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -13,15 +13,15 @@
 from typer.testing import CliRunner
 
 from lapishaven import __version__, config
+from lapishaven.attempt_log import SqliteAttemptLog
 from lapishaven.cli import app
 from lapishaven.core.contracts import Contract
-from lapishaven.store import Sqlite
 
 ROOT = Path(__file__).parent.parent
 
 
 class Brokered(World):
-    backend = config.UwsgiBackend(("127.0.0.1", 3), "/run/")
+    backend = config.UwsgiBackendConfig(("127.0.0.1", 3), "/run/")
     contracts = [
         Contract("team", "editor", 0, 2.0, "interpreter", 1.0, 2.0),
         Contract("team", "pipeline", 1, 3.8, "uwsgi", 10.0, 10.0),
@@ -31,7 +31,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path, self.dropped = f"{folder.name}/record.db", 0
-        self.store = Sqlite(self.path, self.drop)
+        self.store = SqliteAttemptLog(self.path, self.drop)
         super().setUp()
         self.up_there = True
 
@@ -84,7 +84,7 @@
             rows = base.execute("select event, class, service, detail from record").fetchall()
         commit = "approve-commit", "pipeline"
         self.assertEqual(rows[:2], [("started", *commit, ""), ("answered", *commit, "served")])
-        self.store = Sqlite(self.path, self.drop)
+        self.store = SqliteAttemptLog(self.path, self.drop)
         World.setUp(self)
         self.up_there = True
         self.play("""
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -4,7 +4,7 @@
 
 from scenario import SETTINGS, World, configuration, settings
 
-from lapishaven.core.guard import CLOCK_SLACK
+from lapishaven.core.execution_guard import CLOCK_SLACK
 
 KEYED = {"effect": "guarded", "window": 3.0}
 WINDOW, DEADLINE, POLL = 3.0, 3.8, 0.1
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -9,7 +9,7 @@
 
 from lapishaven import config
 from lapishaven.backends.interpreter import Command, Ledger
-from lapishaven.callers import CLOSED_AT_ONCE
+from lapishaven.client_connections import CLOSED_AT_ONCE
 from lapishaven.net.loop import Loop
 
 
@@ -491,7 +491,7 @@
             send c2 check
             expect c2 well
         """)
-        self.assertTrue(self.server.broker.settings.cold)
+        self.assertTrue(self.server.broker.settings.slow_start)
 
 
 class UwsgiFront(World):
@@ -605,7 +605,7 @@
 
 
 class UwsgiBackend(World):
-    backend = config.UwsgiBackend(("127.0.0.1", 3), "/run/")
+    backend = config.UwsgiBackendConfig(("127.0.0.1", 3), "/run/")
 
     def test_an_attempt_is_sent_and_its_ends_are_mapped(self) -> None:
         self.up_there = True
--- a/tests/test_wire.py
+++ b/tests/test_simulator_codec.py
@@ -11,8 +11,33 @@
 
 import pytest
 
-from cometdrum import interface as i
-from cometdrum import simhost, wire
+from lapishaven.admission import (
+    Action,
+    AwaitOriginal,
+    CallDependency,
+    CancelRun,
+    DependencyCallFinished,
+    DependencyCallNeeded,
+    DrainRequested,
+    Event,
+    Fail,
+    LoadSample,
+    Log,
+    Outcome,
+    PublishLoad,
+    Reject,
+    ReleaseKey,
+    RequestArrived,
+    RequestCancelled,
+    ReserveKey,
+    RunFinished,
+    ScheduleTimer,
+    SetHealth,
+    SetIdleTimeout,
+    SkipDependency,
+    StartRun,
+)
+from lapishaven.simulator import adapter, codec
 
 INFO: dict[str, Any] = {
     "customers": [{"name": "t", "allowance-per-s": 10.0, "portion": 1.0}],
@@ -80,7 +105,7 @@
 
 def run(data: bytes) -> list[tuple[int, list[bytes], bytes]]:
     sink = io.BytesIO()
-    simhost.serve(io.BytesIO(data), sink)
+    adapter.serve(io.BytesIO(data), sink)
     out, raw = [], sink.getvalue()
     while raw:
         number, count, length = struct.unpack_from(">III", raw)
@@ -125,58 +150,60 @@
 
 def test_arrival_fields_and_absent_values() -> None:
     body = memoryview(arrival(9, opts=7))
-    event = wire.decode_event(20, body, 0, tuple)
-    assert isinstance(event, i.Arrival)
-    assert (event.id, event.caller, event.cls, event.subject, event.due) == (9, 3, 0, 77, 9.5)
-    assert event.cost == 0.3 and event.retry and event.write and event.repeats is None
-    bare = wire.decode_event(20, memoryview(record(20)), 0, tuple)
-    assert isinstance(bare, i.Arrival) and bare.due is None and bare.cost is None and bare.subject is None
+    event = codec.decode_event(20, body, 0, tuple)
+    assert isinstance(event, RequestArrived)
+    assert (event.request_id, event.caller_id, event.class_index, event.subject, event.deadline) == (9, 3, 0, 77, 9.5)
+    assert event.cost_hint == 0.3 and event.is_retry and event.is_write and event.duplicate_of is None
+    bare = codec.decode_event(20, memoryview(record(20)), 0, tuple)
+    assert (
+        isinstance(bare, RequestArrived) and bare.deadline is None and bare.cost_hint is None and bare.subject is None
+    )
 
 
 @pytest.mark.parametrize(
     ("packed", "code", "event"),
     [
-        (struct.pack(">IdH", 4, 0.5, 7), 30, i.Finished(4, 0.5, i.Outcome.CANCELLED)),
-        (struct.pack(">I", 4), 40, i.NeedsCall(4)),
-        (struct.pack(">IHd", 4, 3, 0.5), 50, i.CallEnded(4, i.Outcome.FULL, 0.5)),
-        (struct.pack(">d", 4.5), 60, i.Drain(4.5)),
-        (struct.pack(">I", 4), 70, i.Gone(4)),
-        (struct.pack(">IB2f", 4, 2, 0.5, 0.25), 80, i.Poll(4, 0.5, None, None, 0.25)),
+        (struct.pack(">IdH", 4, 0.5, 7), 30, RunFinished(4, 0.5, Outcome.CANCELLED)),
+        (struct.pack(">I", 4), 40, DependencyCallNeeded(4)),
+        (struct.pack(">IHd", 4, 3, 0.5), 50, DependencyCallFinished(4, Outcome.OVERLOADED, 0.5)),
+        (struct.pack(">d", 4.5), 60, DrainRequested(4.5)),
+        (struct.pack(">I", 4), 70, RequestCancelled(4)),
+        (struct.pack(">IB2f", 4, 2, 0.5, 0.25), 80, LoadSample(4, 0.5, None, None, 0.25)),
     ],
 )
-def test_events(packed: bytes, code: int, event: i.Event) -> None:
+def test_events(packed: bytes, code: int, event: Event) -> None:
     names = ("core_use", "links")
-    assert wire.decode_event(code, memoryview(record(code, packed)), 0, lambda: names) == event
+    assert codec.decode_event(code, memoryview(record(code, packed)), 0, lambda: names) == event
 
 
 @pytest.mark.parametrize(
     ("action", "packed"),
     [
-        (i.Run(4), struct.pack(">BI", 10, 4)),
-        (i.Refuse(4, "load", 0.5, True), struct.pack(">BIdB", 20, 4, 0.5, 1)),
-        (i.Fail(4, "due"), struct.pack(">BI", 30, 4)),
-        (i.Halt(4), struct.pack(">BI", 40, 4)),
-        (i.Call(4, 0.5), struct.pack(">BId", 50, 4, 0.5)),
-        (i.Skip(4), struct.pack(">BI", 60, 4)),
-        (i.Keep(4, 8.0), struct.pack(">BId", 70, 4, 8.0)),
-        (i.Forget(4), struct.pack(">BI", 80, 4)),
-        (i.Attach(4), struct.pack(">BI", 90, 4)),
-        (i.Health(False), struct.pack(">BBB", 100, 1, 0)),
-        (i.Say(0.25), struct.pack(">Bf", 110, 0.25)),
-        (i.KeepIdle(2.0), struct.pack(">Bd", 120, 2.0)),
-        (i.Timer(0.5, 77), struct.pack(">BdI", 130, 0.5, 77)),
+        (StartRun(4), struct.pack(">BI", 10, 4)),
+        (Reject(4, "load", 0.5, True), struct.pack(">BIdB", 20, 4, 0.5, 1)),
+        (Fail(4, "due"), struct.pack(">BI", 30, 4)),
+        (CancelRun(4), struct.pack(">BI", 40, 4)),
+        (CallDependency(4, 0.5), struct.pack(">BId", 50, 4, 0.5)),
+        (SkipDependency(4), struct.pack(">BI", 60, 4)),
+        (ReserveKey(4, 8.0), struct.pack(">BId", 70, 4, 8.0)),
+        (ReleaseKey(4), struct.pack(">BI", 80, 4)),
+        (AwaitOriginal(4), struct.pack(">BI", 90, 4)),
+        (SetHealth(False), struct.pack(">BBB", 100, 1, 0)),
+        (PublishLoad(0.25), struct.pack(">Bf", 110, 0.25)),
+        (SetIdleTimeout(2.0), struct.pack(">Bd", 120, 2.0)),
+        (ScheduleTimer(0.5, 77), struct.pack(">BdI", 130, 0.5, 77)),
     ],
 )
-def test_actions(action: i.Action, packed: bytes) -> None:
-    reply = wire.Reply()
+def test_actions(action: Action, packed: bytes) -> None:
+    reply = codec.Reply()
     reply.add(action)
     assert reply.frame(1) == struct.pack(">III", 1, 1, 16) + packed.ljust(16, b"\0")
 
 
 def test_remarks_share_the_tail() -> None:
-    reply = wire.Reply()
-    reply.add(i.Remark("ab"))
-    reply.add(i.Remark("cde"))
+    reply = codec.Reply()
+    reply.add(Log("ab"))
+    reply.add(Log("cde"))
     whole = reply.frame(1)
     assert whole[12:21] == struct.pack(">BII", 140, 0, 2)
     assert whole[28:37] == struct.pack(">BII", 140, 2, 3)
@@ -211,7 +238,7 @@
 )
 def test_malformed_input_is_one_plain_line(data: bytes, words: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "cometdrum.simhost"], input=data, capture_output=True, timeout=30, check=False
+        [sys.executable, "-m", "lapishaven.simulator.adapter"], input=data, capture_output=True, timeout=30, check=False
     )
     assert done.returncode == 2 and done.stdout == b""
     lines = done.stderr.decode().splitlines()
@@ -219,10 +246,10 @@
 
 
 def test_an_exception_in_the_decisions_becomes_die(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: object, now: float, events: object) -> list[i.Action]:
+    def broken(self: object, now: float, events: object) -> list[Action]:
         raise IndexError("out of range")
 
-    monkeypatch.setattr(simhost.Controller, "handle", broken)
+    monkeypatch.setattr(adapter.Controller, "handle", broken)
     reply = run(frame([select(1), born(0, len(TEXT))], TEXT))[0]
     assert [r[0] for r in reply[1]] == [160, 150]
     assert reply[2] == b"IndexError: out of range"
--- a/tests/test_cold_ramp.py
+++ b/tests/test_slow_start.py
@@ -14,53 +14,73 @@
 import pytest
 from helpers import SAFE, settings
 
-from cometdrum import interface as i
-from cometdrum.controller import Controller
+from lapishaven.admission import (
+    Controller,
+    Event,
+    Idempotency,
+    LoadSample,
+    Outcome,
+    RequestArrived,
+    RequestClass,
+    RunFinished,
+    Settings,
+    StartRun,
+)
 from lapishaven.lab.interpreter import Box, Cores, Work
 
 SERVERS, CALLERS = 30, 24
 TICK, POLL_EVERY = 0.02, 5  # s; ticks
-LOOK_UP = replace(SAFE, name="look-up", aim=1.5, deadline=5.6)
-COMMIT = i.ClassSpec("commit", 1.1, 3.8, 3.0, i.Effect.UNSAFE, 0.0, None, False, 0.0)
+LOOK_UP = replace(SAFE, name="look-up", latency_objective=1.5, deadline=5.6)
+COMMIT = RequestClass("commit", 1.1, 3.8, 3.0, Idempotency.NOT_IDEMPOTENT, 0.0, None, False, 0.0)
 WORKS = {"look-up": Work(0.2, 0.5), "commit": Work(0.15, 0.3)}
 
 
 class ColdServer:
     """One Controller and its cores, from its start on."""
 
-    def __init__(self, rules: i.Settings, speed: float, seed: int) -> None:
+    def __init__(self, rules: Settings, speed: float, seed: int) -> None:
         self.rules, self.random = rules, Random(seed)
         self.controller = Controller(rules, seed)
-        box = Box(cores=rules.cores, speed=speed, cold_from=rules.cold_from, cold_span=rules.cold_span, memory_runs=1e9)
+        box = Box(
+            cores=rules.cores,
+            speed=speed,
+            cold_from=rules.slow_start_initial_speed,
+            cold_span=rules.slow_start_span,
+            memory_runs=1e9,
+        )
         self.cores = Cores(box, WORKS, Random(seed + 1), 0.0, True)
-        self.events: list[i.Event] = []
+        self.events: list[Event] = []
         self.last = 0
-        self.counts: deque[int] = deque(maxlen=round(rules.fall_span / TICK))
+        self.counts: deque[int] = deque(maxlen=round(rules.collapse_span / TICK))
         self.worst = 0.0  # of the mean, as a part of what is survived
 
     def arrive(self, cls: int, caller: int) -> None:
         self.last += 1
         rank = self.random.random()
         self.events.append(
-            i.Arrival(self.last, 20.0, 0, None, caller, 0.0, False, cls == 1, cls, rank, None, None, None)
+            RequestArrived(self.last, 20.0, 0, None, caller, 0.0, False, cls == 1, cls, rank, None, None, None)
         )
 
     def step(self, now: float, poll: bool) -> None:
         for run in self.cores.step(now):
-            self.events.append(i.Finished(int(run.handle), now - run.began, i.Outcome.OK))
+            self.events.append(RunFinished(int(run.handle), now - run.began, Outcome.OK))
         if poll:
-            self.events.append(i.Poll(0, self.cores.used, float(self.cores.on_cores), 0.2, 10.0))
+            self.events.append(LoadSample(0, self.cores.used, float(self.cores.on_cores), 0.2, 10.0))
         events, self.events = self.events, []
         for action in self.controller.handle(now, events):
-            if isinstance(action, i.Run):
-                cls = self.controller.requests[action.id].cls
-                self.cores.start(now, str(action.id), self.rules.classes[cls].name, b"")
+            if isinstance(action, StartRun):
+                cls = self.controller.requests[action.request_id].cls
+                self.cores.start(now, str(action.request_id), self.rules.classes[cls].name, b"")
         self._judge(now)
 
     def _judge(self, now: float) -> None:
         self.counts.append(self.cores.on_cores)
-        share = min(1.0, self.rules.cold_from + (1.0 - self.rules.cold_from) * now / self.rules.cold_span)
-        survived = self.rules.cores * (1.0 + (self.rules.fall_multiple - 1.0) * share)
+        share = min(
+            1.0,
+            self.rules.slow_start_initial_speed
+            + (1.0 - self.rules.slow_start_initial_speed) * now / self.rules.slow_start_span,
+        )
+        survived = self.rules.cores * (1.0 + (self.rules.collapse_concurrency - 1.0) * share)
         if len(self.counts) == self.counts.maxlen:
             self.worst = max(self.worst, sum(self.counts) / len(self.counts) / survived)
 
@@ -90,16 +110,16 @@
         classes=(LOOK_UP, COMMIT),
         tenants=(),
         cores=cores,
-        fall_multiple=fall_multiple,
-        fall_span=fall_span,
-        cold=True,
-        cold_from=cold_from,
-        cold_span=cold_span,
+        collapse_concurrency=fall_multiple,
+        collapse_span=fall_span,
+        slow_start=True,
+        slow_start_initial_speed=cold_from,
+        slow_start_span=cold_span,
         memory_kb=1e9,
-        say=None,
-        fair_calls=None,
-        callers=CALLERS,
-        peers=SERVERS,
+        load_signal=None,
+        dependency_quota=None,
+        caller_count=CALLERS,
+        peer_count=SERVERS,
     )
     random = Random(7)
     servers = [ColdServer(rules, random.choice((0.6, 1.2)), 100 + n) for n in range(SERVERS)]
--- a/tests/test_sql.py
+++ b/tests/test_sqlite.py
@@ -6,7 +6,7 @@
 import threading
 from pathlib import Path
 
-from lapishaven import sql
+from lapishaven import sqlite
 
 SIDES, ROUNDS = 12, 25
 
@@ -21,8 +21,8 @@
         def opens(path: str = path, together: threading.Barrier = together) -> None:
             together.wait()
             try:
-                base = sql.connect(path, 5.0)
-                with sql.writing(base):
+                base = sqlite.connect(path, 5.0)
+                with sqlite.writing(base):
                     base.execute("create table if not exists t (x integer)")
                 base.close()
             except sqlite3.Error as error:
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -18,7 +18,7 @@
 
 from scenario import World
 
-from lapishaven.fronts import Session
+from lapishaven.frontends import Session
 
 PATIENCE = 10.0  # s of real time after which an event that is waited for is taken not to come
 
