--- a/lapishaven/lab/fleet.py
+++ b/lapishaven/lab/fleet.py
@@ -72,7 +72,10 @@
         log: Path | None = None,
         extra: Sequence[str] = (),
         keep: bool = False,
+        tree: Path = ROOT,
     ) -> None:
+        """``tree`` is the root of the program's tree that the servers run from."""
+        self._tree = tree
         self._closing = False
         self._keep = keep  # a server that leaves by itself, with code 0, is started again
         self.random = Random(seed)
@@ -224,8 +227,8 @@
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=out or asyncio.subprocess.DEVNULL,
                 stderr=out or asyncio.subprocess.DEVNULL,
-                cwd=ROOT,
-                env={**os.environ, "PYTHONPATH": str(ROOT)},
+                cwd=self._tree,
+                env={**os.environ, "PYTHONPATH": str(self._tree)},
             )
         finally:
             if out is not None:
