--- a/lapishaven/cli/serve.py
+++ b/lapishaven/cli/serve.py
@@ -37,9 +37,9 @@
 
 def _load(
     path: str | None, uwsgi: str | None, terms: str | None, pools: str | None, spread: str | None = None
-) -> config.Files:
+) -> config.ConfigFiles:
     try:
-        return config.load_all(path, uwsgi, terms, pools, spread)
+        return config.load_files(path, uwsgi, terms, pools, spread)
     except config.ConfigError as error:
         fail(str(error))
 
@@ -52,7 +52,7 @@
 def _keeper(path: str) -> DurableResults:
     """The keyed results of earlier lives, from the store that the file names."""
     try:
-        rules = config.storage(path)
+        rules = config.load_storage_rules(path)
     except config.ConfigError as error:
         fail(str(error))
     try:
@@ -61,10 +61,10 @@
     except ImportError:
         fail("keeping results needs lapishaven[storage]")
     try:
-        store = Store.open(rules.directory, Limits(total=int(rules.total_mb * 1024 * 1024)))
+        store = Store.open(rules.directory, Limits(total=int(rules.max_size_mb * 1024 * 1024)))
     except (StoreError, OSError) as error:
         fail(f"cannot open {rules.directory}: {error}")
-    return DurableResults(store, rules.life_s, rules.limit)
+    return DurableResults(store, rules.result_ttl, rules.max_results)
 
 
 def _recorder(path: str, name: str) -> Recorder:
@@ -87,7 +87,7 @@
 Owned = Annotated[str | None, typer.Option("--ownership", help="File that has it share the fleet's duties; else off.")]
 
 
-def _part(path: str, loaded: config.Files) -> Participant:
+def _part(path: str, loaded: config.ConfigFiles) -> Participant:
     """This server's part in the fleet's duties."""
     try:
         from lapishaven.ownership.participant import Participant
@@ -144,7 +144,7 @@
             contracts=loaded.contracts,
             store=store,
             counters=counters,
-            files=lambda: config.load_all(path, uwsgi, contracts, pools, spread),
+            files=lambda: config.load_files(path, uwsgi, contracts, pools, spread),
             pools=loaded.pools,
             keeper=keeper,
             fleet=fleet,
@@ -184,10 +184,10 @@
         )
     if kept is not None:
         try:
-            rules = config.storage(kept)
+            rules = config.load_storage_rules(kept)
         except config.ConfigError as error:
             fail(str(error))
-        print(f"keyed results in {rules.directory}, for {rules.life_s:g} s, up to {rules.limit}")
+        print(f"keyed results in {rules.directory}, for {rules.result_ttl:g} s, up to {rules.max_results}")
     if record is not None and record.endswith(".toml"):
         from lapishaven.ledger.settings import LedgerSettingsError
         from lapishaven.ledger.settings import load as load_record
--- a/lapishaven/frontends/uwsgi.py
+++ b/lapishaven/frontends/uwsgi.py
@@ -84,7 +84,7 @@
         handle,
         classes[name],
         request.body,
-        front.held_kb,
+        front.queued_kb,
         age=now - started,
         caller_id=who,
         is_retry=get("HTTP_X_RETRY") == "1",
--- a/lapishaven/server.py
+++ b/lapishaven/server.py
@@ -24,7 +24,14 @@
 from lapishaven.backends.uwsgi import UwsgiBackend
 from lapishaven.catalog_reporter import CatalogReporter
 from lapishaven.client_connections import ClientConnections
-from lapishaven.config import Config, ConfigError, Files, UwsgiBackendConfig, UwsgiFrontendConfig, renumbered
+from lapishaven.config import (
+    ConfigError,
+    ConfigFiles,
+    NodeConfig,
+    UwsgiBackendConfig,
+    UwsgiFrontendConfig,
+    keep_class_numbers,
+)
 from lapishaven.connection_end import ConnectionEnd
 from lapishaven.core import Submission
 from lapishaven.core.broker import Broker
@@ -59,7 +66,7 @@
 
     def __init__(
         self,
-        config: Config,
+        config: NodeConfig,
         front: UwsgiFrontendConfig | None = None,
         backend: UwsgiBackendConfig | None = None,
         loop: Loop | None = None,
@@ -68,7 +75,7 @@
         contracts: list[Contract] | None = None,
         store: AttemptLog | None = None,
         counters: Counters | None = None,
-        files: Callable[[], Files] | None = None,
+        files: Callable[[], ConfigFiles] | None = None,
         pools: PoolSettings | None = None,
         keeper: DurableResultStore | None = None,
         fleet: FleetMember | None = None,
@@ -127,7 +134,7 @@
         if front is not None:
             # Not the same in another life of the same configuration: the interpreter still knows the names of its runs.
             random = Random(f"{config.seed}/{os.getpid()}/{time.time_ns()}")
-            self.load = self._load_door(front) if front.load else None
+            self.load = self._load_door(front) if front.load_reports else None
             word = self.load.word if self.load is not None else None
             self.listeners.append(
                 self._listen(front.listen, lambda sock: uwsgi.Session(self, sock, front, random, word))
@@ -288,7 +295,7 @@
             files = self._files()
             if any(c.route not in self.drivers for c in files.contracts or []):
                 raise ConfigError("a contract names a backend that is not there before a restart")
-            settings = renumbered(self.config.settings, files.config.settings)
+            settings = keep_class_numbers(self.config.settings, files.config.settings)
         except ConfigError as error:
             self.counters.add("reloads", "failed")
             self.log(f"reload: {error}; the old configuration stays")
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -218,7 +218,7 @@
         self.said: list[str] = []
         self.files = text
         self.server = Server(
-            config.parse(text, environ),
+            config.parse_config(text, environ),
             front,
             self.backend,
             loop=Loop(lambda: self.now),
@@ -226,7 +226,7 @@
             dial=self.dial,
             contracts=self.contracts,
             store=self.store,
-            files=lambda: config.Files(config.parse(self.files)),
+            files=lambda: config.ConfigFiles(config.parse_config(self.files)),
         )
         self.peers: dict[str, Peer] = {}
         self.pump()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -93,10 +93,12 @@
 
 def test_the_environment_names_the_addresses_of_an_upgrade_before_the_file() -> None:
     """Guards against a new process of an upgrade that binds the old one's second address."""
-    got = config.parse(configuration(control="127.0.0.1:9"), {"NODE_CONTROL": "127.0.0.1:10", "NODE_INHERITED_FD": "3"})
+    got = config.parse_config(
+        configuration(control="127.0.0.1:9"), {"NODE_CONTROL": "127.0.0.1:10", "NODE_INHERITED_FD": "3"}
+    )
     assert (got.control, got.inherited) == (("127.0.0.1", 10), 3)
     with pytest.raises(config.ConfigError, match="NODE_INHERITED_FD"):
-        config.parse(configuration(), {"NODE_INHERITED_FD": "x"})
+        config.parse_config(configuration(), {"NODE_INHERITED_FD": "x"})
 
 
 def test_two_processes_share_one_listening_socket_and_the_leaving_one_takes_nothing_queued() -> None:
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -250,8 +250,8 @@
 def test_mistakes_are_one_plain_line(text: str, line: str, tmp_path: Path) -> None:
     (tmp_path / "s.toml").write_text(text)
     with pytest.raises(config.ConfigError, match=line):
-        config.storage(str(tmp_path / "s.toml"))
-    assert config.storage(str(ROOT / "deploy/storage.toml")).life_s == 3600
+        config.load_storage_rules(str(tmp_path / "s.toml"))
+    assert config.load_storage_rules(str(ROOT / "deploy/storage.toml")).result_ttl == 3600
     assert "--storage" not in (ROOT / "deploy/balancer.toml").read_text()  # off on the platform
 
 
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -43,7 +43,6 @@
     StartRun,
 )
 from lapishaven.cli import app
-from lapishaven.config import Files, parse
 from lapishaven.lab.emulator import EmulatorSpec, main
 from lapishaven.pools import Pools, PoolsError, PoolSettings
 from lapishaven.pools.capacity import Capacity
@@ -486,7 +485,7 @@
         assert self.server.pools.state()["all started"] == 1
         split: dict[str, Any] = {"pool": [{"name": name, "classes": [name], "share": 0.5} for name in names]}
         rules_now = parse_pools(split, names, 6)
-        self.server._files = lambda: Files(parse(configuration()), pools=rules_now)
+        self.server._files = lambda: ConfigFiles(parse_config(configuration()), pools=rules_now)
         self.play("send server HUP")
         assert [pool.name for pool in self.server.pools.pools] == names
         self.server.tell_counters()
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -143,4 +143,4 @@
 
     def test_without_node_config(self) -> None:
         environ = {name: value for name, value in os.environ.items() if name != "NODE_CONFIG"}
-        self.assertRaisesRegex(config.ConfigError, "NODE_CONFIG is not set", config.load, None, environ)
+        self.assertRaisesRegex(config.ConfigError, "NODE_CONFIG is not set", config.load_config, None, environ)
