--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -43,6 +43,7 @@
     StartRun,
 )
 from lapishaven.cli import app
+from lapishaven.config import ConfigFiles, parse_config
 from lapishaven.lab.emulator import EmulatorSpec, main
 from lapishaven.pools import Pools, PoolsError, PoolSettings
 from lapishaven.pools.capacity import Capacity
