--- a/lapishaven/admin/server.py
+++ b/lapishaven/admin/server.py
@@ -16,7 +16,7 @@
 from lapishaven.counters import Counters
 from lapishaven.net.connection import Connection
 from lapishaven.net.eviction import Evictions
-from lapishaven.net.listener import Budget, Listener
+from lapishaven.net.listener import DescriptorBudget, Listener
 from lapishaven.net.loop import Loop, Wait
 from lapishaven.proto import http
 
@@ -45,7 +45,7 @@
         self.loop, self.host, self.counters = loop, host, counters
         self.calls: dict[Connection, None] = {}  # open, oldest first
         self._room = Evictions(loop)
-        self.listener = Listener(loop, address, Budget(LIMIT, 0), self._accepted, self._make_room)
+        self.listener = Listener(loop, address, DescriptorBudget(LIMIT, 0), self._accepted, self._make_room)
 
     def _accepted(self, sock: socket.socket) -> None:
         self.counters.add("control", "calls")
--- a/lapishaven/client_connections.py
+++ b/lapishaven/client_connections.py
@@ -6,7 +6,7 @@
 from lapishaven.counters import Counters
 from lapishaven.frontends import Session
 from lapishaven.net.eviction import Evictions
-from lapishaven.net.listener import Budget
+from lapishaven.net.listener import DescriptorBudget
 from lapishaven.net.loop import Loop
 
 WHOLE = 2.0  # s for a message to come whole, the first one counted from the accept
@@ -17,7 +17,7 @@
 class ClientConnections:
     """Holds every session from its accept until its descriptor is given back."""
 
-    def __init__(self, loop: Loop, budget: Budget, counters: Counters, idle: float) -> None:
+    def __init__(self, loop: Loop, budget: DescriptorBudget, counters: Counters, idle: float) -> None:
         self.loop, self.budget, self.counters = loop, budget, counters
         self.idle = idle  # s after which a connection that has nothing open is closed
         self.sessions: dict[Session, float] = {}  # when each was last looked at, oldest look first
--- a/lapishaven/graceful_shutdown.py
+++ b/lapishaven/graceful_shutdown.py
@@ -12,7 +12,7 @@
 
 from lapishaven.client_connections import ClientConnections
 from lapishaven.core.broker import LEAVE_ROOM, Broker
-from lapishaven.net.listener import FULL_WAIT, Listener
+from lapishaven.net.listener import DESCRIPTOR_RETRY_S, Listener
 from lapishaven.net.loop import Loop
 
 EXIT_ROOM = 0.03  # s before the kill at which the process ends, whoever has not closed yet
@@ -55,7 +55,7 @@
 
     def _close_doors(self) -> None:
         if not all([listener.close() for listener in self.listeners]):
-            self.loop.at(self.loop.now + FULL_WAIT, self._close_doors)
+            self.loop.at(self.loop.now + DESCRIPTOR_RETRY_S, self._close_doors)
 
     def _leave(self) -> None:
         """Answer all, close all."""
--- a/lapishaven/net/__init__.py
+++ b/lapishaven/net/__init__.py
@@ -1,1 +1,1 @@
-"""The thin driver: epoll, generators as coroutines, ring buffers. It knows no protocol."""
+"""Nonblocking sockets on one epoll loop, with generators as coroutines. It knows no protocol."""
--- a/lapishaven/net/connection.py
+++ b/lapishaven/net/connection.py
@@ -1,9 +1,8 @@
-"""One connection: two rings, backpressure, and the one place where it ends.
+"""One nonblocking TCP connection: two ring buffers, backpressure and the one place where it ends.
 
-``close`` is the orderly end, and everyone's way out: what was queued is sent, the peer is told that no more comes (a
-half-close), and what still arrives is read and thrown away until the peer has closed too. Only then is the descriptor
-closed, since a close over unread bytes resets the connection, and a reset can overtake an answer. ``abort`` is for
-what nobody reads any more.
+``close`` is the graceful end (a lingering close, RFC 9112 section 9.6): queued bytes are sent, the connection is
+half-closed, and input is read and discarded until the peer has closed too. Only then is the descriptor closed, because
+closing a socket with unread bytes sends a reset, and a reset can overtake a response. ``abort`` closes at once.
 """
 
 from __future__ import annotations
@@ -16,89 +15,89 @@
 
 from lapishaven.connection_end import ConnectionEnd
 from lapishaven.net.loop import Loop, Timer, Wait
-from lapishaven.net.ring_buffer import RingBuffer, RingBufferFull
+from lapishaven.net.ring_buffer import RingBuffer, RingBufferFullError
 
-IN_LIMIT = 16 * 1024
-OUT_LIMIT = 512 * 1024
-OUT_HIGH = 128 * 1024  # unsent bytes past which nothing more is read
-LINGER = 1.0  # s without a byte either way after which a close no longer waits for the peer
-LINGER_MOST = 10.0  # s that a close takes at most, however slowly the peer reads or however much it sends
-BROKEN = select.EPOLLERR | select.EPOLLHUP
+RECEIVE_BUFFER_LIMIT = 16 * 1024
+SEND_BUFFER_LIMIT = 512 * 1024
+SEND_HIGH_WATER_MARK = 128 * 1024  # unsent bytes above which input is no longer read
+LINGER_S = 1.0  # without a byte in either direction after which a close stops waiting for the peer
+MAX_LINGER_S = 10.0  # a close takes no longer, however slowly the peer reads or however much it sends
+ERROR_EVENTS = select.EPOLLERR | select.EPOLLHUP
 
 
 class Connection:
-    """A nonblocking stream. ``read`` is for its one coroutine; ``write`` and ``close`` for anyone.
+    """A nonblocking byte stream. One coroutine calls ``read``; anyone may call ``write`` and ``close``.
 
-    The peer's half-close is no end: ``read`` tells it as ``PEER_CLOSED`` behind all that was received, and what is
-    written afterwards still goes out. ``on_end`` is called once, when the descriptor has been given back.
+    A half-close by the peer does not end the connection: ``read`` returns ``PEER_CLOSED`` after all bytes that were
+    received, and later writes are still sent. ``on_end`` is called once, after the descriptor has been closed.
     """
 
     def __init__(self, loop: Loop, sock: socket.socket, on_end: Callable[[ConnectionEnd], None]) -> None:
-        self.loop, self.sock, self._on_end = loop, sock, on_end
-        self.ins, self.out = RingBuffer(IN_LIMIT), RingBuffer(OUT_LIMIT)
+        self.loop, self.sock, self._ended_callback = loop, sock, on_end
+        self.ins, self.out = RingBuffer(RECEIVE_BUFFER_LIMIT), RingBuffer(SEND_BUFFER_LIMIT)
         self.end: ConnectionEnd | None = None
-        self.sent = 0  # bytes handed to the kernel so far
+        self.sent = 0  # bytes that the kernel has accepted so far
         self.active = loop.now
-        self.closing: ConnectionEnd | None = None  # why, from the first call of ``close`` on
-        self._eof = False  # the peer sends no more
-        self._discards = False
-        self._shut = False  # we send no more
+        self.closing: ConnectionEnd | None = None  # the reason, from the first call of ``close`` on
+        self._peer_half_closed = False  # the peer sends nothing more
+        self._discarding = False
+        self._half_closed = False  # nothing more is sent
         self._reader: Wait | None = None
-        self._mask: int | None = None
-        self._patience: Timer | None = None
-        self._moved = 0  # bytes both ways when the patience was last renewed
-        self._received = 0
+        self._watched_events: int | None = None
+        self._linger_timer: Timer | None = None
+        self._bytes_at_linger_check = 0  # bytes in both directions when the linger timer was last set
+        self._bytes_received = 0
         sock.setblocking(False)
         if sock.family != socket.AF_UNIX:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     # ---- Reading
     def read(self, span: float | None = None) -> Generator[Wait, Any, bytes | ConnectionEnd | None]:
-        """What came; behind that, the end of the input once there is one; ``None`` if the time ran out."""
-        if not self.ins.size and self._input_end() is None:
+        """The bytes received, then the end of the input; ``None`` if nothing came within ``span`` seconds."""
+        if not self.ins.size and self._end_of_input() is None:
             self._reader = Wait(span)
-            self._interest()
+            self._update_interest()
             yield self._reader
-            self._reader = None  # the interest in input is dropped when some comes that nobody waits for
-        return self.ins.take() or self._input_end()
+            self._reader = None  # interest in EPOLLIN is dropped when input arrives without a reader
+        return self.ins.take() or self._end_of_input()
 
-    def _input_end(self) -> ConnectionEnd | None:
-        return self.end or self.closing or (ConnectionEnd.PEER_CLOSED if self._eof else None)
+    def _end_of_input(self) -> ConnectionEnd | None:
+        return self.end or self.closing or (ConnectionEnd.PEER_CLOSED if self._peer_half_closed else None)
 
     def catch_up(self) -> bool:
-        """Read once more what is there, as it may have come since the loop looked; whether anything had come."""
-        before = self._received, self._eof
-        if self.end is None and self.ins.room:
+        """Read what has arrived since the loop last polled; whether there was anything."""
+        before = self._bytes_received, self._peer_half_closed
+        if self.end is None and self.ins.free_bytes:
             self._receive()
-        return (self._received, self._eof) != before
+        return (self._bytes_received, self._peer_half_closed) != before
 
     def discard(self) -> None:
-        """From now on what comes is read and thrown away, so that the peer is not held up in its writing."""
-        self._discards = True
+        """Read and discard all further input, so that the peer is never blocked in writing."""
+        self._discarding = True
         self.ins.take()
-        self._interest()
+        self._update_interest()
 
-    def _ready(self, mask: int) -> None:
+    def _on_events(self, mask: int) -> None:
         if mask & select.EPOLLOUT:
             self.flush()
-        if self.end is not None or not mask & (select.EPOLLIN | BROKEN):
+        if self.end is not None or not mask & (select.EPOLLIN | ERROR_EVENTS):
             return
-        if self._eof:
-            if mask & BROKEN:
-                # Nothing can come behind its half-close but this: it has closed the other half as well.
+        if self._peer_half_closed:
+            if mask & ERROR_EVENTS:
+                # After its half-close an error event can only mean that the peer has closed the other half too.
                 self.abort(ConnectionEnd.PEER_CLOSED)
             return
-        if self._reader is None and not self._discards and not mask & BROKEN:
-            return self._interest()
+        if self._reader is None and not self._discarding and not mask & ERROR_EVENTS:
+            return self._update_interest()
         self._receive()
 
     def _receive(self) -> None:
-        if self._eof:
+        if self._peer_half_closed:
             return
-        if self._discards:
+        if self._discarding:
             self.ins.take()
-        if not self.ins.room:
-            # Only a broken connection is read with nobody to take it, and there is no room left to find its end.
+        if not self.ins.free_bytes:
+            # Only after an error event is input read without a reader; the full buffer leaves no way to find its end.
             return self.abort(ConnectionEnd.RESET)
         try:
             got = self.ins.receive(self.sock)
@@ -106,33 +105,33 @@
             return
         except OSError:
             return self.abort(ConnectionEnd.RESET)
-        self._received += got
+        self._bytes_received += got
         self.loop.received += got
         if got:
             self.active = self.loop.now
         else:
-            self._eof = True
-        if self._discards:
+            self._peer_half_closed = True
+        if self._discarding:
             self.ins.take()
-        if self._shut and self._eof:
+        if self._half_closed and self._peer_half_closed:
             return self.abort(self.closing or ConnectionEnd.PEER_CLOSED)
-        self._interest()
+        self._update_interest()
         if self._reader is not None:
             self._reader.wake()
 
-    def _interest(self) -> None:
+    def _update_interest(self) -> None:
         if self.end is not None:
             return
-        reads = self._discards or self._reader is not None and self.out.size < OUT_HIGH
-        wants = select.EPOLLIN if reads and not self._eof else 0
+        reads = self._discarding or self._reader is not None and self.out.size < SEND_HIGH_WATER_MARK
+        wants = select.EPOLLIN if reads and not self._peer_half_closed else 0
         wants |= select.EPOLLOUT if self.out.size else 0
-        if wants != self._mask:
-            self._mask = wants
-            self.loop.watch(self.sock.fileno(), wants, self._ready)
+        if wants != self._watched_events:
+            self._watched_events = wants
+            self.loop.watch(self.sock.fileno(), wants, self._on_events)
 
     def left(self) -> bool:
-        """Whether the peer has closed already, behind what was read so far."""
-        if self.end is not None or self._eof:
+        """Whether the peer has already closed its side, after the bytes read so far."""
+        if self.end is not None or self._peer_half_closed:
             return True
         try:
             return not self.sock.recv(1, socket.MSG_PEEK)
@@ -148,14 +147,14 @@
         return self.out.size
 
     def write(self, data: bytes) -> None:
-        """Queue bytes; they are sent at the end of the round. What comes after ``close`` is not sent."""
+        """Queue bytes to be sent at the end of the round. Nothing is queued after ``close``."""
         if self.end is not None or self.closing is not None:
             return
         if not self.loop.make_unsent_room(len(data), self):
             return
         try:
             self.out.write(data)
-        except RingBufferFull:
+        except RingBufferFullError:
             return self.evict()
         self.loop.unsent += len(data)
         self.loop.senders.add(self)
@@ -163,7 +162,7 @@
         self.loop.after(self.flush)
 
     def flush(self) -> None:
-        """Hand the kernel what it takes now."""
+        """Send what the kernel accepts now."""
         try:
             while self.end is None and self.out.size:
                 count = self.out.send(self.sock)
@@ -176,14 +175,16 @@
             return self.abort(ConnectionEnd.RESET)
         if not self.out.size:
             self.loop.senders.discard(self)
-            if self.closing is not None and self.end is None and not self._shut:
+            if self.closing is not None and self.end is None and not self._half_closed:
                 return self._half_close(self.closing)
-        self._interest()
+        self._update_interest()
 
     # ---- Ending
     def close(self, end: ConnectionEnd, unsent: bool = True) -> None:
-        """End in order: send what is queued, half-close, throw away what comes, and wait for the peer's close. With
-        ``unsent`` off what is queued is not sent: a request that is withdrawn must not become whole at the peer."""
+        """Close gracefully: send queued bytes, half-close, discard input, and wait for the peer to close.
+
+        With ``unsent`` false queued bytes are dropped: a withdrawn request must not become complete at the peer.
+        """
         if self.end is not None or self.closing is not None:
             return
         self.closing = end
@@ -191,56 +192,56 @@
             self.loop.unsent -= self.out.size
             self.out = RingBuffer(0)
         self.loop.after(self.flush)
-        until = self.loop.now + LINGER_MOST
-        self._moved = self.sent + self._received
-        self._patience = self.loop.at(self.loop.now + LINGER, lambda: self._impatient(until))
+        until = self.loop.now + MAX_LINGER_S
+        self._bytes_at_linger_check = self.sent + self._bytes_received
+        self._linger_timer = self.loop.at(self.loop.now + LINGER_S, lambda: self._check_linger(until))
         self.discard()
         if self._reader is not None:
             self._reader.wake()
 
     def _half_close(self, end: ConnectionEnd) -> None:
-        self._shut = True
+        self._half_closed = True
         try:
             self.sock.shutdown(socket.SHUT_WR)
-        except OSError:  # the peer's reset was quicker
+        except OSError:  # the peer has already reset the connection
             return self.abort(ConnectionEnd.RESET)
-        if self._eof:
+        if self._peer_half_closed:
             return self.abort(end)
-        self._interest()
+        self._update_interest()
 
-    def _impatient(self, until: float) -> None:
-        """Go on waiting for a peer that reads or sends; one that does neither is left."""
-        moved = self.sent + self._received
-        if moved == self._moved or self.loop.now >= until:
+    def _check_linger(self, until: float) -> None:
+        """Keep waiting for a peer that still reads or sends; abort one that does neither."""
+        moved = self.sent + self._bytes_received
+        if moved == self._bytes_at_linger_check or self.loop.now >= until:
             return self.abort(self.closing or ConnectionEnd.TIMED_OUT)
-        self._moved = moved
-        self._patience = self.loop.at(min(until, self.loop.now + LINGER), lambda: self._impatient(until))
+        self._bytes_at_linger_check = moved
+        self._linger_timer = self.loop.at(min(until, self.loop.now + LINGER_S), lambda: self._check_linger(until))
 
     def lingers(self) -> bool:
-        """Whether all was sent, and only the peer's own close is awaited."""
-        return self._shut and self.end is None
+        """Whether everything was sent and only the peer's close is awaited."""
+        return self._half_closed and self.end is None
 
     def evict(self) -> None:
-        """End at once, as what this peer does not read takes up the memory of the others."""
+        """Abort, because the bytes that this peer does not read take memory that other connections need."""
         self.abort(ConnectionEnd.EVICTED)
 
     def abort(self, end: ConnectionEnd) -> None:
-        """End at once; the first end counts. The reader is told, then the owner."""
+        """Close at once; the first end counts. The owner is notified, then the reader."""
         if self.end is not None:
             return
         self.end = end
         self.loop.unsent -= self.out.size
         self.loop.senders.discard(self)
-        if self._patience is not None:
-            self._patience.cancel()
-        # Let go of at once: what refers to a connection may live on, and connections come by the hundred. What was
-        # received before the peer's end is still there for the reader.
+        if self._linger_timer is not None:
+            self._linger_timer.cancel()
+        # Buffers are released here because references to an ended connection may live on. Bytes that were received
+        # before the end stay available to the reader.
         self.out = RingBuffer(0)
         if self.closing is not None or not self.ins.size:
             self.ins = RingBuffer(0)
         self.loop.unwatch(self.sock.fileno())
         self.sock.close()
-        self._on_end(end)
+        self._ended_callback(end)
         if self._reader is not None:
             self._reader.wake()
 
@@ -249,10 +250,10 @@
 
 
 def connect(loop: Loop, address: tuple[str, int], span: float) -> Generator[Wait, Any, socket.socket | ConnectionEnd]:
-    """A connected socket, or the end that the attempt came to."""
+    """Connect within ``span`` seconds; gives the socket, or the reason why there is none."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    except OSError:  # no descriptor is left
+    except OSError:  # no descriptor is free
         return ConnectionEnd.UNREACHED
     sock.setblocking(False)
     code = sock.connect_ex(address)
--- a/lapishaven/net/datagrams.py
+++ b/lapishaven/net/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams over UDP on the loop. One that cannot be sent is lost, as any other may be."""
+"""UDP datagrams on the loop. A datagram that cannot be sent is dropped without notice."""
 
 from __future__ import annotations
 
@@ -10,39 +10,44 @@
 from lapishaven.net.loop import Loop
 
 Address = tuple[str, int]
-LIMIT = 64  # bytes of one that is read; a longer one is cut, and then no message of ours
-ROUND = 256  # read in one wake-up, so that a flood leaves others their turn
+MAX_DATAGRAM_BYTES = 64  # a longer datagram is truncated, and then is no valid message
+MAX_READS_PER_WAKEUP = 256  # so that a flood does not starve other descriptors
 
 
 class Datagrams:
-    """Bound to ``address`` (raises ``OSError``), or to a free port; ``came`` hears each with its sender."""
+    """A UDP socket bound to ``address`` (port 0: a free one). ``came`` is called with each datagram and its sender.
+
+    Raises ``OSError`` if the address cannot be bound.
+    """
 
     def __init__(self, loop: Loop, address: Address, came: Callable[[bytes, Address], None]) -> None:
-        self._loop, self._came = loop, came
+        self._loop, self._on_datagram = loop, came
         self.sock: socket.socket | None = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         self.sock.bind(address)
-        loop.watch(self.sock.fileno(), select.EPOLLIN, self._ready)
+        loop.watch(self.sock.fileno(), select.EPOLLIN, self._on_events)
 
-    def _ready(self, mask: int) -> None:
-        for _ in range(ROUND):
+    def _on_events(self, mask: int) -> None:
+        for _ in range(MAX_READS_PER_WAKEUP):
             if self.sock is None:
                 return
             try:
-                data, sender = self.sock.recvfrom(LIMIT)
+                data, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError:
-                continue  # an earlier one could not be delivered
+                continue  # an ICMP error for a datagram sent earlier
             self._loop.received += len(data)
-            self._came(data, sender)
+            self._on_datagram(data, sender)
 
     def send(self, data: bytes, to: Address) -> None:
+        """Send one datagram; errors are ignored."""
         if self.sock is not None:
             with suppress(OSError):
                 self._loop.sent += self.sock.sendto(data, to)
 
     def close(self) -> None:
+        """Close the socket; further calls do nothing."""
         if self.sock is not None:
             self._loop.unwatch(self.sock.fileno())
             self.sock.close()
--- a/lapishaven/net/eviction.py
+++ b/lapishaven/net/eviction.py
@@ -1,40 +1,40 @@
-"""Connections that are closed so that others find a descriptor."""
+"""Connections that are being closed to free their descriptors for new ones."""
 
 from __future__ import annotations
 
 from lapishaven.net.connection import Connection
 from lapishaven.net.loop import Loop
 
-CROSSING = 0.05  # s for which a message may cross a close, by the protocol; then nothing more is expected there
+CROSSING_S = 0.05  # the protocol lets a message cross a half-close for this long
 
 
 class Evictions:
-    """Those whose orderly close was begun to make room, in the order in which it was.
+    """Evicted connections in the order in which their graceful close began.
 
-    A peer that answers the half-close gives its descriptor back at once. One that does not is left as soon as nothing
-    more can have crossed and all that it was owed is sent, so that it holds nobody up.
+    A peer that answers the half-close frees its descriptor at once. Another one is aborted once all responses are sent
+    and no message can still cross the half-close.
     """
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
-        self._closing: dict[Connection, float] = {}  # since when
+        self._closing_since: dict[Connection, float] = {}  # loop time at which the close began
 
     def __len__(self) -> int:
         self._forget_ended()
-        return len(self._closing)
+        return len(self._closing_since)
 
     def __contains__(self, conn: Connection) -> bool:
-        return conn in self._closing
+        return conn in self._closing_since
 
     def add(self, conn: Connection) -> None:
-        """Its close was just begun."""
-        self._closing[conn] = self._loop.now
+        """Track a connection whose graceful close has just begun."""
+        self._closing_since[conn] = self._loop.now
 
     def free(self) -> bool:
-        """Leave the first that was closed long enough ago; whether there was one."""
+        """Abort the first connection that no message can cross any more; whether there was one."""
         self._forget_ended()
-        for conn, since in self._closing.items():
-            if since > self._loop.now - CROSSING:
+        for conn, since in self._closing_since.items():
+            if since > self._loop.now - CROSSING_S:
                 return False
             if conn.lingers() and conn.closing is not None:
                 conn.abort(conn.closing)
@@ -42,5 +42,5 @@
         return False
 
     def _forget_ended(self) -> None:
-        for conn in [conn for conn in self._closing if conn.end is not None]:
-            del self._closing[conn]
+        for conn in [conn for conn in self._closing_since if conn.end is not None]:
+            del self._closing_since[conn]
--- a/lapishaven/net/listener.py
+++ b/lapishaven/net/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket within a budget of descriptors."""
+"""A listening socket that accepts within a budget of file descriptors."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from lapishaven.net.loop import Loop, Timer
 
-ACCEPTS = 64  # connections taken in one wake-up, so that a burst of them does not starve the rest
-FULL_WAIT = 0.02  # s until the next look, where there is no descriptor for who waits at the door
+MAX_ACCEPTS_PER_WAKEUP = 64  # so that a burst of connections does not starve other descriptors
+DESCRIPTOR_RETRY_S = 0.02  # until the next attempt to accept, where no descriptor is free
 
 
-class Budget:
-    """How many connections may be open, a reserve for the program's own descriptors left out."""
+class DescriptorBudget:
+    """How many client connections may be open: the descriptor limit less a reserve for the program itself."""
 
     def __init__(self, descriptors: int, reserve: int) -> None:
         self.room = max(1, descriptors - reserve)
@@ -21,26 +21,31 @@
 
     @property
     def full(self) -> bool:
-        """Whether no further connection may be opened."""
+        """Whether no further connection may be accepted."""
         return self.used >= self.room
 
 
 class Listener:
-    """Accepts while the budget has room; ``make_room`` may close what is idle."""
+    """Accepts connections while the budget lasts.
+
+    ``make_room`` is called when it is used up, and may evict idle connections; it gives whether a descriptor is free.
+    """
 
     def __init__(
         self,
         loop: Loop,
         address: tuple[str, int],
-        budget: Budget,
+        budget: DescriptorBudget,
         accepted: Callable[[socket.socket], None],
         make_room: Callable[[], bool],
         inherited: int | None = None,
     ) -> None:
-        """Bind ``address``; or, with ``inherited``, serve the listening socket of that descriptor, which another
-        process (the platform, and an older or newer process of this server) holds as well, from ``open`` on.
-        Raises ``OSError``."""
-        self.loop, self.budget, self._accepted, self._make_room = loop, budget, accepted, make_room
+        """Bind ``address`` and listen; or use the listening socket with the descriptor ``inherited``.
+
+        An inherited socket is shared with other processes (the platform, an older or newer process of this server); it
+        is accepted from only after ``open``. Raises ``OSError``.
+        """
+        self.loop, self.budget, self._on_accepted, self._make_room = loop, budget, accepted, make_room
         self.shared = inherited is not None
         if inherited is not None:
             self.sock: socket.socket | None = socket.socket(fileno=inherited)
@@ -55,87 +60,86 @@
             self.sock.listen(1024)
         self.address: tuple[str, int] = self.sock.getsockname()
         self._opened = False
-        self._full: Timer | None = None
+        self._retry_timer: Timer | None = None
         if not self.shared:
             self.open()
 
     def open(self) -> None:
-        """Begin to accept; nothing happens where that has begun. A shared socket waits for it, as its queue is
-        served by the other process until this one can."""
+        """Begin to accept; further calls do nothing. Until then the other process serves a shared socket's queue."""
         if not self._opened:
             self._opened = True
             self._resume()
 
     def _resume(self) -> None:
-        self._full = None
+        self._retry_timer = None
         if self.sock is not None:
-            self.loop.watch(self.sock.fileno(), select.EPOLLIN, self._ready)
+            self.loop.watch(self.sock.fileno(), select.EPOLLIN, self._on_events)
 
-    def _wait_for_room(self) -> None:
-        # Left in the queue rather than accepted and dropped: who waits there has lost nothing yet.
-        if self.sock is not None and self._full is None:
+    def _wait_for_descriptor(self) -> None:
+        # Connections stay in the kernel's queue rather than being accepted and dropped.
+        if self.sock is not None and self._retry_timer is None:
             self.loop.unwatch(self.sock.fileno())
-            self._full = self.loop.at(self.loop.now + FULL_WAIT, self._resume)
+            self._retry_timer = self.loop.at(self.loop.now + DESCRIPTOR_RETRY_S, self._resume)
 
     def room_made(self) -> None:
-        """A descriptor came free: who waits at the door need not wait for the next look."""
-        if self._full is not None:
-            self._full.cancel()
+        """Accept again at once, because a descriptor was freed."""
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
             self._resume()
 
-    def _ready(self, mask: int) -> None:
-        for n in range(ACCEPTS):
+    def _on_events(self, mask: int) -> None:
+        for n in range(MAX_ACCEPTS_PER_WAKEUP):
             if n and self.budget.full:
-                return  # epoll tells again if another one waits; none must be pushed out for nobody
+                return  # epoll reports again if more are queued; nothing is evicted without a connection to accept
             if not self._accept():
                 return
 
     def _accept(self) -> bool:
-        """Serve the next in the queue; whether there was one, and a descriptor for it."""
+        """Accept the next connection; whether there was one, and a descriptor for it."""
         if self.sock is None:
             return False
         if self.budget.full and not self._make_room():
-            self._wait_for_room()
+            self._wait_for_descriptor()
             return False
         try:
             sock, _ = self.sock.accept()
         except BlockingIOError:
             return False
         except ConnectionError:
-            return True  # it has left the queue already
+            return True  # the peer has already gone
         except OSError:
-            self._wait_for_room()
+            self._wait_for_descriptor()
             return False
         self.adopt(sock)
         return True
 
     def adopt(self, sock: socket.socket) -> None:
-        """Serve a connection that is there already."""
+        """Take over a connection that is already accepted."""
         self.budget.used += 1
-        self._accepted(sock)
+        self._on_accepted(sock)
 
     def close(self) -> bool:
-        """Take all that the kernel has accepted already, as it may carry requests, then shut the door. Whether it is
-        shut: with no descriptor for who waits there it stays open, to be closed later.
+        """Accept all that is queued, as it may carry requests, then stop listening.
 
-        A shared socket is left to the other process that holds it: what waits in its queue is for that one.
+        Gives whether it has stopped: while no descriptor is free for a queued connection it stays open, and ``close``
+        has to be called again. The queue of a shared socket is left to the other process.
         """
         if self.sock is None:
             return True
         if not self.shared:
             while self._accept():
                 pass
-            if self._full is not None:
+            if self._retry_timer is not None:
                 return False
         self.abandon()
         return True
 
     def abandon(self) -> None:
-        """Shut the door, whoever waits there."""
+        """Stop listening at once; queued connections are reset by the kernel."""
         if self.sock is not None:
             self.loop.unwatch(self.sock.fileno())
             self.sock.close()
             self.sock = None
-        if self._full is not None:
-            self._full.cancel()
-            self._full = None
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
--- a/lapishaven/net/loop.py
+++ b/lapishaven/net/loop.py
@@ -1,7 +1,7 @@
-"""The event loop: epoll, timers, and generators that wait.
+"""The event loop: epoll, timers, and generators as coroutines.
 
-A coroutine is a generator that yields a ``Wait``; it goes on with the value that the wait was woken with, or
-with ``None`` when its time ran out. All that one wake-up brings in is read before ``turn`` is called once.
+A coroutine is a generator that yields a ``Wait``; it resumes with the value passed to ``Wait.wake``, or with ``None``
+on timeout. All input of one wake-up is read before ``turn`` is called once.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from itertools import count
 from typing import Any, Protocol
 
-MANY_CANCELLED = 64  # cancelled timers past which the heap is built anew, once they are most of it
+CANCELLED_TIMERS_BEFORE_REBUILD = 64  # and once they are more than half of the heap
 
 
 class Timer:
-    """A callback that is due at some time, unless it is cancelled."""
+    """A callback scheduled by ``Loop.at``; ``cancel`` keeps it from being called."""
 
     __slots__ = ("callback", "_loop")
 
@@ -29,14 +29,14 @@
         self._loop = loop
 
     def cancel(self) -> None:
-        """It is never called, and what it refers to is let go of at once."""
+        """Never call it, and drop the reference to the callback at once."""
         if self.callback is not None:
             self.callback = None
             self._loop.timer_cancelled()
 
 
 class Wait:
-    """What a coroutine waits for; ``wake`` ends it."""
+    """One wait of a coroutine, for at most ``span`` seconds; ``wake`` ends it."""
 
     __slots__ = ("span", "task", "loop", "timer")
 
@@ -47,7 +47,7 @@
         self.timer: Timer | None = None
 
     def wake(self, value: Any = True) -> None:
-        """Go on with ``value``; nothing happens where it was woken before."""
+        """Resume the coroutine with ``value``; further calls do nothing."""
         if self.task is not None and self.loop is not None:
             task, self.task = self.task, None
             if self.timer is not None:
@@ -61,72 +61,74 @@
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """A coroutine under way, and who is told of an exception that ends it."""
+    """A running coroutine, and the callback for an exception that ends it."""
 
     coroutine: Coroutine
     failed: Callable[[Exception], None] | None
 
 
 @dataclass(slots=True, eq=False)
-class Watch:
-    """Who is told of a descriptor's events, and since which round."""
+class Registration:
+    """The callback for a descriptor's events, and the round in which it was registered."""
 
     callback: Callable[[int], None]
     since: int
 
 
 class Sender(Protocol):
-    """A connection with bytes that are queued and not yet sent."""
+    """A connection with queued bytes that are not yet sent."""
 
     @property
-    def unsent(self) -> int: ...
-    def evict(self) -> None: ...
+    def unsent(self) -> int:
+        """Bytes that are queued and not yet sent."""
+
+    def evict(self) -> None:
+        """Abort the connection to free its memory."""
 
 
 class Loop:
-    """Runs until ``stop`` is called."""
+    """Runs callbacks, timers and coroutines on one thread until ``stop`` is called. Times are seconds of ``clock``."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
         self.now = clock()
         self._epoll = select.epoll()
-        self._watched: dict[int, Watch] = {}
-        self._rounds = 0
+        self._watched: dict[int, Registration] = {}
+        self._round_number = 0
         self._timers: list[tuple[float, int, Timer]] = []
-        self._cancelled = 0
-        self._order = count()
-        self._after: dict[Callable[[], None], None] = {}
-        self._next: list[Wait] = []
+        self._cancelled_timers = 0
+        self._timer_order = count()
+        self._end_of_round: dict[Callable[[], None], None] = {}
+        self._next_round: list[Wait] = []
         self._stopped = False
-        self.received = self.sent = 0  # bytes of all connections so far
+        self.received = self.sent = 0  # bytes of all connections since the start
         self.unsent_limit = 1 << 62
-        self.unsent = 0  # bytes that all connections have queued and not yet sent
-        self.senders: set[Sender] = set()  # those connections
+        self.unsent = 0  # bytes queued on all connections and not yet sent
+        self.senders: set[Sender] = set()  # the connections that have such bytes
 
     # ---- Descriptors
     def watch(self, fd: int, mask: int, callback: Callable[[int], None]) -> None:
-        """Tell ``callback`` of the descriptor's events from the next round on."""
+        """Call ``callback`` with the descriptor's events (an epoll mask) from the next round on."""
         watch = self._watched.get(fd)
         if watch is not None:
             self._epoll.modify(fd, mask)
             watch.callback = callback
         else:
             self._epoll.register(fd, mask)
-            self._watched[fd] = Watch(callback, self._rounds)
+            self._watched[fd] = Registration(callback, self._round_number)
 
     def unwatch(self, fd: int) -> None:
-        """Tell nobody any more; to be called before the descriptor is closed."""
+        """Stop watching a descriptor; to be called before it is closed."""
         if self._watched.pop(fd, None) is not None:
             self._epoll.unregister(fd)
 
     # ---- Coroutines and timers
     def spawn(self, coroutine: Coroutine, failed: Callable[[Exception], None] | None = None) -> None:
-        """Run a coroutine up to its first wait. ``failed`` is told of an exception that ends it, so that what it
-        served does not stay behind, open and silent."""
+        """Run a coroutine up to its first wait. ``failed`` is called with an exception that ends it."""
         self.step(Task(coroutine, failed), None)
 
     def step(self, task: Task, value: Any) -> None:
-        """Let a coroutine go on; its exceptions are its own and never its waker's."""
+        """Resume a coroutine; its exceptions never reach the caller."""
         try:
             wait = task.coroutine.send(value)
         except StopIteration:
@@ -141,32 +143,32 @@
             wait.timer = self.at(self.now + wait.span, lambda: wait.wake(None))
 
     def at(self, when: float, callback: Callable[[], None]) -> Timer:
-        """Call it once ``when`` has come."""
+        """Call ``callback`` at the loop time ``when``, or as soon after it as possible."""
         timer = Timer(callback, self)
-        heappush(self._timers, (when, next(self._order), timer))
+        heappush(self._timers, (when, next(self._timer_order), timer))
         return timer
 
     def timer_cancelled(self) -> None:
-        """Keep the heap from being filled by timers that are cancelled long before their time."""
-        self._cancelled += 1
-        if self._cancelled > MANY_CANCELLED and 2 * self._cancelled > len(self._timers):
+        """Count a cancelled timer; the heap is rebuilt when most of its entries are cancelled."""
+        self._cancelled_timers += 1
+        if self._cancelled_timers > CANCELLED_TIMERS_BEFORE_REBUILD and 2 * self._cancelled_timers > len(self._timers):
             self._timers = [entry for entry in self._timers if entry[2].callback is not None]
             heapify(self._timers)
-            self._cancelled = 0
+            self._cancelled_timers = 0
 
     @property
     def timers(self) -> int:
-        """How many timers are kept."""
+        """How many entries the timer heap has, cancelled ones included."""
         return len(self._timers)
 
     def after(self, callback: Callable[[], None]) -> None:
-        """Call it once at the end of this round, after the turn."""
-        self._after[callback] = None
+        """Call ``callback`` once at the end of this round, after the turn."""
+        self._end_of_round[callback] = None
 
     def next_round(self) -> Wait:
-        """A wait that ends in the next round, so that others get their turn first."""
+        """A wait that ends in the next round, so that other descriptors are served in between."""
         wait = Wait()
-        self._next.append(wait)
+        self._next_round.append(wait)
         return wait
 
     def stop(self) -> None:
@@ -175,10 +177,10 @@
 
     # ---- The rounds
     def run(self, turn: Callable[[float], None], next_at: Callable[[], float | None]) -> None:
-        """Rounds until ``stop``; ``next_at`` says when ``turn`` has something to do with no input."""
+        """Run rounds until ``stop``; ``next_at`` gives the time at which ``turn`` has work without any input."""
         while not self._stopped:
             heads = [self._timers[0][0]] if self._timers else []
-            heads += [0.0] if self._next else []
+            heads += [0.0] if self._next_round else []
             due = next_at()
             if due is not None:
                 heads.append(due)
@@ -186,17 +188,17 @@
             self.round(span, turn)
 
     def round(self, span: float, turn: Callable[[float], None]) -> None:
-        """One wake-up: read all that is there, one turn, then write."""
-        # Rounded up to epoll's milliseconds, since it would else wake early and spin.
+        """One wake-up: read all input, call ``turn`` once, then write."""
+        # Rounded up, because epoll truncates to milliseconds: the loop would wake early and spin.
         ready = self._epoll.poll(span if span <= 0 else span + 0.001)
         self.now = self.clock()
-        self._rounds += 1
-        waits, self._next = self._next, []
+        self._round_number += 1
+        waits, self._next_round = self._next_round, []
         for fd, mask in ready:
             watch = self._watched.get(fd)
-            # What was registered since the poll has the number of a descriptor that an earlier callback closed:
-            # the event is that one's.
-            if watch is not None and watch.since < self._rounds:
+            # A descriptor registered since the poll may reuse the number of one that an earlier callback closed; the
+            # event belongs to that one.
+            if watch is not None and watch.since < self._round_number:
                 self._guarded(watch.callback, mask)
         for wait in waits:
             self._guarded(wait.wake)
@@ -206,19 +208,21 @@
             if callback is not None:
                 self._guarded(callback)
             else:
-                self._cancelled -= 1
+                self._cancelled_timers -= 1
         self._guarded(turn, self.now)
-        while self._after:
-            after, self._after = self._after, {}
-            # The last written first: runs are started after the answers that made room for them are written,
-            # and a core stands idle until its next run comes.
+        while self._end_of_round:
+            after, self._end_of_round = self._end_of_round, {}
+            # Last registered, first called: commands to the backend are queued after the responses that freed its
+            # cores, and a core idles until its next command arrives.
             for done in reversed(after):
                 self._guarded(done)
 
-    # ---- Bytes that wait to be sent
+    # ---- Unsent bytes
     def make_unsent_room(self, size: int, sender: Sender) -> bool:
-        """Whether ``size`` more bytes may be queued by ``sender``. At the limit, the connection that holds most is
-        evicted, and not the one that happens to write."""
+        """Whether ``sender`` may queue ``size`` more bytes.
+
+        At the limit of the process, connections with the most unsent bytes are evicted first.
+        """
         while self.unsent + size > self.unsent_limit:
             most = max(self.senders, key=lambda each: each.unsent, default=sender)
             most.evict()
@@ -228,12 +232,12 @@
 
     @staticmethod
     def _guarded(callback: Callable[..., None], *args: Any) -> None:
-        """One fault must not end the process and all it holds; it is told with its place."""
+        """Call ``callback`` and print an exception, which must not end the process."""
         try:
             callback(*args)
         except Exception:
             traceback.print_exc(file=sys.stderr)
 
     def close(self) -> None:
-        """Give the epoll descriptor back."""
+        """Close the epoll descriptor."""
         self._epoll.close()
--- a/lapishaven/net/ring_buffer.py
+++ b/lapishaven/net/ring_buffer.py
@@ -4,15 +4,15 @@
 
 from socket import socket
 
-KEPT = 4096  # bytes that an empty ring keeps at most
+MAX_IDLE_BYTES = 4096  # that an empty buffer keeps allocated
 
 
-class RingBufferFull(Exception):
-    """There is no room up to the ring's limit."""
+class RingBufferFullError(Exception):
+    """The bytes do not fit within the buffer's limit."""
 
 
 class RingBuffer:
-    """Bytes in their order; one for each connection and direction."""
+    """A FIFO of bytes; one for each connection and direction. Allocates by doubling up to ``limit`` bytes."""
 
     __slots__ = ("_data", "_head", "size", "limit")
 
@@ -25,7 +25,8 @@
         return self.size
 
     @property
-    def room(self) -> int:
+    def free_bytes(self) -> int:
+        """Bytes that still fit."""
         return self.limit - self.size
 
     def _grow(self, need: int) -> None:
@@ -38,10 +39,10 @@
         self._head = 0
 
     def write(self, data: bytes) -> None:
-        """Append all of ``data``, or raise ``RingFull`` and take none."""
+        """Append all of ``data``, or raise ``RingBufferFull`` and append nothing."""
         count = len(data)
-        if count > self.room:
-            raise RingBufferFull(f"{count} bytes do not fit in {self.room}")
+        if count > self.free_bytes:
+            raise RingBufferFullError(f"{count} bytes do not fit in {self.free_bytes}")
         if self.size + count > len(self._data):
             self._grow(self.size + count)
         at = (self._head + self.size) % len(self._data)
@@ -51,25 +52,27 @@
         self.size += count
 
     def peek(self, count: int) -> bytes:
+        """The first ``count`` bytes, or fewer; they stay in the buffer."""
         count = min(count, self.size)
         first = min(count, len(self._data) - self._head)
         return bytes(self._data[self._head : self._head + first]) + bytes(self._data[: count - first])
 
     def skip(self, count: int) -> None:
+        """Remove the first ``count`` bytes."""
         self.size -= count
-        if not self.size and len(self._data) > KEPT:
-            # A burst's memory is not kept by a connection that is empty again.
-            self._data = bytearray(min(KEPT, self.limit))
+        if not self.size and len(self._data) > MAX_IDLE_BYTES:
+            # Memory allocated for a burst is released when the buffer is empty.
+            self._data = bytearray(min(MAX_IDLE_BYTES, self.limit))
         self._head = (self._head + count) % len(self._data) if self.size else 0
 
     def take(self) -> bytes:
-        """All that is there."""
+        """Remove and return all bytes."""
         data = self.peek(self.size)
         self.skip(self.size)
         return data
 
     def receive(self, sock: socket) -> int:
-        """One read from a socket into the free part; 0 at its end."""
+        """Read once from a socket; gives the count, 0 at the end of the stream."""
         if self.size == len(self._data):
             self._grow(min(self.limit, 2 * len(self._data)))
         at = (self._head + self.size) % len(self._data)
@@ -80,7 +83,7 @@
         return got
 
     def send(self, sock: socket) -> int:
-        """One write of the first unbroken part to a socket."""
+        """Write the first contiguous part to a socket; gives the count."""
         first = min(self.size, len(self._data) - self._head)
         with memoryview(self._data) as view:
             sent = sock.send(view[self._head : self._head + first])
--- a/lapishaven/net/wake.py
+++ b/lapishaven/net/wake.py
@@ -1,7 +1,6 @@
-"""A pipe that wakes the loop: for signals and for threads that finish work off the event path.
+"""A self-pipe that wakes the loop, for signals and for worker threads.
 
-A pipe, not a socket pair: on the fleet's bench a process has TCP and UDP over IPv4 only, and a pair of Unix
-sockets is a socket that nothing ever reaches.
+A pipe and not a socket pair, because the platform allows TCP and UDP sockets over IPv4 only.
 """
 
 from __future__ import annotations
@@ -11,18 +10,18 @@
 
 
 class Wake:
-    """Both ends non-blocking; ``poke`` from any thread or a signal, ``drain`` on the loop."""
+    """A nonblocking pipe: ``poke`` from any thread or signal handler, ``drain`` on the loop."""
 
     def __init__(self) -> None:
         self.reader, self.writer = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
 
     def poke(self) -> None:
-        """Wake the reader; a full pipe wakes just as well."""
+        """Wake the reader. A full pipe is readable anyway, so its error is ignored."""
         with suppress(BlockingIOError, OSError):
             os.write(self.writer, b"x")
 
     def drain(self) -> bytes:
-        """All bytes written since the last drain (signal numbers, where it is a wakeup descriptor)."""
+        """All bytes written since the last drain (signal numbers, where the pipe is the wakeup descriptor)."""
         got = b""
         with suppress(BlockingIOError):
             while chunk := os.read(self.reader, 4096):
@@ -30,6 +29,7 @@
         return got
 
     def close(self) -> None:
+        """Close both ends."""
         for end in (self.reader, self.writer):
             with suppress(OSError):
                 os.close(end)
--- a/lapishaven/server.py
+++ b/lapishaven/server.py
@@ -43,7 +43,7 @@
 from lapishaven.frontends import Session, platform, uwsgi
 from lapishaven.graceful_shutdown import GracefulShutdown
 from lapishaven.net.connection import Dial, connect
-from lapishaven.net.listener import Budget, Listener
+from lapishaven.net.listener import DescriptorBudget, Listener
 from lapishaven.net.loop import Loop
 from lapishaven.signals import Signals
 
@@ -87,7 +87,7 @@
         self.broker: Broker | None = None
         attempts = spread.attempts if spread is not None else ATTEMPTS if backend is not None else 0
         reserve = RESERVE + attempts + (CONTROL_LIMIT if config.control else 0)
-        self.budget = Budget(config.descriptors, min(reserve, config.descriptors // (2 if spread else 4)))
+        self.budget = DescriptorBudget(config.descriptors, min(reserve, config.descriptors // (2 if spread else 4)))
         self.callers = ClientConnections(self.loop, self.budget, self.counters, config.settings.idle_timeout or IDLE)
         self.loop.unsent_limit = config.memory_mb * 1024 * 1024 // UNSENT_PART
         self.classes = {spec.name: n for n, spec in enumerate(config.settings.classes)}
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -10,7 +10,7 @@
 
 from lapishaven import config
 from lapishaven.admin.server import LIMIT
-from lapishaven.net.listener import Budget, Listener
+from lapishaven.net.listener import DescriptorBudget, Listener
 from lapishaven.net.loop import Loop
 
 
@@ -105,12 +105,12 @@
     """Guards against an upgrade that refuses or drops a connection: the leaving side closes its copy only."""
     held = socket.create_server(("127.0.0.1", 0))  # the platform's
     loop, taken = Loop(), []  # type: Loop, list[socket.socket]
-    old = Listener(loop, ("", 0), Budget(64, 0), taken.append, lambda: False, os.dup(held.fileno()))
+    old = Listener(loop, ("", 0), DescriptorBudget(64, 0), taken.append, lambda: False, os.dup(held.fileno()))
     new_fd = os.dup(held.fileno())
     old.open()
     old.close()
     callers = [socket.create_connection(held.getsockname()) for _ in range(3)]
-    new = Listener(loop, ("", 0), Budget(64, 0), taken.append, lambda: False, new_fd)
+    new = Listener(loop, ("", 0), DescriptorBudget(64, 0), taken.append, lambda: False, new_fd)
     loop.round(0.1, lambda now: None)
     assert taken == []
     new.open()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -18,7 +18,7 @@
 from lapishaven.connection_end import ConnectionEnd
 from lapishaven.counters import Counters
 from lapishaven.frontends import platform
-from lapishaven.net.connection import LINGER, LINGER_MOST, Connection
+from lapishaven.net.connection import LINGER_S, MAX_LINGER_S, Connection
 from lapishaven.net.loop import Loop, Wait
 from lapishaven.proto import jsonrpc
 
@@ -76,7 +76,7 @@
         self.assertTrue(session.conn.lingers())
         for n in range(2, 5):
             caller.sock.sendall(self.message("t1", str(n), "approve-commit"))
-        self.until(lambda: session.conn._received > 500, "the crossing requests")
+        self.until(lambda: session.conn._bytes_received > 500, "the crossing requests")
         self.ended(caller, "closed")
         self.assertNotIn("t1.2", self.vm.handles)
         caller.sock.close()
@@ -89,7 +89,7 @@
         self.serve(caller, "t1", 1)
         self.rest()
         self.server.callers.sweep()
-        self.wait(LINGER + 0.1)
+        self.wait(LINGER_S + 0.1)
         self.assertEqual((self.server.budget.used, len(self.server.callers.sessions)), (0, 0))
 
     # Guards against a descriptor held for good by one that reads nothing of what it is owed.
@@ -105,7 +105,7 @@
                 self.send(caller, rest) if rest else None
                 self.until(lambda conn=conn: not buffered(conn.sock), "the rest read")
                 self.assertGreater(conn.out.size, 0)
-                self.wait((WHOLE if rest else self.server.callers.idle) + LINGER + 0.2)
+                self.wait((WHOLE if rest else self.server.callers.idle) + LINGER_S + 0.2)
                 self.assertIsNotNone(conn.end)
                 self.assertEqual((self.server.budget.used, self.server.loop.unsent), (0, 0))
 
@@ -114,7 +114,7 @@
         self.send(caller, b"x" * 9000)
         self.until(lambda: self.of(caller).conn.closing is not None, "the refusal")
         session = self.of(caller)
-        for _ in range(int(LINGER_MOST / 0.5) + 1):
+        for _ in range(int(MAX_LINGER_S / 0.5) + 1):
             if session.conn.end is None:
                 caller.sock.sendall(b"x" * 100)
                 self.wait(0.5)
@@ -193,8 +193,8 @@
             while conn.sent == sent:
                 got += caller.sock.recv(1024)
                 self.round()
-            self.wait(LINGER / 2)
-        self.assertGreater(self.now, began + LINGER)
+            self.wait(LINGER_S / 2)
+        self.assertGreater(self.now, began + LINGER_S)
         while more := caller.sock.recv(65536):
             got += more
         self.assertEqual(got, whole)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -19,7 +19,7 @@
 from lapishaven.client_connections import CLOSED_AT_ONCE
 from lapishaven.core.broker import LEAVE_ROOM
 from lapishaven.graceful_shutdown import EXIT_ROOM
-from lapishaven.net.listener import ACCEPTS
+from lapishaven.net.listener import MAX_ACCEPTS_PER_WAKEUP
 from lapishaven.signals import Signals
 
 STOP = 3.2  # s from the notice to the kill in these configurations
@@ -40,8 +40,8 @@
 
     # Guards against requests in the listening queue that are reset as the doors close: the kernel accepted them.
     def test_all_that_wait_at_the_door_are_served_before_it_shuts(self) -> None:
-        self.server.budget.room = 4 * ACCEPTS
-        many = 2 * ACCEPTS + 20
+        self.server.budget.room = 4 * MAX_ACCEPTS_PER_WAKEUP
+        many = 2 * MAX_ACCEPTS_PER_WAKEUP + 20
         self.server.drain()
         self.wait(GRACE - 0.05)
         callers = [self.knock() for _ in range(many)]
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -14,7 +14,7 @@
 
 from lapishaven.client_connections import CLOSED_AT_ONCE
 from lapishaven.core.idempotency_keys import IdempotencyKeyTable
-from lapishaven.net.ring_buffer import RingBuffer, RingBufferFull
+from lapishaven.net.ring_buffer import RingBuffer, RingBufferFullError
 from lapishaven.proto import ProtocolError, catalog, interpreter, jsonrpc, uwsgi
 
 LINES = (
@@ -82,7 +82,7 @@
         ring, model = RingBuffer(200, 16), b""
         for data, count in steps:
             if len(model) + len(data) > 200:
-                self.assertRaises(RingBufferFull, ring.write, data)
+                self.assertRaises(RingBufferFullError, ring.write, data)
             else:
                 ring.write(data)
                 model += data
