--- a/benchmarks/storage.py
+++ b/benchmarks/storage.py
@@ -23,7 +23,7 @@
 from benchmarks.common import ROOT, arguments, finish, table, write_into
 from lapishaven.lab.disk import Disk
 from lapishaven.storage import Limits, Store
-from lapishaven.storage.wheel import Wheel
+from lapishaven.storage.wheel import TimingWheel
 
 WRITER = """
 import random, sys
@@ -84,7 +84,7 @@
     wrong = failed = 0
     for n in range(count):
         rnd, disk = random.Random(seed * 100_003 + n), Disk()
-        store = Store(disk.mount(), Limits(segment=600, ballast=64), lambda: 1000.0, thread=False)
+        store = Store(disk.mount(), Limits(segment_bytes=600, reserve_bytes=64), lambda: 1000.0, thread=False)
         model: dict[bytes, bytes] = {}
         for step in range(rnd.randrange(2, 60)):
             key = b"k%d" % rnd.randrange(10)
@@ -100,7 +100,7 @@
                 store.commit()
         after = disk.lose_power(rnd)
         try:
-            again = Store(after.mount(), Limits(segment=600, ballast=64), lambda: 1000.0, thread=False)
+            again = Store(after.mount(), Limits(segment_bytes=600, reserve_bytes=64), lambda: 1000.0, thread=False)
             wrong += {key: value for key, value, _ in again.scan()} != model
         except Exception as error:
             print(f"recovery failed: {error!r}")
@@ -112,17 +112,17 @@
     """Seconds to open a large store, with hints and by a replay; bytes of index a key, against a dict."""
     folder = tempfile.mkdtemp(prefix="lapishaven-open-")
     try:
-        with Store.open(folder, Limits(waiting=1 << 30, segment=64 << 20)) as store:
+        with Store.open(folder, Limits(pending_bytes=1 << 30, segment_bytes=64 << 20)) as store:
             for at in range(0, keys, 1000):
                 store.batch([(b"key-%012d" % n, b"v" * 24, 0.0) for n in range(at, min(at + 1000, keys))])
             store.sync()
         with Store.open(folder) as store:
-            hinted, count, per_key = store.stats.opened_in, len(store), store.index.memory() / keys
+            hinted, count, per_key = store.stats.open_seconds, len(store), store.index.memory_bytes() / keys
         for name in os.listdir(folder):
             if name.endswith(".hint"):
                 os.unlink(f"{folder}/{name}")
         with Store.open(folder) as store:
-            replayed = store.stats.opened_in
+            replayed = store.stats.open_seconds
         tracemalloc.start()
         plain = {b"key-%012d" % n: n for n in range(min(keys, 200_000))}
         dict_bytes = tracemalloc.get_traced_memory()[0] / len(plain)
@@ -203,7 +203,7 @@
     folder = tempfile.mkdtemp(prefix="lapishaven-read-")
     rnd = random.Random(1)
     try:
-        with Store.open(folder, Limits(segment=1 << 20, dead=2.0, waiting=1 << 30)) as store:
+        with Store.open(folder, Limits(segment_bytes=1 << 20, garbage_ratio=2.0, pending_bytes=1 << 30)) as store:
             for _ in range(2):
                 for n in range(0, 30_000, 500):
                     store.batch([(b"%d" % k, b"x" * 200, 0.0) for k in range(n, n + 500)])
@@ -237,10 +237,10 @@
     rnd = random.Random(7)
     times = [rnd.random() * 900 for _ in range(count)]
     begun = time.perf_counter()
-    wheel = Wheel(0.0)
+    wheel = TimingWheel(0.0)
     for n, when in enumerate(times):
         wheel.add(when, n)
-    told = sum(len(wheel.due(float(now))) for now in range(905))
+    told = sum(len(wheel.expire(float(now))) for now in range(905))
     ours = time.perf_counter() - begun
     begun = time.perf_counter()
     heap: list[tuple[float, int]] = []
--- a/lapishaven/cli/serve.py
+++ b/lapishaven/cli/serve.py
@@ -61,7 +61,7 @@
     except ImportError:
         fail("keeping results needs lapishaven[storage]")
     try:
-        store = Store.open(rules.directory, Limits(total=int(rules.max_size_mb * 1024 * 1024)))
+        store = Store.open(rules.directory, Limits(total_bytes=int(rules.max_size_mb * 1024 * 1024)))
     except (StoreError, OSError) as error:
         fail(f"cannot open {rules.directory}: {error}")
     return DurableResults(store, rules.result_ttl, rules.max_results)
--- a/lapishaven/idempotency/result_store.py
+++ b/lapishaven/idempotency/result_store.py
@@ -13,7 +13,7 @@
 from lapishaven.core.requests import Submission
 from lapishaven.idempotency.result_index import Entry, ResultIndex, Standing, decode, encode
 from lapishaven.net.wake import Wake
-from lapishaven.storage import Store, StoreError, StoreFull
+from lapishaven.storage import Store, StoreError, StoreFullError
 
 STALL = 0.5  # s for which the store has made nothing durable, after which no new run is taken on
 RETRY = 1.0  # s to keep away while nothing better is known
@@ -68,7 +68,7 @@
             return RETRY
         try:
             future = self.store.put(name, encode(wall, None), wall + self.ledger.life)
-        except StoreFull as full:
+        except StoreFullError as full:
             return full.frees_in or RETRY
         except (StoreError, ValueError):
             return RETRY
@@ -117,12 +117,12 @@
 
     def state(self) -> dict[str, int]:
         """Gauges by name, for operators."""
-        syncs = sorted(self.store.stats.syncs)
+        syncs = sorted(self.store.stats.sync_seconds)
         return {
             "effects": len(self.ledger),
             "in doubt": sum(1 for _ in self.ledger.doubts()),
             "commits": self.store.stats.commits,
-            "refused": self.store.stats.refused,
+            "refused": self.store.stats.rejected,
             "failed": self.store.stats.failed,
             "damaged": len(self.store.damage),
             "bytes": self.store.disk_bytes,
--- a/lapishaven/lab/disk.py
+++ b/lapishaven/lab/disk.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lapishaven.storage.errors import StoreLocked
+from lapishaven.storage.errors import StoreLockedError
 
 
 @dataclass(slots=True)
@@ -114,7 +114,7 @@
         file = self._file(name)
         file.durable = bytes(file.data)
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         self._call("sync_names")
         self.disk.names_durable = dict(self.disk.files)
 
@@ -129,7 +129,7 @@
 
     def lock(self) -> None:
         if self.disk.locked:
-            raise StoreLocked("another process writes to this disk")
+            raise StoreLockedError("another process writes to this disk")
         self.disk.locked = self._mine = True
 
     def close(self) -> None:
--- a/lapishaven/storage/__init__.py
+++ b/lapishaven/storage/__init__.py
@@ -5,8 +5,8 @@
     store.get(b"key")
 """
 
-from lapishaven.storage.errors import Damage, StoreBroken, StoreError, StoreFull, StoreLocked
+from lapishaven.storage.errors import Damage, StoreError, StoreFullError, StoreLockedError, StoreWriteError
 from lapishaven.storage.segments import Limits
 from lapishaven.storage.store import Store
 
-__all__ = ["Damage", "Limits", "Store", "StoreBroken", "StoreError", "StoreFull", "StoreLocked"]
+__all__ = ["Damage", "Limits", "Store", "StoreWriteError", "StoreError", "StoreFullError", "StoreLockedError"]
--- a/lapishaven/storage/command.py
+++ b/lapishaven/storage/command.py
@@ -1,4 +1,4 @@
-"""``lapishaven storage``: look after a store that no server has open."""
+"""``lapishaven storage``: looks after a store that no server has open. Each command returns its exit code."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 import sys
 import time
 from collections.abc import Iterable, Iterator
+from dataclasses import dataclass
 from typing import Any
 
 from lapishaven.storage import Store, StoreError
 from lapishaven.storage import format as fmt
-from lapishaven.storage.errors import StoreFull
-from lapishaven.storage.files import RealFiles
+from lapishaven.storage.errors import StoreFullError
+from lapishaven.storage.files import DirectoryFiles
+from lapishaven.storage.recovery import SEGMENT_SUFFIX
 
 
 def _progress(rows: Iterable[Any], total: int, what: str) -> Iterator[Any]:
@@ -26,57 +28,73 @@
     yield from track(rows, total=total, description=what, console=Console(stderr=True))
 
 
-def _there(path: str) -> str:
-    if not os.path.isdir(path) or not any(name.endswith(".seg") for name in os.listdir(path)):
+def _existing(path: str) -> str:
+    """The path, if there is a store. Raises ``StoreError``."""
+    if not os.path.isdir(path) or not any(name.endswith(SEGMENT_SUFFIX) for name in os.listdir(path)):
         raise StoreError(f"there is no store in {path}")
     return path
 
 
+@dataclass(slots=True)
+class Verification:
+    """What ``verify`` has counted so far."""
+
+    records: int = 0
+    damaged: int = 0
+
+    def report(self, name: str, offset: int, text: str) -> None:
+        """Count and print a damaged place."""
+        self.damaged += 1
+        print(f"{name}: at {offset}: {text}")
+
+
 def verify(path: str) -> int:
-    """Read every byte; 0 if all is whole, else 1, with each damage by its place."""
-    files = RealFiles(_there(path))
+    """Read every byte and print each damaged place; exit code 0 if there is none, else 1."""
+    files = DirectoryFiles(_existing(path))
     files.lock()
-    bad = records = 0
+    verification = Verification()
     try:
-        for name in [name for name in files.names() if name.endswith(".seg")]:
-            data = files.read(name, 0, files.size(name))
-            try:
-                fmt.read_header(data)
-            except fmt.NotAFrame as error:
-                bad += 1
-                print(f"{name}: at 0: {error}")
-            scanned = fmt.scan(data)
-            records += sum(len(found) for found, _ in scanned.frames)
-            for at, length, reason in scanned.damage:
-                bad += 1
-                print(f"{name}: at {at}: {length} bytes: {reason}")
-            if scanned.end < len(data):
-                bad += 1
-                print(f"{name}: at {scanned.end}: {len(data) - scanned.end} bytes of a tail that cannot be read")
+        for name in files.names():
+            if name.endswith(SEGMENT_SUFFIX):
+                _verify_segment(name, files.read(name, 0, files.size(name)), verification)
     finally:
         files.close()
-    print(f"{records} records, {bad} damaged places")
-    return 1 if bad else 0
+    print(f"{verification.records} records, {verification.damaged} damaged places")
+    return 1 if verification.damaged else 0
+
+
+def _verify_segment(name: str, data: bytes, verification: Verification) -> None:
+    try:
+        fmt.decode_segment_header(data)
+    except fmt.InvalidFrameError as error:
+        verification.report(name, 0, str(error))
+    scanned = fmt.scan_segment(data)
+    verification.records += sum(len(frame.records) for frame in scanned.frames)
+    for damaged in scanned.damage:
+        verification.report(name, damaged.offset, f"{damaged.length} bytes: {damaged.reason}")
+    if scanned.end < len(data):
+        verification.report(name, scanned.end, f"{len(data) - scanned.end} bytes of a tail that cannot be read")
 
 
 def stat(path: str) -> int:
-    with Store.open(_there(path)) as store:
-        found = {
+    """Print the store's figures as one JSON object."""
+    with Store.open(_existing(path)) as store:
+        figures = {
             "keys": len(store),
             "segments": len(store.segments),
             "bytes": store.disk_bytes,
-            "index_bytes": store.index.memory(),
-            "opened_ms": round(store.stats.opened_in * 1000, 1),
-            "cut_bytes": store.stats.cut,
+            "index_bytes": store.index.memory_bytes(),
+            "opened_ms": round(store.stats.open_seconds * 1000, 1),
+            "cut_bytes": store.stats.truncated_bytes,
             "damaged": len(store.damage),
         }
-    print(json.dumps(found))
+    print(json.dumps(figures))
     return 0
 
 
 def dump(path: str) -> int:
-    """One JSON object a line."""
-    with Store.open(_there(path)) as store:
+    """Print every key as one JSON object a line."""
+    with Store.open(_existing(path)) as store:
         for key, value, expiry in _progress(store.scan(), len(store), "dump"):
             row = {"key": key.hex(), "value": value.hex(), "expiry": expiry or None}
             print(json.dumps(row))
@@ -84,25 +102,14 @@
 
 
 def restore(path: str, source: str) -> int:
-    """Fill an empty store from a dump's lines."""
+    """Fill an empty store from the lines of a dump."""
     with Store.open(path) as store:
         if len(store):
             raise StoreError(f"{path} is not empty")
         try:
             with open(source) as lines:
-                for n, line in enumerate(lines, 1):
-                    try:
-                        row = json.loads(line)
-                        key, value = bytes.fromhex(row["key"]), bytes.fromhex(row["value"])
-                        expiry = float(row["expiry"] or 0.0)
-                    except (ValueError, KeyError, TypeError):
-                        raise StoreError(f"{source}: line {n} is no record of a dump") from None
-                    while True:
-                        try:
-                            store.put(key, value, expiry)
-                            break
-                        except StoreFull:
-                            store.sync()
+                for number, line in enumerate(lines, 1):
+                    _put_waiting(store, *_parse_row(line, f"{source}: line {number}"))
         except OSError as error:
             raise StoreError(f"cannot read {source}: {error.strerror}") from None
         store.sync()
@@ -110,14 +117,36 @@
     return 0
 
 
+def _parse_row(line: str, where: str) -> tuple[bytes, bytes, float]:
+    """Key, value and expiry of a dump's line. Raises ``StoreError``."""
+    try:
+        row = json.loads(line)
+        return bytes.fromhex(row["key"]), bytes.fromhex(row["value"]), float(row["expiry"] or 0.0)
+    except (ValueError, KeyError, TypeError):
+        raise StoreError(f"{where} is no record of a dump") from None
+
+
+def _put_waiting(store: Store, key: bytes, value: bytes, expiry: float) -> None:
+    """Put a key; while too much waits to be written, wait."""
+    while True:
+        try:
+            store.put(key, value, expiry)
+            return
+        except StoreFullError:
+            store.sync()
+
+
 def compact(path: str) -> int:
-    with Store.open(_there(path)) as store:
-        begun, freed = time.perf_counter(), store.compact(everything=True)
-        print(f"{freed} bytes freed in {time.perf_counter() - begun:.2f} s, {store.disk_bytes} left")
+    """Compact every segment."""
+    with Store.open(_existing(path)) as store:
+        started = time.perf_counter()
+        freed = store.compact(everything=True)
+        print(f"{freed} bytes freed in {time.perf_counter() - started:.2f} s, {store.disk_bytes} left")
     return 0
 
 
 def snapshot(path: str, target: str) -> int:
-    with Store.open(_there(path)) as store:
+    """Copy the store into an empty directory."""
+    with Store.open(_existing(path)) as store:
         print(f"{store.snapshot(target)} bytes")
     return 0
--- a/lapishaven/storage/compaction.py
+++ b/lapishaven/storage/compaction.py
@@ -1,113 +1,160 @@
-"""Compaction in slices: what is live in the worst sealed segment is written again, then the segment goes."""
+"""Compaction in slices: live records of a sealed segment are written again, then the segment is removed."""
 
 from __future__ import annotations
 
 import threading
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from concurrent.futures import Future
 from contextlib import suppress
-from typing import TYPE_CHECKING
 
 from lapishaven.storage.errors import StoreError
+from lapishaven.storage.files import FileSystem
 from lapishaven.storage.format import PUT, Record
-from lapishaven.storage.index import GONE, digest, place_of
-from lapishaven.storage.segments import Segment
-
-if TYPE_CHECKING:
-    from lapishaven.storage.store import Store
+from lapishaven.storage.index import ABSENT, Index, digest, make_place
+from lapishaven.storage.record_reader import RecordReader
+from lapishaven.storage.segments import Segment, SegmentTable, Stats
+from lapishaven.storage.wall_clock import MonotonicWallClock
 
 
 class Compaction:
-    """Of one store. Its own thread compacts, and so may a caller."""
-
-    def __init__(self, store: Store) -> None:
-        self._store = store
-        self._lock = threading.Lock()
-        self._under_way: Iterator[None] | None = None
-
-    def slice(self, budget: int, everything: bool, upto: int) -> bool:
-        """Copy up to so many bytes of what is live out of the worst sealed segment; once none is left and the copies
-        are durable, the segment goes. Cut off at any point, the next opening finds the same records. True if there
-        is more to do."""
-        with self._lock:
-            if self._under_way is None:
-                victim = self._victim(everything, upto)
-                if victim is None:
+    """Compacts the segments of one store. The store's thread calls ``run_slice``, and so may a caller."""
+
+    def __init__(
+        self,
+        files: FileSystem,
+        segments: SegmentTable,
+        index: Index,
+        reader: RecordReader,
+        clock: MonotonicWallClock,
+        stats: Stats,
+        lock: threading.RLock,
+        garbage_ratio: float,
+        write_copies: Callable[[list[Record]], Future[int]],
+    ) -> None:
+        """``lock`` guards ``segments`` and ``index``; ``write_copies`` has records written again as they are."""
+        self._files = files
+        self._segments = segments
+        self._index = index
+        self._reader = reader
+        self._clock = clock
+        self._stats = stats
+        self._state_lock = lock
+        self._garbage_ratio = garbage_ratio
+        self._write_copies = write_copies
+        self._slice_lock = threading.Lock()
+        self._in_progress: Iterator[None] | None = None
+
+    def run_slice(self, max_bytes: int, everything: bool, max_number: int) -> bool:
+        """Copy up to ``max_bytes`` of live records out of one segment; gives whether there is more to do.
+
+        The segment is removed once all copies are durable. If this is cut off at any point, the next opening finds the
+        same records. ``everything``: compact every sealed segment up to ``max_number``, whatever it holds.
+        """
+        with self._slice_lock:
+            if self._in_progress is None:
+                segment = self._choose_segment(everything, max_number)
+                if segment is None:
                     return False
-                self._under_way = self._compact_one(victim, budget)
+                self._in_progress = self._compact_segment(segment, max_bytes)
             try:
-                next(self._under_way)
+                next(self._in_progress)
             except StopIteration:
-                self._under_way = None
+                self._in_progress = None
             except StoreError:
-                self._under_way = None
+                self._in_progress = None
                 return False
             return True
 
-    def _victim(self, everything: bool, upto: int) -> Segment | None:
-        with self._store.lock:
-            segments, dead = self._store.segments.values(), self._store.limits.dead
-            sealed = [s for s in segments if s.sealed and not s.pins and s.number <= upto]
-            if any(s.pins for s in segments):
+    def _choose_segment(self, everything: bool, max_number: int) -> Segment | None:
+        """The oldest sealed segment with enough garbage: tombstones can be dropped only behind the oldest one.
+
+        Tombstones do not count as garbage, as they may still be needed and would be copied again and again.
+        """
+        with self._state_lock:
+            if self._segments.any_pinned():
                 return None
-            # Tombstones may still be needed, and would only be copied on and on; a full compaction looks at each
-            # once.
-            worst = [
-                s
-                for s in sealed
-                if everything or not s.records or (s.records - s.live - s.tombstones) / s.records >= dead
+            candidates = [
+                segment
+                for segment in self._segments
+                if segment.sealed and segment.number <= max_number and (everything or self._is_wasteful(segment))
             ]
-            # The oldest first: only behind it can tombstones be let go.
-            return min(worst, key=lambda each: each.number) if worst else None
+            if not candidates:
+                return None
+            return min(candidates, key=lambda candidate: candidate.number)
+
+    def _is_wasteful(self, segment: Segment) -> bool:
+        if not segment.record_count:
+            return True
+        garbage = segment.record_count - segment.live_count - segment.tombstone_count
+        return garbage / segment.record_count >= self._garbage_ratio
 
-    def _compact_one(self, segment: Segment, budget: int) -> Iterator[None]:
-        copied: list[Record] = []
+    def _compact_segment(self, segment: Segment, max_bytes: int) -> Iterator[None]:
+        """Yields after each slice."""
         futures: list[Future[int]] = []
-        spent = 0
-        for at, record in self._store.records_of(segment):
-            if not self._needed(segment, at, record):
-                continue
-            copied.append(record)
-            spent += record.size
-            if spent >= budget:
-                futures.append(self._store.queue_copies(copied))
-                copied, spent = [], 0
-                yield
-        if copied:
-            futures.append(self._store.queue_copies(copied))
+        for records in self._needed_slices(segment, max_bytes):
+            futures.append(self._write_copies(records))
             yield
         for future in futures:
             while not future.done():
                 yield
             future.result()
-        with self._store.lock:
-            if any(s.pins for s in self._store.segments.values()):
-                return
-            for at, record in self._store.records_of(segment):
-                found = self._store.index.get(digest(record.key))
-                if found is not None and found[0] == place_of(segment.number, at):
-                    return  # it came to life here again; next time
-            del self._store.segments[segment.number]
-            self._store.stats.compacted += 1
+        if not self._forget(segment):
+            return
         with suppress(OSError):
-            self._store.files.remove(segment.hint)
-        self._store.files.remove(segment.name)
-        # Until this lasts nothing may rely on the segment's being gone: a tombstone let go meanwhile would have
-        # its key come back with the file.
-        self._store.files.sync_names()
-
-    def _needed(self, segment: Segment, at: int, record: Record) -> bool:
-        with self._store.lock:
-            found = self._store.index.get(digest(record.key))
-            if found is None or found[1] != record.seq:
+            self._files.remove(segment.hint_name)
+        self._files.remove(segment.name)
+        # Until the removal is durable nothing may rely on it: a tombstone dropped meanwhile would have its key come
+        # back with the file.
+        self._files.sync_directory()
+
+    def _needed_slices(self, segment: Segment, max_bytes: int) -> Iterator[list[Record]]:
+        """The records to be copied, in slices of about ``max_bytes``."""
+        records: list[Record] = []
+        size = 0
+        for offset, record in self._reader.records_of(segment):
+            if not self._is_needed(segment, offset, record):
+                continue
+            records.append(record)
+            size += record.size
+            if size >= max_bytes:
+                yield records
+                records = []
+                size = 0
+        if records:
+            yield records
+
+    def _forget(self, segment: Segment) -> bool:
+        """Take a copied segment out of the table, unless it is pinned or the index points to it again."""
+        with self._state_lock:
+            if self._segments.any_pinned():
+                return False
+            for offset, record in self._reader.records_of(segment):
+                entry = self._index.get(digest(record.key))
+                if entry is not None and entry.place == make_place(segment.number, offset):
+                    return False
+            self._segments.remove(segment.number)
+            self._stats.compacted += 1
+            return True
+
+    def _is_needed(self, segment: Segment, offset: int, record: Record) -> bool:
+        """Whether a record has to be copied.
+
+        A live put has to. A tombstone or an expired put hides older records of its key, and is needed while any other
+        segment may hold such a record; otherwise its key is removed from the index.
+        """
+        with self._state_lock:
+            key_digest = digest(record.key)
+            entry = self._index.get(key_digest)
+            if entry is None or entry.sequence != record.sequence:
                 return False
-            expired = 0 < record.expiry <= self._store.now()
+            expired = 0 < record.expiry <= self._clock.now()
             if record.kind == PUT and not expired:
-                return found[0] == place_of(segment.number, at)
-            # A tombstone, or an expired put, hides older records of its key: needed while such may lie anywhere.
-            older = any(s.clock < record.seq for s in self._store.segments.values() if s is not segment)
-            if not older:
-                if found[0] != GONE:
-                    self._store.index.put(digest(record.key), GONE, record.seq, 0.0)
-                self._store.index.drop(digest(record.key))
-            return older
+                return entry.place == make_place(segment.number, offset)
+            hides_older = any(
+                other.created_at_sequence < record.sequence for other in self._segments if other is not segment
+            )
+            if not hides_older:
+                if entry.place != ABSENT:
+                    self._index.put(key_digest, ABSENT, record.sequence, 0.0)
+                self._index.remove_tombstone(key_digest)
+            return hides_older
--- a/lapishaven/storage/errors.py
+++ b/lapishaven/storage/errors.py
@@ -6,28 +6,31 @@
 
 
 class StoreError(Exception):
-    """Anything that the store says no to."""
+    """The base of all errors of the store."""
 
 
-class StoreFull(StoreError):
-    """The disk, or the bound of bytes, is reached. Nothing was written. ``frees_in``: seconds until the next expiry."""
+class StoreFullError(StoreError):
+    """The disk, or a bound of bytes, is full. Nothing was written.
+
+    ``frees_in``: seconds after which there may be capacity again, if that is known.
+    """
 
     def __init__(self, text: str, frees_in: float | None = None) -> None:
         super().__init__(text)
         self.frees_in = frees_in
 
 
-class StoreLocked(StoreError):
-    """Another process writes here."""
+class StoreLockedError(StoreError):
+    """Another process has the store open."""
 
 
-class StoreBroken(StoreError):
-    """A write or its fsync failed; what was not acknowledged is not there."""
+class StoreWriteError(StoreError):
+    """A write or its fsync failed; what was not acknowledged is not stored."""
 
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """Bytes that cannot be read as records; they are never served."""
+    """Bytes that are no valid records; they are never served."""
 
     segment: int
     offset: int
--- a/lapishaven/storage/format.py
+++ b/lapishaven/storage/format.py
@@ -1,7 +1,7 @@
 """The file format, version 1: bytes to records and back. Pure; ``docs/storage-format.md`` describes it.
 
-A segment is a header and frames. A frame is one batch: it is there whole or not at all. Each record in it has a
-checksum of its own too, so that one can be read and trusted without the rest of its batch.
+A segment is a header and frames. A frame is one group commit: it is valid as a whole or not at all. Each record has a
+checksum of its own too, so that one can be read and verified without the rest of its frame.
 """
 
 from __future__ import annotations
@@ -16,149 +16,191 @@
 
 VERSION = 1
 MAGIC = b"LHSEG\x00"
-HEAD = Struct("<6sHQQI")  # magic, version, segment, clock at its creation, crc of what is before
-FRAME = Struct("<HHIQd")  # mark, records, bytes of payload, sequence of the first record, wall time
-MARK = 0x5AF7
-CRC = Struct("<I")  # behind the frame's head and payload, over both
-RECORD = Struct("<IBHIQd")  # crc of the rest of the record, kind, key bytes, value bytes, sequence, expiry
-PUT, TOMBSTONE = 1, 2
-KEY_LIMIT, VALUE_LIMIT = 1024, 1 << 20
-FRAME_LIMIT = 1 << 26
-FRAME_EXTRA = FRAME.size + CRC.size
-
-
-class NotAFrame(ValueError):
-    """These bytes are no whole frame; the text says why. ``short``: they may be the start of one."""
-
-    def __init__(self, text: str, short: bool = False) -> None:
+SEGMENT_HEADER = Struct("<6sHQQI")  # magic, version, segment number, sequence at its creation, checksum of all before
+FRAME_HEADER = Struct("<HHIQd")  # mark, number of records, payload bytes, sequence of the first record, wall time
+FRAME_MARK = 0x5AF7
+CHECKSUM = Struct("<I")  # CRC32C; after a frame's payload, over header and payload
+RECORD_HEADER = Struct("<IBHIQd")  # checksum of the rest, kind, key bytes, value bytes, sequence, expiry
+PUT = 1
+TOMBSTONE = 2
+MAX_KEY_BYTES = 1024
+MAX_VALUE_BYTES = 1 << 20
+MAX_FRAME_BYTES = 1 << 26
+FRAME_OVERHEAD = FRAME_HEADER.size + CHECKSUM.size
+
+
+class InvalidFrameError(ValueError):
+    """The bytes are no valid header, frame or record. ``truncated``: they may be the beginning of one."""
+
+    def __init__(self, text: str, truncated: bool = False) -> None:
         super().__init__(text)
-        self.short = short
+        self.truncated = truncated
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One put or delete. ``expiry`` is in Unix seconds, 0 for never."""
+    """One put or delete."""
 
-    kind: int
-    seq: int
+    kind: int  # PUT or TOMBSTONE
+    sequence: int
     key: bytes
     value: bytes
-    expiry: float = 0.0
+    expiry: float = 0.0  # Unix seconds; 0: never
 
     @property
     def size(self) -> int:
-        return RECORD.size + len(self.key) + len(self.value)
+        """Bytes in a file."""
+        return RECORD_HEADER.size + len(self.key) + len(self.value)
+
+
+@dataclass(frozen=True, slots=True)
+class Frame:
+    """A decoded frame."""
+
+    records: list[tuple[int, Record]]  # with their offsets in the segment
+    wall_time: float  # Unix seconds at which it was written
+    end: int  # offset behind it
+
+
+@dataclass(frozen=True, slots=True)
+class DamagedRange:
+    """Bytes of a segment that hold no valid frame."""
+
+    offset: int
+    length: int
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class ScanResult:
+    """The content of a segment."""
+
+    frames: list[Frame]
+    damage: list[DamagedRange]  # between valid frames
+    end: int  # offset behind the last valid frame
 
 
-def crc(data: bytes) -> int:
+def checksum(data: bytes) -> int:
+    """The CRC32C of the bytes."""
     return int(google_crc32c.value(data))
 
 
-def header(segment: int, clock: int) -> bytes:
-    data = HEAD.pack(MAGIC, VERSION, segment, clock, 0)[: -CRC.size]
-    return data + CRC.pack(crc(data))
+def encode_segment_header(number: int, created_at_sequence: int) -> bytes:
+    """The header of a segment."""
+    data = SEGMENT_HEADER.pack(MAGIC, VERSION, number, created_at_sequence, 0)[: -CHECKSUM.size]
+    return data + CHECKSUM.pack(checksum(data))
 
 
-def read_header(data: bytes) -> tuple[int, int]:
-    """Segment and clock; ``NotAFrame`` if it is none, ``StoreError`` if it is of a newer format."""
-    if len(data) < HEAD.size:
-        raise NotAFrame("the header is cut short", short=True)
-    magic, version, segment, clock, check = HEAD.unpack_from(data)
-    if magic != MAGIC or crc(data[: HEAD.size - CRC.size]) != check:
-        raise NotAFrame("the header is damaged")
+def decode_segment_header(data: bytes) -> tuple[int, int]:
+    """The segment's number and its sequence at creation.
+
+    Raises ``InvalidFrameError`` if it is no header, ``StoreError`` if it is of a newer format.
+    """
+    if len(data) < SEGMENT_HEADER.size:
+        raise InvalidFrameError("the header is cut short", truncated=True)
+    magic, version, number, created_at_sequence, expected = SEGMENT_HEADER.unpack_from(data)
+    if magic != MAGIC or checksum(data[: SEGMENT_HEADER.size - CHECKSUM.size]) != expected:
+        raise InvalidFrameError("the header is damaged")
     if version > VERSION:
         raise StoreError(f"the store has format {version}, this program reads up to {VERSION}")
-    return segment, clock
+    return number, created_at_sequence
 
 
 def encode_record(record: Record) -> bytes:
-    body = RECORD.pack(0, record.kind, len(record.key), len(record.value), record.seq, record.expiry)[CRC.size :]
-    body += record.key + record.value
-    return CRC.pack(crc(body)) + body
+    """A record with its checksum."""
+    header = RECORD_HEADER.pack(0, record.kind, len(record.key), len(record.value), record.sequence, record.expiry)
+    body = header[CHECKSUM.size :] + record.key + record.value
+    return CHECKSUM.pack(checksum(body)) + body
 
 
-def encode(records: Sequence[Record], wall: float) -> bytes:
-    """One frame."""
+def encode_frame(records: Sequence[Record], wall_time: float) -> bytes:
+    """A frame of at least one record."""
     payload = b"".join(map(encode_record, records))
-    head = FRAME.pack(MARK, len(records), len(payload), records[0].seq, wall)
-    return head + payload + CRC.pack(crc(head + payload))
+    header = FRAME_HEADER.pack(FRAME_MARK, len(records), len(payload), records[0].sequence, wall_time)
+    return header + payload + CHECKSUM.pack(checksum(header + payload))
+
+
+def record_size(data: bytes, offset: int = 0) -> int:
+    """Bytes of the record whose header stands at an offset, by that header."""
+    _, _, key_size, value_size, _, _ = RECORD_HEADER.unpack_from(data, offset)
+    return RECORD_HEADER.size + int(key_size) + int(value_size)
 
 
-def decode_record(data: bytes, at: int = 0) -> Record:
-    """The record at a place; ``NotAFrame`` where its checksum is off."""
-    if at + RECORD.size > len(data):
-        raise NotAFrame("the record is cut short", short=True)
-    check, kind, keys, values, seq, expiry = RECORD.unpack_from(data, at)
-    end = at + RECORD.size + keys + values
+def decode_record(data: bytes, offset: int = 0) -> Record:
+    """The record at an offset. Raises ``InvalidFrameError`` if it is truncated or its checksum does not match."""
+    if offset + RECORD_HEADER.size > len(data):
+        raise InvalidFrameError("the record is cut short", truncated=True)
+    expected, kind, key_size, _, sequence, expiry = RECORD_HEADER.unpack_from(data, offset)
+    end = offset + record_size(data, offset)
     if end > len(data):
-        raise NotAFrame("the record is cut short", short=True)
-    if crc(data[at + CRC.size : end]) != check or kind not in (PUT, TOMBSTONE):
-        raise NotAFrame("the record is damaged")
-    split = at + RECORD.size + keys
-    return Record(kind, seq, data[at + RECORD.size : split], data[split:end], expiry)
-
-
-def decode_frame(data: bytes, at: int) -> tuple[list[tuple[int, Record]], float, int]:
-    """Records with their offsets, the wall time, and where the frame ends."""
-    if at + FRAME.size > len(data):
-        raise NotAFrame("a frame's head is cut short", short=True)
-    mark, count, size, _, wall = FRAME.unpack_from(data, at)
-    if mark != MARK or size > FRAME_LIMIT:
-        raise NotAFrame("no frame begins here")
-    end = at + FRAME.size + size + CRC.size
+        raise InvalidFrameError("the record is cut short", truncated=True)
+    if checksum(data[offset + CHECKSUM.size : end]) != expected or kind not in (PUT, TOMBSTONE):
+        raise InvalidFrameError("the record is damaged")
+    key_start = offset + RECORD_HEADER.size
+    value_start = key_start + key_size
+    return Record(kind, sequence, data[key_start:value_start], data[value_start:end], expiry)
+
+
+def decode_frame(data: bytes, offset: int) -> Frame:
+    """The frame at an offset. Raises ``InvalidFrameError`` if there is no valid one."""
+    if offset + FRAME_HEADER.size > len(data):
+        raise InvalidFrameError("a frame's head is cut short", truncated=True)
+    mark, count, payload_size, _, wall_time = FRAME_HEADER.unpack_from(data, offset)
+    if mark != FRAME_MARK or payload_size > MAX_FRAME_BYTES:
+        raise InvalidFrameError("no frame begins here")
+    payload_end = offset + FRAME_HEADER.size + payload_size
+    end = payload_end + CHECKSUM.size
     if end > len(data):
-        raise NotAFrame("a frame is cut short", short=True)
-    if CRC.unpack_from(data, end - CRC.size)[0] != crc(data[at : end - CRC.size]):
-        raise NotAFrame("a frame's checksum is off")
-    found, place = [], at + FRAME.size
+        raise InvalidFrameError("a frame is cut short", truncated=True)
+    if CHECKSUM.unpack_from(data, payload_end)[0] != checksum(data[offset:payload_end]):
+        raise InvalidFrameError("a frame's checksum is off")
+    records = []
+    record_offset = offset + FRAME_HEADER.size
     for _ in range(count):
-        record = decode_record(data, place)
-        found.append((place, record))
-        place += record.size
-    if place != end - CRC.size:
-        raise NotAFrame("a frame does not hold what it says")
-    return found, wall, end
-
-
-@dataclass(frozen=True, slots=True)
-class Scanned:
-    """What a segment holds: frames, damage as (offset, length, reason), and where its whole frames end."""
-
-    frames: list[tuple[list[tuple[int, Record]], float]]
-    damage: list[tuple[int, int, str]]
-    end: int
-
-
-def scan(data: bytes) -> Scanned:
-    """Read every frame behind the header. Behind damage the next whole frame is looked for; if there is none, it
-    was the tail."""
-    frames: list[tuple[list[tuple[int, Record]], float]] = []
-    damage: list[tuple[int, int, str]] = []
-    at = end = HEAD.size
-    mark = MARK.to_bytes(2, "little")
-    while at < len(data):
+        record = decode_record(data, record_offset)
+        records.append((record_offset, record))
+        record_offset += record.size
+    if record_offset != payload_end:
+        raise InvalidFrameError("a frame does not hold what it says")
+    return Frame(records, wall_time, end)
+
+
+def scan_segment(data: bytes) -> ScanResult:
+    """Decode every frame of a segment.
+
+    After damage the next valid frame is searched for by its mark; without one the rest is the segment's tail, which is
+    left to the caller (``ScanResult.end``).
+    """
+    frames: list[Frame] = []
+    damage: list[DamagedRange] = []
+    end = SEGMENT_HEADER.size
+    while end < len(data):
         try:
-            records, wall, at = decode_frame(data, at)
-        except NotAFrame as error:
-            reason, begin = str(error), at
-            found = None
-            while (at := data.find(mark, at + 1)) >= 0:
-                try:
-                    found = decode_frame(data, at)
-                    break
-                except NotAFrame:
-                    continue
+            frame = decode_frame(data, end)
+        except InvalidFrameError as error:
+            found = _find_frame(data, end + 1)
             if found is None:
-                return Scanned(frames, damage, end)
-            damage.append((begin, at - begin, reason))
-            records, wall, at = found
-        frames.append((records, wall))
-        end = at
-    return Scanned(frames, damage, end)
-
-
-def frames(data: bytes) -> Iterator[Record]:
-    """Records in their order."""
-    for records, _ in scan(data).frames:
-        for _, record in records:
+                break
+            start, frame = found
+            damage.append(DamagedRange(end, start - end, str(error)))
+        frames.append(frame)
+        end = frame.end
+    return ScanResult(frames, damage, end)
+
+
+def _find_frame(data: bytes, offset: int) -> tuple[int, Frame] | None:
+    """The first valid frame at or behind an offset, and where it begins."""
+    mark = FRAME_MARK.to_bytes(2, "little")
+    while (offset := data.find(mark, offset)) >= 0:
+        try:
+            return offset, decode_frame(data, offset)
+        except InvalidFrameError:
+            offset += 1
+    return None
+
+
+def iterate_records(data: bytes) -> Iterator[Record]:
+    """All records of a segment in their order."""
+    for frame in scan_segment(data).frames:
+        for _, record in frame.records:
             yield record
--- a/lapishaven/storage/index.py
+++ b/lapishaven/storage/index.py
@@ -1,137 +1,159 @@
-"""Where each key is: an index in memory for many small keys.
+"""The index: where the newest record of each key is, in memory, for many small keys.
 
-A key is held as its 128-bit hash (xxh3), never its bytes: two keys of a store meet with a chance under 1e-26 at a
-million keys, far under that of an undetected disk error. The bulk lies in sorted columns (hash, place, expiry),
-searched by bisection; what was written since lies in a dict over them, and is merged in when it has grown to a part
-of the bulk. So a million keys take some 36 bytes each, and a store is opened by reading columns, not keys.
+A key is represented by its 128-bit hash (xxh3), never by its bytes: with a million keys the probability of a collision
+is under 1e-26. Most entries are in sorted columns, found by binary search; entries written since are in a dict, which
+is merged into the columns when it has grown to a fraction of them. An entry of the columns takes 36 bytes, and a store
+is opened by reading columns instead of keys.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
+from typing import NamedTuple
 
 import numpy as np
 import xxhash
 
-MERGE_LEAST = 20_000  # entries over the columns at which they are merged
-MERGE_PART = 0.1  # or this part of the columns, where that is more
-GONE = 0  # the place of a key that is not there any more
+MIN_MERGE_ENTRIES = 20_000  # recent entries at which they are merged into the columns,
+MERGE_FRACTION = 0.1  # or this fraction of the columns, if that is more
+RECENT_ENTRY_BYTES = 230  # memory of an entry in the dict
+ABSENT = 0  # the place of a deleted or expired key
+OFFSET_BITS = 40
+LOW_MASK = 0xFFFFFFFFFFFFFFFF  # the low half of a digest
 Column = np.ndarray[tuple[int], np.dtype[np.uint64]]
 
+# A row as hint files have it; ``high`` and ``low`` are the halves of a key's digest.
+ROW_TYPE = np.dtype(
+    [
+        ("high", np.uint64),
+        ("low", np.uint64),
+        ("place", np.uint64),
+        ("seq", np.uint64),
+        ("expiry", np.float64),
+    ]
+)
+
+
+class IndexEntry(NamedTuple):
+    """What the index knows of a key."""
+
+    place: int  # of its newest record, or ``ABSENT``
+    sequence: int  # of that record
+    expiry: float  # Unix seconds, rounded; 0: never. The record has it exactly
+
 
 def digest(key: bytes) -> int:
     """The 128-bit hash of a key."""
     return int(xxhash.xxh3_128_intdigest(key))
 
 
-def place_of(segment: int, offset: int) -> int:
-    """One number for a record's segment and offset; never 0, as segments count from 1."""
-    return segment << 40 | offset
+def make_place(segment_number: int, offset: int) -> int:
+    """One number for a record's segment and offset; never ``ABSENT``, as segment numbers begin at 1."""
+    return segment_number << OFFSET_BITS | offset
 
 
-def split(place: int) -> tuple[int, int]:
-    return place >> 40, place & 0xFFFFFFFFFF
+def split_place(place: int) -> tuple[int, int]:
+    """Segment number and offset of a place."""
+    return place >> OFFSET_BITS, place & ((1 << OFFSET_BITS) - 1)
 
 
 class Index:
-    """Hash to (place, sequence, expiry)."""
+    """Maps the digest of a key to its ``IndexEntry``. Not synchronized."""
 
     def __init__(self) -> None:
         empty = np.empty(0, dtype=np.uint64)
         self._high: Column = empty
         self._low: Column = empty
-        self._place: Column = empty
-        self._seq: Column = empty
-        self._expiry = np.empty(0, dtype=np.float32)  # minutes are enough for a bound; the record has it exactly
-        self._over: dict[int, tuple[int, int, float]] = {}
-        self.count = 0
+        self._places: Column = empty
+        self._sequences: Column = empty
+        self._expiries = np.empty(0, dtype=np.float32)
+        self._recent: dict[int, IndexEntry] = {}
+        self.count = 0  # keys that are not absent
 
     def load(self, rows: np.ndarray) -> None:
-        """Take over columns read from hints: (high, low, place, seq, expiry), the newest of each key last to win."""
+        """Replace the columns by rows of ``ROW_TYPE``; of several rows of one key the highest sequence wins."""
         order = np.lexsort((rows["seq"], rows["low"], rows["high"]))
         rows = rows[order]
-        last = np.ones(len(rows), dtype=bool)
+        is_newest = np.ones(len(rows), dtype=bool)
         if len(rows) > 1:
-            last[:-1] = (rows["high"][1:] != rows["high"][:-1]) | (rows["low"][1:] != rows["low"][:-1])
-        rows = rows[last]
-        self._high, self._low = rows["high"].copy(), rows["low"].copy()
-        self._place, self._seq = rows["place"].copy(), rows["seq"].copy()
-        self._expiry = rows["expiry"].astype(np.float32)
-        self.count = int(np.count_nonzero(self._place))
-
-    def _find(self, key: int) -> int:
+            is_newest[:-1] = (rows["high"][1:] != rows["high"][:-1]) | (rows["low"][1:] != rows["low"][:-1])
+        rows = rows[is_newest]
+        self._high = rows["high"].copy()
+        self._low = rows["low"].copy()
+        self._places = rows["place"].copy()
+        self._sequences = rows["seq"].copy()
+        self._expiries = rows["expiry"].astype(np.float32)
+        self.count = int(np.count_nonzero(self._places))
+
+    def _find_row(self, key_digest: int) -> int:
         """The row of a key in the columns, or -1."""
-        high, low = np.uint64(key >> 64), np.uint64(key & 0xFFFFFFFFFFFFFFFF)
-        at = int(np.searchsorted(self._high, high))
-        while at < len(self._high) and self._high[at] == high:
-            if self._low[at] == low:
-                return at
-            at += 1
+        high = np.uint64(key_digest >> 64)
+        low = np.uint64(key_digest & LOW_MASK)
+        row = int(np.searchsorted(self._high, high))
+        while row < len(self._high) and self._high[row] == high:
+            if self._low[row] == low:
+                return row
+            row += 1
         return -1
 
-    def get(self, key: int) -> tuple[int, int, float] | None:
-        """Place, sequence and expiry; the place is ``GONE`` for a tombstone."""
-        found = self._over.get(key)
-        if found is not None:
-            return found
-        at = self._find(key)
-        return None if at < 0 else (int(self._place[at]), int(self._seq[at]), float(self._expiry[at]))
-
-    def put(self, key: int, place: int, seq: int, expiry: float) -> bool:
-        """Set where a key is, unless a newer record of it is known; true if it was taken."""
-        before = self.get(key)
-        if before is not None and before[1] > seq:
+    def get(self, key_digest: int) -> IndexEntry | None:
+        """The entry of a key; its place is ``ABSENT`` for a tombstone. ``None`` if the key is unknown."""
+        recent = self._recent.get(key_digest)
+        if recent is not None:
+            return recent
+        row = self._find_row(key_digest)
+        if row < 0:
+            return None
+        return IndexEntry(int(self._places[row]), int(self._sequences[row]), float(self._expiries[row]))
+
+    def put(self, key_digest: int, place: int, sequence: int, expiry: float) -> bool:
+        """Set the entry of a key, unless a newer record is known; whether it was set."""
+        previous = self.get(key_digest)
+        if previous is not None and previous.sequence > sequence:
             return False
-        self.count += (place != GONE) - (before is not None and before[0] != GONE)
-        self._over[key] = place, seq, expiry
-        if len(self._over) > max(MERGE_LEAST, MERGE_PART * len(self._high)):
+        was_present = previous is not None and previous.place != ABSENT
+        self.count += (place != ABSENT) - was_present
+        self._recent[key_digest] = IndexEntry(place, sequence, expiry)
+        if len(self._recent) > max(MIN_MERGE_ENTRIES, MERGE_FRACTION * len(self._high)):
             self.merge()
         return True
 
-    def drop(self, key: int) -> None:
-        """Forget a tombstone that nothing needs any more."""
-        before = self.get(key)
-        if before is not None and before[0] == GONE:
-            self._over.pop(key, None)
-            at = self._find(key)
-            if at >= 0:
-                self._place[at] = GONE
+    def remove_tombstone(self, key_digest: int) -> None:
+        """Remove the entry of an absent key, once no older record of it is left in any file."""
+        entry = self.get(key_digest)
+        if entry is not None and entry.place == ABSENT:
+            self._recent.pop(key_digest, None)
+            row = self._find_row(key_digest)
+            if row >= 0:
+                self._places[row] = ABSENT
 
     def merge(self) -> None:
-        """Bring what lies over the columns into them."""
-        if not self._over:
+        """Merge the recent entries into the columns."""
+        if not self._recent:
             return
-        rows = np.empty(len(self._high) + len(self._over), dtype=ROWS)
-        n = len(self._high)
-        rows["high"][:n], rows["low"][:n], rows["place"][:n] = self._high, self._low, self._place
-        rows["seq"][:n], rows["expiry"][:n] = self._seq, self._expiry
-        for at, (key, (place, seq, expiry)) in enumerate(self._over.items(), n):
-            rows[at] = key >> 64, key & 0xFFFFFFFFFFFFFFFF, place, seq, expiry
-        self._over = {}
+        old_count = len(self._high)
+        rows = np.empty(old_count + len(self._recent), dtype=ROW_TYPE)
+        rows["high"][:old_count] = self._high
+        rows["low"][:old_count] = self._low
+        rows["place"][:old_count] = self._places
+        rows["seq"][:old_count] = self._sequences
+        rows["expiry"][:old_count] = self._expiries
+        for row, (key_digest, entry) in enumerate(self._recent.items(), old_count):
+            rows[row] = (key_digest >> 64, key_digest & LOW_MASK, *entry)
+        self._recent = {}
         self.load(rows)
 
     def __len__(self) -> int:
         return self.count
 
     def places(self) -> Iterator[tuple[int, int]]:
-        """Place and sequence of every key that is there, as of now."""
+        """Place and sequence of every key that is not absent, as of now."""
         self.merge()
-        for place, seq in zip(self._place.tolist(), self._seq.tolist(), strict=True):
-            if place != GONE:
-                yield place, seq
-
-    def memory(self) -> int:
-        """Memory of the columns, and of what lies over them."""
-        columns = sum(each.nbytes for each in (self._high, self._low, self._place, self._seq, self._expiry))
-        return columns + len(self._over) * 230
-
-
-ROWS = np.dtype(
-    [
-        ("high", np.uint64),
-        ("low", np.uint64),
-        ("place", np.uint64),
-        ("seq", np.uint64),
-        ("expiry", np.float64),
-    ]
-)
+        for place, sequence in zip(self._places.tolist(), self._sequences.tolist(), strict=True):
+            if place != ABSENT:
+                yield place, sequence
+
+    def memory_bytes(self) -> int:
+        """Memory of the columns and of the recent entries, about."""
+        columns = (self._high, self._low, self._places, self._sequences, self._expiries)
+        return sum(column.nbytes for column in columns) + len(self._recent) * RECENT_ENTRY_BYTES
--- /dev/null
+++ b/lapishaven/storage/segment_writer.py
@@ -0,0 +1,150 @@
+"""Writes frames to the log: the active segment, its end and its successor."""
+
+from __future__ import annotations
+
+import errno
+import threading
+import time
+from collections.abc import Callable
+from contextlib import suppress
+
+import numpy as np
+
+from lapishaven.storage import format as fmt
+from lapishaven.storage.disk_reserve import DiskReserve
+from lapishaven.storage.errors import StoreFullError, StoreWriteError
+from lapishaven.storage.files import FileSystem
+from lapishaven.storage.format import PUT, TOMBSTONE, Record
+from lapishaven.storage.hint_file import Hint, write_hint
+from lapishaven.storage.index import ABSENT, ROW_TYPE, digest, make_place
+from lapishaven.storage.record_reader import RecordReader
+from lapishaven.storage.segments import Limits, Segment, SegmentTable, Stats
+from lapishaven.storage.wall_clock import MonotonicWallClock
+
+DISK_FULL = (errno.ENOSPC, errno.EDQUOT)
+SYNCS_KEPT = 1000  # durations in ``Stats.sync_seconds``
+
+
+def index_row(segment: Segment, offset: int, record: Record) -> tuple[int, int, int, int, float]:
+    """The row of ``index.ROW_TYPE`` for a record at an offset of a segment."""
+    key_digest = digest(record.key)
+    place = make_place(segment.number, offset) if record.kind == PUT else ABSENT
+    return key_digest >> 64, key_digest & 0xFFFFFFFFFFFFFFFF, place, record.sequence, record.expiry
+
+
+class SegmentWriter:
+    """Appends frames to the active segment. One thread at a time writes."""
+
+    def __init__(
+        self,
+        files: FileSystem,
+        limits: Limits,
+        segments: SegmentTable,
+        lock: threading.RLock,
+        reader: RecordReader,
+        clock: MonotonicWallClock,
+        reserve: DiskReserve,
+        stats: Stats,
+        oldest_pending: Callable[[], int],
+    ) -> None:
+        """``lock`` guards ``segments``. ``oldest_pending`` gives the sequence up to which everything is written."""
+        self._files = files
+        self._limits = limits
+        self._segments = segments
+        self._lock = lock
+        self._reader = reader
+        self._clock = clock
+        self._reserve = reserve
+        self._stats = stats
+        self._oldest_pending = oldest_pending
+
+    def write_frame(self, records: list[Record], wall_time: float) -> tuple[Segment, int, int]:
+        """Append records as one frame and sync it; gives the segment, and where the frame begins and ends there.
+
+        ``Segment.size`` is left to the caller, who sets it together with the index. Raises ``StoreFull``,
+        ``StoreBroken`` or ``OSError``; then nothing of the frame is durable.
+        """
+        data = fmt.encode_frame(records, wall_time)
+        segment = self._active_segment(len(data))
+        start = segment.size
+        self._append(segment, data, all(record.kind == TOMBSTONE for record in records))
+        self._sync(segment)
+        return segment, start, start + len(data)
+
+    def seal(self, segment: Segment) -> None:
+        """Write nothing more to a segment, and write its hint."""
+        segment.sealed = True
+        if segment.suspect:
+            return
+        rows = [index_row(segment, offset, record) for offset, record in self._reader.records_of(segment)]
+        if len(rows) == segment.record_count:
+            write_hint(self._files, segment, Hint(np.array(rows, dtype=ROW_TYPE), self._clock.latest))
+
+    def _sync(self, segment: Segment) -> None:
+        started = time.perf_counter()
+        try:
+            self._files.sync(segment.name)
+        except OSError as error:
+            self._distrust(segment)
+            raise StoreWriteError(f"fsync failed: {error.strerror}") from None
+        durations = self._stats.sync_seconds[-(SYNCS_KEPT - 1) :]
+        self._stats.sync_seconds = [*durations, time.perf_counter() - started]
+
+    def _active_segment(self, size: int) -> Segment:
+        """The segment that takes the next ``size`` bytes; a new one if the last is sealed or would grow too large."""
+        last = self._segments.last()
+        if last is not None and not last.sealed:
+            if last.size + size <= self._limits.segment_bytes or not last.record_count:
+                return last
+            self.seal(last)
+        return self._create_segment()
+
+    def _create_segment(self) -> Segment:
+        segment = Segment(self._segments.last_number() + 1, self._oldest_pending())
+        header = fmt.encode_segment_header(segment.number, segment.created_at_sequence)
+        try:
+            self._append(segment, header, False)
+            self._files.sync(segment.name)
+            self._files.sync_directory()
+        except BaseException:
+            with suppress(OSError):
+                self._files.remove(segment.name)
+            raise
+        segment.size = len(header)
+        with self._lock:
+            self._segments.add(segment)
+        return segment
+
+    def _append(self, segment: Segment, data: bytes, only_deletes: bool) -> None:
+        """Write behind the durable end of a segment. A partial write is truncated; a full disk raises ``StoreFull``."""
+        try:
+            self._append_all(segment, data)
+        except OSError as error:
+            try:
+                self._files.truncate(segment.name, segment.size)
+            except OSError:
+                self._distrust(segment)
+            if error.errno not in DISK_FULL:
+                self._distrust(segment)
+                raise
+            if only_deletes and self._reserve.held:
+                self._reserve.release()
+                return self._append(segment, data, False)
+            raise StoreFullError("the disk is full", None) from None
+        if not only_deletes:
+            self._reserve.take()
+
+    def _append_all(self, segment: Segment, data: bytes) -> None:
+        rest = memoryview(data)
+        while rest:
+            written = self._files.append(segment.name, bytes(rest))
+            if written <= 0:
+                raise OSError(errno.ENOSPC, "No space left on device")
+            rest = rest[written:]
+
+    def _distrust(self, segment: Segment) -> None:
+        """After a failed fsync or truncate the kernel's view of a file is unreliable: it ends where it was durable."""
+        segment.suspect = True
+        segment.sealed = True
+        with suppress(OSError):
+            self._files.truncate(segment.name, segment.size)
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -68,7 +68,7 @@
     def born(self) -> None:
         """A life of the server over what the disk has."""
         self.disk.locked = False
-        self.base = Store(self.disk.mount(), Limits(segment=100_000), lambda: 1000.0, thread=False)
+        self.base = Store(self.disk.mount(), Limits(segment_bytes=100_000), lambda: 1000.0, thread=False)
         self.keeper = DurableResults(self.base, 900.0, wall=lambda: 1000.0)
         self.server.keeper, self.server.broker = self.keeper, None
         self.server.up(False, 1.0)
@@ -261,7 +261,7 @@
         return result.exit_code, result.output
 
     where = str(tmp_path / "s")
-    with Store.open(where, Limits(segment=2000)) as store:
+    with Store.open(where, Limits(segment_bytes=2000)) as store:
         for n in range(100):
             store.put(b"%d" % n, b"v%d" % n)
         store.sync()
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -19,13 +19,13 @@
 from hypothesis import strategies as st
 
 from lapishaven.lab.disk import Disk
-from lapishaven.storage import Limits, Store, StoreBroken, StoreError, StoreFull, StoreLocked
+from lapishaven.storage import Limits, Store, StoreError, StoreFullError, StoreLockedError, StoreWriteError
 from lapishaven.storage import format as fmt
-from lapishaven.storage.index import MERGE_LEAST, Index
-from lapishaven.storage.wheel import Wheel
+from lapishaven.storage.index import MIN_MERGE_ENTRIES, Index
+from lapishaven.storage.wheel import TimingWheel
 
 ROOT = Path(__file__).parent.parent
-SMALL = Limits(segment=400, ballast=64)
+SMALL = Limits(segment_bytes=400, reserve_bytes=64)
 Model = dict[bytes, bytes]
 
 
@@ -118,7 +118,7 @@
             if name.endswith(".hint"):
                 assert now == final
             elif now != final:
-                assert store.damage or store.stats.cut, (name, at)
+                assert store.damage or store.stats.truncated_bytes, (name, at)
             intact = [key for key in final if now.get(key) == final[key]]
             assert len(intact) >= len(final) - 4  # one frame's records at the most, and what they had replaced
 
@@ -238,15 +238,15 @@
 # Guards against a full disk that stops reads and deletes, or for ever; and against half a batch.
 def test_a_full_disk() -> None:
     disk = Disk(capacity=2000)
-    store = open_on(disk, Limits(segment=600, ballast=300))
+    store = open_on(disk, Limits(segment_bytes=600, reserve_bytes=300))
     done = []
-    with pytest.raises(StoreFull):
+    with pytest.raises(StoreFullError):
         for n in range(100):
             store.put(b"%d" % n, bytes(50))
             store.sync()
             done.append(b"%d" % n)
     assert len(done) >= 8 and all(store.get(key) == bytes(50) for key in done)
-    with pytest.raises(StoreFull):
+    with pytest.raises(StoreFullError):
         store.batch([(b"x", bytes(500), 0.0), (b"y", b"1", 0.0)])
         store.sync()
     assert store.get(b"x") is None and store.get(b"y") is None
@@ -262,8 +262,8 @@
 
 
 def test_the_bound_of_bytes_refuses_with_the_time_of_the_next_expiry() -> None:
-    store = open_on(Disk(), Limits(segment=400, total=800))
-    with pytest.raises(StoreFull) as full:
+    store = open_on(Disk(), Limits(segment_bytes=400, total_bytes=800))
+    with pytest.raises(StoreFullError) as full:
         for n in range(100):
             store.put(b"%d" % n, bytes(40), 1060.0)
             store.sync()
@@ -281,7 +281,7 @@
     disk.fault = lambda call, name: OSError(errno.EIO, "I/O error") if call == "sync" else None
     future = store.put(b"a", b"2")
     store.commit()
-    with pytest.raises(StoreBroken):
+    with pytest.raises(StoreWriteError):
         future.result()
     assert store.get(b"a") == b"1"
     disk.fault = lambda call, name: None
@@ -305,8 +305,8 @@
 def test_a_newer_format_is_refused_and_left_alone() -> None:
     disk, _ = lived()
     name = next(name for name in disk.files if name.endswith(".seg"))
-    head = bytearray(fmt.HEAD.pack(fmt.MAGIC, 2, 1, 0, 0)[: -fmt.CRC.size])
-    disk.files[name].data[: fmt.HEAD.size] = head + fmt.CRC.pack(fmt.crc(bytes(head)))
+    head = bytearray(fmt.SEGMENT_HEADER.pack(fmt.MAGIC, 2, 1, 0, 0)[: -fmt.CHECKSUM.size])
+    disk.files[name].data[: fmt.SEGMENT_HEADER.size] = head + fmt.CHECKSUM.pack(fmt.checksum(bytes(head)))
     before = bytes(disk.files[name].data)
     with pytest.raises(StoreError, match="format 2, this program reads up to 1"):
         open_on(disk)
@@ -320,7 +320,7 @@
     )
     child = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE, text=True, cwd=ROOT)
     assert child.stdout is not None and child.stdout.readline() == "up\n"
-    with pytest.raises(StoreLocked):
+    with pytest.raises(StoreLockedError):
         Store.open(str(tmp_path))
     child.send_signal(signal.SIGKILL)
     child.wait()
@@ -332,7 +332,7 @@
 # Guards against writers that see each other's results, and a reader that meets a segment on its way out.
 def test_threads_write_and_read_while_it_compacts(tmp_path: Path) -> None:
     wrong: list[str] = []
-    with Store.open(str(tmp_path), Limits(segment=20_000, dead=0.2)) as store:
+    with Store.open(str(tmp_path), Limits(segment_bytes=20_000, garbage_ratio=0.2)) as store:
 
         def work(who: int) -> None:
             for n in range(300):
@@ -357,7 +357,7 @@
 
 # Guards against the store's thread ending where a caller compacts beside it, after which no put would ever be done.
 def test_a_caller_may_compact_beside_the_store_s_thread(tmp_path: Path) -> None:
-    with Store.open(str(tmp_path), Limits(segment=5000, dead=0.3)) as store:
+    with Store.open(str(tmp_path), Limits(segment_bytes=5000, garbage_ratio=0.3)) as store:
         for _ in range(4):
             for n in range(150):
                 store.put(b"%d" % n, bytes(80))
@@ -409,19 +409,19 @@
     for name, (place, seq) in plain.items():
         assert index.get(name) == (place, seq, 0.0)
     assert len(index) == sum(place != 0 for place, _ in plain.values())
-    assert index.get(1 << 100) is None and MERGE_LEAST > 80
+    assert index.get(1 << 100) is None and MIN_MERGE_ENTRIES > 80
 
 
 @given(st.lists(st.floats(0, 100_000), max_size=50), st.lists(st.floats(0, 20_000), max_size=12))
 @profile(max_examples=40, deadline=None)
 def test_the_wheel_tells_what_a_heap_would(times: list[float], steps: list[float]) -> None:
-    wheel, now = Wheel(0.0), 0.0
+    wheel, now = TimingWheel(0.0), 0.0
     waiting = dict(enumerate(times))
     for n, when in waiting.items():
         wheel.add(when, n)
     for step in steps:
         now += step
-        told = wheel.due(now)
+        told = wheel.expire(now)
         for n in told:
             assert waiting.pop(n) <= now
         assert all(when + 1 > int(now) for when in waiting.values())
@@ -431,7 +431,7 @@
 def test_no_descriptor_is_left_open(tmp_path: Path) -> None:
     before = len(os.listdir("/proc/self/fd"))
     for _ in range(3):
-        with Store.open(str(tmp_path), Limits(segment=500)) as store:
+        with Store.open(str(tmp_path), Limits(segment_bytes=500)) as store:
             for n in range(30):
                 store.put(b"%d" % n, bytes(50))
     assert len(os.listdir("/proc/self/fd")) == before
