--- a/lapishaven/admission/controller.py
+++ b/lapishaven/admission/controller.py
@@ -1,18 +1,18 @@
-"""Every admission decision. Its types are in ``settings.py``, ``events.py`` and ``actions.py``.
+"""The driver of admission control: passes events to the rules and turns their verdicts into actions.
 
-Ordinary path: busy samples of the cores fill a rolling window; a request that is read is refused with a
-chance that rises linearly from 0 at a lower to 1 at an upper threshold of the window's average; what passes
-is held and runs under a stepped running limit. The rest guards what the rules ask for, or answers a symptom
-that the window cannot see. Pure: no clock, no I/O; the same events and seed give the same actions.
+Each rule stands in a module of its own. In short: load samples fill a rolling window (``load_measurement``); an
+arriving request is rejected with a probability that rises with the window's average (``rejection_probability``);
+what is admitted is queued and runs in the order of ``queue_order`` under a stepped ``concurrency_limit``. The other
+rules bound memory, dependency calls, tenants and connections, and keep deadlines and the drain.
 """
 
 from __future__ import annotations
 
 import random
-from collections import deque
 from collections.abc import Iterable
-from heapq import heappop, heappush
 
+from lapishaven.admission import concurrency_limit, dependency_calls, queue_order, rejection
+from lapishaven.admission import rejection_probability as shedding
 from lapishaven.admission.actions import (
     Action,
     AwaitOriginal,
@@ -29,6 +29,13 @@
     SkipDependency,
     StartRun,
 )
+from lapishaven.admission.callers import CallerTable
+from lapishaven.admission.concurrency_limit import ConcurrencyLimit
+from lapishaven.admission.connection_limits import IdleTimeout
+from lapishaven.admission.deadlines import ANSWER_MARGIN_S, DeadlineQueue
+from lapishaven.admission.deduplication import KeyReservations, can_share_result
+from lapishaven.admission.dependency_calls import DependencyCalls, DependencyStep
+from lapishaven.admission.draining import Drain
 from lapishaven.admission.events import (
     DependencyCallFinished,
     DependencyCallNeeded,
@@ -39,497 +46,392 @@
     RequestArrived,
     RunFinished,
 )
+from lapishaven.admission.health import HealthStatus
+from lapishaven.admission.load_measurement import POLL_INTERVAL_S, LoadMeasurement
+from lapishaven.admission.load_signal import LoadSignal
+from lapishaven.admission.memory_budget import MemoryBudget
 from lapishaven.admission.ports import AdmissionPools
-from lapishaven.admission.settings import Idempotency, RequestClass, Settings
-
-# ---- Named constants: unit, and why
-POLL = 0.1  # s; the gauge spans half a second, so five polls see each change; cheap at ten a second
-WINDOW = 10  # samples, so one second: short against every aim, long against the noise of a poll
-LOWER = 0.95  # average busy share from which refusing starts: cores that are not full need no refusal
-UPPER = 1.7  # where all are refused: waiting work of half a shortest aim or more on top of full cores
-FULL = 0.8  # latest busy share that counts as nearly all busy: below it nothing is refused by chance
-STEP = 0.25  # the running limit grows by this part of itself a poll
-CUT = 0.8  # and is cut to this part
-CLIMB = 4.0  # run latency over its base that counts as well past it: the base is the least of few runs
-SLOW = 2.5  # call time over its base that counts as slow: one base for all calls, so a steadier one
-CUT_CONCURRENCY = 2.0  # runs a core past which the limit is cut: such cores do less in total
-SAFE_CONCURRENCY = 0.85  # part of the concurrency that is survived used as a ceiling: reading needs the rest
-MEMORY = 0.92  # part of the memory booked at most: what was read in the next batch comes on top
-MARGIN = 1.5 * POLL  # s before the due time at which the answer goes out: the poll may be that late
-EARLY = 1.0  # of its mean time that must be left to a run: those begun with less mostly came too late
-RECENT = 0.1  # weight of the newest run in the latency mean
-TENANT_SPAN = 5.0  # s; span of a tenant's local rate: about thirty requests, so a sixth of noise
-STEADY = 0.028  # weight of the newest chance in what is told: 3.6 s, so callers do not swing in step
-NARROW = 8.0  # how fast a window narrows: at a quarter of chance all windows make about one running limit
-LAST = 0.25  # told chance from which a refusal says that trying elsewhere will not help, at most; and
-LAST_PEERS = 4.0  # peers likely to refuse as well that suffice: retries walk a part of the list, each read
-TABLE = 2.0  # connections, over the runs that are survived, from which idle ones are closed
-ADVICE = POLL  # s to keep away after a refusal, to twice that at full chance: longer, callers swing in step
-PATIENCE = 0.5  # part of a class's aim that a call, or the wait for its turn, may take
-
-HELD, ATTACHED, RUNNING, STANDING, CALLING, PAUSED = range(6)
-
-
-class _Request:
-    """What the controller knows of one request."""
-
-    __slots__ = (
-        "id",
-        "spec",
-        "cls",
-        "kb",
-        "due",
-        "aim_at",
-        "arrived",
-        "place",
-        "value",
-        "state",
-        "ran",
-        "answered",
-        "kept",
-        "since",
-        "guarded",
-    )
-
-    def __init__(self, a: RequestArrived, spec: RequestClass, now: float) -> None:
-        self.id, self.spec, self.cls, self.kb = a.request_id, spec, a.class_index, a.memory_kb
-        self.arrived = now - a.age
-        self.due = max(now, a.deadline if a.deadline is not None else self.arrived + spec.deadline)
-        self.aim_at = self.arrived + spec.latency_objective + (spec.objective_per_cost or 0.0) * (a.cost_hint or 0.0)
-        self.place, self.value, self.since = 0.0, 1.0, 0.0
-        self.state = HELD
-        self.ran = self.answered = self.kept = False
-        self.guarded = spec.idempotency is not Idempotency.IDEMPOTENT
+from lapishaven.admission.rejection import Rejection
+from lapishaven.admission.request import RequestState, TrackedRequest
+from lapishaven.admission.request_table import RequestTable
+from lapishaven.admission.run_latency import RunLatency
+from lapishaven.admission.settings import Settings, check_reload, check_settings
+from lapishaven.admission.tenant_quota import TenantQuotas
+
+LOAD_TIMER_ID = 0
 
 
 class Controller:
-    """Decides for one life of one instance; ``handle`` takes a batch of events and returns the actions."""
+    """Decides for one incarnation of one instance. Pure: the same events and seed give the same actions.
+
+    The host calls ``handle`` with each batch of events and carries out the actions that it returns::
+
+        controller = Controller(settings, seed)
+        for action in controller.handle(loop.now, [LoadSample(0, 0.5, 2.0, None, None)]):
+            host.carry_out(action)
+
+    ``pools`` predict run times, bound and order the runs of each pool, and preempt runs; without them all
+    classes share one queue. ``ValueError`` if the settings do not make sense.
+    """
 
     def __init__(self, settings: Settings, seed: int, pools: AdmissionPools | None = None) -> None:
-        if settings.cores < 1 or not settings.classes or settings.memory_kb <= 0:
-            raise ValueError("settings need at least one core, one class and some memory")
-        if any(c.latency_objective <= 0 or c.deadline <= 0 or c.priority_weight < 0 for c in settings.classes):
-            raise ValueError("each class needs an aim and a deadline above 0 and a worth of 0 or more")
-        self.s, self.rng, self.pools = settings, random.Random(seed), pools
-        self.out: list[Action] = []
-        self.now = self.born = self.kill_at = 0.0
-        self.requests: dict[int, _Request] = {}
-        self.held: dict[int, _Request] = {}
-        self.count = [0] * 6
-        self.dues: list[tuple[float, int]] = []
-        self.samples: deque[float] = deque(maxlen=WINDOW)
-        self.busy = self.chance = self.said = self.unread = self.steady = self.calls_mean = self.memory = 0.0
-        self.good, self.started, self.limit = True, False, float(settings.cores)
-        self.latency = [0.0] * (len(settings.classes) + 1)  # of each class's runs and, last, of calls below
-        self.base = list(self.latency)
-        self.fair = 0.9 * settings.dependency_quota if settings.dependency_quota is not None else float("inf")
-        self.tenant_seen = [0] * len(settings.tenants)
-        self.tenant_rate = [0.0] * len(settings.tenants)
-        self.tenant_weight = [1.0] * len(settings.tenants)
-        self.keys: list[tuple[float, int]] = []
-        self.kept: dict[int, float] = {}  # what is booked for each entry
-        self.calls_waiting: deque[int] = deque()
-        self.lingering: deque[float] = deque()
-        self.caller_seen: dict[int, tuple[float, list[float]]] = {}  # when, and the time given by class
-        self.idle = settings.idle_timeout
-        self.drain_from: float | None = None
+        check_settings(settings)
+        self.settings = settings
+        self.pools = pools
+        self.rejection_probability = 0.0
+        """At the average load of the window."""
+        self.memory = MemoryBudget(settings)
+        self.table = RequestTable(self.memory)
+        self.run_latency = RunLatency(settings, pools)
+        self.load = LoadMeasurement(settings)
+        self.concurrency = ConcurrencyLimit(settings)
+        self.reservations = KeyReservations(settings, self.memory)
+        self.dependency = DependencyCalls(settings)
+        self.drain = Drain(settings)
+        self.signal = LoadSignal(settings)
+        self.health = HealthStatus(settings)
+        self.callers = CallerTable(settings)
+        self.idle_timeout = IdleTimeout(settings)
+        self.quotas = TenantQuotas(settings)
+        self.deadlines = DeadlineQueue()
+        self._random = random.Random(seed)
+        self._has_started = False
+        self._now = 0.0
+        self._actions: list[Action] = []
 
     def retune(self, settings: Settings) -> None:
-        """New settings at a reload. Classes keep their numbers: new ones come last, dropped ones stay
-        listed, and open requests keep the class they came with. ``ValueError`` if classes were taken away."""
-        grow = len(settings.classes) - len(self.s.classes)
-        if grow < 0 or len(settings.tenants) != len(self.s.tenants):
-            raise ValueError("classes keep their numbers, and tenants stay")
-        for figures in (self.latency, self.base):
-            figures[-1:-1] = [0.0] * grow
-        for _, given in self.caller_seen.values():
-            given += [0.0] * grow
-        self.s = settings
-
-    # ---- Batch
+        """Take over reloaded settings.
+
+        Classes keep their index: new ones come last, dropped ones stay listed, and open requests keep the class
+        that they came with. ``ValueError`` if classes were taken away or the number of tenants changed.
+        """
+        check_reload(self.settings, settings)
+        self.settings = settings
+        for rule in (
+            self.memory,
+            self.run_latency,
+            self.load,
+            self.concurrency,
+            self.reservations,
+            self.dependency,
+            self.drain,
+            self.signal,
+            self.health,
+            self.callers,
+            self.idle_timeout,
+            self.quotas,
+        ):
+            rule.apply_settings(settings)
+
     def handle(self, now: float, events: list[Event]) -> list[Action]:
-        """All decisions on one batch; one dispatch pass at its end."""
-        self.now, self.out = now, []
-        if not self.started:
-            self.started, self.born = True, now
-            # Cold guard: told from the start, so that callers do not first learn it by refusals.
-            self.steady = 1.0 - self.s.slow_start_initial_speed if self.s.slow_start else 0.0
-            self.out += (SetHealth(True), ScheduleTimer(POLL, 0))
+        """Decide on a batch of events at ``now``, seconds of the host's clock that never goes back."""
+        self._now = now
+        self._actions = []
+        if not self._has_started:
+            self._start()
         for event in events:
-            if isinstance(event, RequestArrived):
-                self._arrival(event)
-            elif isinstance(event, LoadSample):
-                self._poll(event)
-            elif isinstance(event, DrainRequested):
-                self._drain(event.kill_at)
-            elif (r := self.requests.get(event.request_id)) is not None:
-                if isinstance(event, RunFinished):
-                    self._finished(r, event)
-                elif isinstance(event, DependencyCallNeeded):
-                    self._stand(r)
-                elif isinstance(event, DependencyCallFinished):
-                    self._learn(-1, event.elapsed)
-                    self._call_ended(r, event.outcome)
-                else:
-                    self._let_go(r)
-        self._watch_dues()
-        self._watch_keys()
-        self._make_calls()
-        self._dispatch()
-        return self.out
-
-    def _move(self, r: _Request, state: int | None) -> None:
-        """The one place where counts, memory and the hold change; ``None`` ends the request."""
-        factor = self.s.running_memory_factor
-        self.count[r.state] -= 1
-        self.memory -= r.kb * (factor if r.state >= RUNNING else 1.0)
-        self.held.pop(r.id, None)
-        if state is None:
-            del self.requests[r.id]
+            self._apply(event)
+        for request_id in self.deadlines.pop_expired(now):
+            request = self.table.requests.get(request_id)
+            if request is not None and not request.is_answered:
+                self._reject(request, rejection.DEADLINE_EXPIRED)
+        self.reservations.expire(now)
+        self.dependency.expire_lingering(now)
+        if self.dependency.waiting:
+            self._advance_dependency_calls()
+        self._reject_unservable()
+        self._start_runs()
+        return self._actions
+
+    def _start(self) -> None:
+        self._has_started = True
+        self.concurrency.begin_slow_start(self._now)
+        self.signal.begin()
+        self._actions.append(SetHealth(True))
+        self._actions.append(ScheduleTimer(POLL_INTERVAL_S, LOAD_TIMER_ID))
+
+    def _apply(self, event: Event) -> None:
+        if isinstance(event, RequestArrived):
+            self._on_arrival(event)
             return
-        r.state, r.since = state, self.now
-        self.count[state] += 1
-        self.memory += r.kb * (factor if state >= RUNNING else 1.0)
-        if state == HELD:
-            self.held[r.id] = r
-
-    # ---- Window and chance
-    def _sample(self, poll: LoadSample) -> None:
-        # Stall guard: at the concurrency ceiling nothing more can start, however idle the cores look (work or
-        # the dependency stands still), so that counts as busy. Harm: long waits for disk look like a stall.
-        stalled = sum(self.count[RUNNING:PAUSED]) + 1 > self._ceiling()
-        self.busy = 1.0 if stalled or poll.cpu_utilization is None and self.held else poll.cpu_utilization or 0.0
-        # Full cores read 1 at any demand above them, so waiting work is added as the busy share that it will
-        # become: its wait, unread and held, over the shortest aim. It acts only while the cores are nearly
-        # all busy. Harm: one long run among few makes the hold look slower than it is.
-        self.samples.append(self._load())
-        self.unread *= 0.7  # faded, so that one late read does not outlast the span of the gauge
-        self.chance = self._between(sum(self.samples) / len(self.samples))
-
-    def _load(self) -> float:
-        wait = self.unread + sum(self._run_time(r.cls) for r in self.held.values()) / self.limit
-        return self.busy + (wait / min(c.latency_objective for c in self.s.classes) if self.busy >= FULL else 0.0)
-
-    def _between(self, load: float) -> float:
-        return min(1.0, max(0.0, (load - LOWER) / (UPPER - LOWER)))
-
-    def _run_time(self, cls: int) -> float:
-        if self.pools is not None:
-            return self.pools.run_time(cls)
-        return self.latency[cls] or 0.2 * self.s.classes[cls].latency_objective
-
-    def _worth(self, cls: int) -> float:
-        """Worth for each second of the machine's time."""
-        return self.s.classes[cls].priority_weight / (1.0 if self.s.weight_per_request else self._run_time(cls))
-
-    def _learn(self, n: int, spent: float) -> None:
-        """Mean time of a class's runs, or of calls, and its base: the least mean, let rise slowly."""
-        seen, base = self.latency[n], self.base[n]
-        self.latency[n] = seen = seen + RECENT * (spent - seen) if seen else spent
-        self.base[n] = base + 0.01 * (seen - base) if 0.0 < base < seen else seen
-
-    def _climb(self, n: int) -> float:
-        return self.latency[n] / self.base[n] if self.base[n] else 1.0
-
-    # ---- Running limit
-    def _step_limit(self, poll: LoadSample) -> None:
-        cores, wanted = self.s.cores, poll.runnable or 0.0
-        room = self.busy < FULL and wanted < cores
-        climbed = any(self._climb(n) > CLIMB for n in range(len(self.s.classes)))
-        # Room comes first: a class that no longer gets to run keeps a stale, high latency, and a cut on that
-        # alone held the limit at its floor with idle cores and a hundred requests waiting. Only runs count
-        # as concurrency: cut for the reads and handshakes on the cores, they would leave the cores to those.
-        if room and self.held and self.count[RUNNING] + 1 > self.limit:
-            self.limit += max(1.0, STEP * self.limit)
-        elif not room and (climbed or min(wanted, self.count[RUNNING]) > CUT_CONCURRENCY * cores):
-            self.limit *= CUT
-        self.limit = max(float(cores), min(self.limit, self._ceiling()))
-
-    def _ceiling(self) -> float:
-        """Concurrency guard: runs that even the slowest allowed warm-up survives, with those at a call."""
-        share = 1.0
-        if self.s.slow_start and self.s.slow_start_span > 0:
-            warm = min(1.0, (self.now - self.born) / self.s.slow_start_span)
-            share = self.s.slow_start_initial_speed + (1.0 - self.s.slow_start_initial_speed) * warm
-        return max(1.0, SAFE_CONCURRENCY * self.s.cores * (1.0 + (self.s.collapse_concurrency - 1.0) * share))
-
-    # ---- Admission at read
-    def _arrival(self, a: RequestArrived) -> None:
-        spec = self.s.classes[a.class_index]
-        r = _Request(a, spec, self.now)
-        self.requests[r.id] = self.held[r.id] = r
-        self.count[HELD] += 1
-        self.memory += r.kb
-        if a.tenant_index < len(self.tenant_seen):
-            self.tenant_seen[a.tenant_index] += 1
-            r.value = self.tenant_weight[a.tenant_index]
-        # Taken out and put back, so that the first is the one not seen for longest.
-        given = self.caller_seen.pop(a.caller_id, (0.0, [0.0] * len(self.s.classes)))[1]
-        self.caller_seen[a.caller_id] = (self.now, given)
-        if a.deadline is not None:
-            # A marked retry with less time left than its caller gives this class is that much older.
-            left = a.deadline - r.arrived
-            given[a.class_index] = max(given[a.class_index], left)
-            if a.is_retry:
-                r.aim_at -= given[a.class_index] - left
-        if self.drain_from is not None:
-            r.due = min(r.due, self.kill_at - MARGIN)
-        self.unread = max(self.unread, a.age)
-        heappush(self.dues, (r.due - MARGIN, r.id))
-        if a.duplicate_of is not None and (r.guarded or (self.s.result_freshness > 0 and not a.is_write)):
-            self._move(r, ATTACHED)
-            self.out.append(AwaitOriginal(r.id))
+        if isinstance(event, LoadSample):
+            self._on_load_sample(event)
             return
-        least = min(map(self._worth, range(len(self.s.classes))))
-        r.value *= self._worth(a.class_index) / least if least > 0 else 1.0
-        # The refusal probability is held against the caller's place in its class, so a retry draws nothing
-        # anew. The window lags a surge's end; what waits now bounds it, so that a dry hold is not refused.
-        r.place = (a.rank * len(self.s.classes)) % 1.0 if a.rank > 0 else self.rng.random()
-        pressed = self.busy >= FULL and (len(self.held) > 1 or self.unread > POLL)
-        pools = self.pools
-        full = pools.full(self.now, r.cls, r.aim_at, r.due - MARGIN) if pools is not None else None
-        if max(self.memory, r.kb * self.s.running_memory_factor) > MEMORY * self.s.memory_kb:  # also what never fits
-            self._refuse(r, "memory")
-        elif full is not None:
-            self._refuse(r, full[0], wait=full[1])
-        elif pools is not None and pools.guards(r.cls):
-            self._keep_if_guarded(r)
-        elif pressed and r.place < min(self.chance, self._between(self._load())) ** r.value:
-            self._refuse(r, "load", self.steady > min(LAST, LAST_PEERS / max(1, self.s.peer_count)))
+        if isinstance(event, DrainRequested):
+            self._on_drain(event)
+            return
+        request = self.table.requests.get(event.request_id)
+        if request is None:
+            return
+        if isinstance(event, RunFinished):
+            self._on_run_finished(request, event)
+        elif isinstance(event, DependencyCallNeeded):
+            self._on_dependency_needed(request)
+        elif isinstance(event, DependencyCallFinished):
+            self._on_dependency_finished(request, event)
         else:
-            self._keep_if_guarded(r)
-        if pools is not None and r.id in self.held:
-            pools.hold(self.now, r.id, r.cls, r.kb, r.aim_at, r.due)
-
-    def _refuse(self, r: _Request, reason: str, last: bool = False, wait: float = 0.0) -> None:
-        """Turn away what never ran, with advice when to come back; anything else fails."""
-        leaving, most = self.drain_from is not None, self.s.max_retry_after
-        advice = most if leaving or most is None else min(most, wait or ADVICE * (1.0 + self.chance))
-        if r.ran or r.state != HELD:
-            self.out.append(Fail(r.id, reason))
+            self._abandon(request)
+
+    # Arrival
+
+    def _on_arrival(self, event: RequestArrived) -> None:
+        request = self._track(event)
+        if can_share_result(request, event, self.settings.result_freshness):
+            self.table.move(request, RequestState.AWAITING_ORIGINAL, self._now)
+            self._actions.append(AwaitOriginal(request.request_id))
+            return
+        request.weight *= queue_order.relative_weight(self.settings, self.run_latency, event.class_index)
+        request.rank = shedding.rejection_rank(event.rank, len(self.settings.classes), self._random)
+        verdict = self._verdict(request)
+        if verdict is not None:
+            self._reject(request, verdict)
+            return
+        if request.needs_reservation and not self._reserve_key(request):
+            return
+        if self.pools is not None:
+            self.pools.enqueue(
+                self._now,
+                request.request_id,
+                request.class_index,
+                request.memory_kb,
+                request.objective_at,
+                request.deadline,
+            )
+
+    def _track(self, event: RequestArrived) -> TrackedRequest:
+        """Enter a request that was read into the tables."""
+        now = self._now
+        request = TrackedRequest(event, self.settings.classes[event.class_index], now)
+        self.table.add(request)
+        request.weight = self.quotas.record(event.tenant_index)
+        self.callers.record(now, event.caller_id)
+        if event.deadline is not None:
+            time_left = event.deadline - request.arrived_at
+            time_used = self.callers.time_used(event.caller_id, event.class_index, time_left)
+            if event.is_retry:
+                request.objective_at -= time_used
+        if self.drain.is_active:
+            request.deadline = self.drain.capped_deadline(request.deadline)
+        self.load.record_read(event.age)
+        self.deadlines.push(request.deadline - ANSWER_MARGIN_S, request.request_id)
+        return request
+
+    def _verdict(self, request: TrackedRequest) -> Rejection | None:
+        """Why a request is rejected on arrival; ``None`` if it is admitted."""
+        pools = self.pools
+        pool_rejection: Rejection | None = None
+        if pools is not None:
+            answer_by = request.deadline - ANSWER_MARGIN_S
+            pool_rejection = pools.rejection(self._now, request.class_index, request.objective_at, answer_by)
+        if self.memory.is_exhausted_by(request):
+            return rejection.OUT_OF_MEMORY
+        if pool_rejection is not None:
+            return pool_rejection
+        if pools is not None and pools.is_guaranteed(request.class_index):
+            return None
+        if not self.load.has_waiting_work(len(self.table.queued)):
+            return None
+        load = self.load.current(self.table.queued.values(), self.run_latency, self.concurrency.limit)
+        current = shedding.probability_at(load)
+        if not shedding.is_rejected(request.rank, request.weight, self.rejection_probability, current):
+            return None
+        return rejection.FLEET_OVERLOADED if self.signal.no_retry_elsewhere() else rejection.OVERLOADED
+
+    def _reserve_key(self, request: TrackedRequest) -> bool:
+        ttl = self.reservations.reserve(request, self._now)
+        if ttl is None:
+            self._reject(request, rejection.KEY_TABLE_FULL)
+            return False
+        self._actions.append(ReserveKey(request.request_id, ttl))
+        return True
+
+    # Ends of requests
+
+    def _reject(self, request: TrackedRequest, verdict: Rejection) -> None:
+        """Reject a request that never ran, with advice when to come back; fail any other."""
+        if request.has_run or request.state is not RequestState.QUEUED:
+            self._actions.append(Fail(request.request_id, verdict.reason))
         else:
-            self.out.append(Reject(r.id, reason, advice, last))
-        self._let_go(r)
-
-    def _let_go(self, r: _Request) -> None:
-        """Nobody waits for it any more: what is held is over, what runs is stopped where that is allowed."""
-        if r.state in (HELD, ATTACHED, PAUSED):
-            self._drop_key(r)
-            self._move(r, None)
+            retry_after = self.signal.retry_after(self.rejection_probability, self.drain.is_active, verdict.retry_after)
+            self._actions.append(Reject(request.request_id, verdict.reason, retry_after, verdict.no_retry_elsewhere))
+        self._abandon(request)
+
+    def _abandon(self, request: TrackedRequest) -> None:
+        """Nobody waits for the request any more: forget it, or cancel its run if the host can do that."""
+        state = request.state
+        if state in (RequestState.QUEUED, RequestState.AWAITING_ORIGINAL, RequestState.PAUSED):
+            if self.reservations.release(request):
+                self._actions.append(ReleaseKey(request.request_id))
+            self.table.remove(request)
             if self.pools is not None:
-                self.pools.dropped(r.id)
+                self.pools.dequeue(request.request_id)
+            return
+        if request.is_answered:
+            return
+        request.is_answered = True
+        if state is RequestState.CALLING_DEPENDENCY:
+            self.dependency.add_lingering(self._now)
+        elif state is RequestState.RUNNING and self.settings.cancellation is not None:
+            self._actions.append(CancelRun(request.request_id))
+
+    def _on_run_finished(self, request: TrackedRequest, event: RunFinished) -> None:
+        succeeded = event.outcome is Outcome.OK
+        was_cancelled = event.outcome is Outcome.CANCELLED and not request.is_answered
+        if self.pools is not None:
+            if was_cancelled and self.pools.requeue_preempted(self._now, request.request_id):
+                self.table.move(request, RequestState.PAUSED, self._now)
+                return
+            self.pools.run_ended(self._now, request.request_id, succeeded)
+        if succeeded and request.state is RequestState.RUNNING and not request.is_answered:
+            self.run_latency.record(request.class_index, event.elapsed)
+        if was_cancelled:
+            self.table.move(request, RequestState.QUEUED, self._now)
+            self._reject(request, rejection.RUN_CANCELLED)
+        else:
+            self.table.remove(request)
+
+    # Queue
+
+    def _reject_unservable(self) -> None:
+        """Reject what can no longer be served in time from the queue."""
+        if not self.table.queued:
             return
-        if r.state == CALLING and not r.answered:
-            self.lingering.append(self.now + self.s.dependency_linger)
-        elif r.state == RUNNING and not r.answered and self.s.cancellation is not None:
-            self.out.append(CancelRun(r.id))
-        r.answered = True
-
-    # ---- Order of the hold
-    def _hopeless(self, r: _Request) -> bool:
-        end = self.now + EARLY * self._run_time(r.cls)
-        return end > min(r.due - MARGIN, r.aim_at if r.spec.late_weight <= 0 else r.due)
-
-    def _dispatch(self) -> None:
-        for r in list(self.held.values()):
-            if self.drain_from is not None and self._too_late(r):
-                self._refuse(r, "drain")
-            elif self._hopeless(r):
-                self._refuse(r, "hopeless")
-        at_call = self.count[STANDING] + self.count[CALLING]
-        # Pools bound what runs themselves, under the same ceiling.
-        limit = self.limit if self.pools is None else self._ceiling()
-        room = min(limit, self._ceiling() - at_call) - self.count[RUNNING]
-        if room < 1:
+        now = self._now
+        draining = self.drain.is_active
+        run_times = self.run_latency.expected_by_class()
+        for request in list(self.table.queued.values()):
+            run_time = run_times[request.class_index]
+            if draining and self.drain.is_too_late(request, now, run_time):
+                self._reject(request, rejection.DRAINING)
+            elif queue_order.is_hopeless(request, now, run_time):
+                self._reject(request, rejection.HOPELESS)
+
+    def _start_runs(self) -> None:
+        """Start queued requests while there are free slots."""
+        free_slots = self._free_slots()
+        if free_slots < 1:
             return
-        for r in self._order():
-            if room < 1:
+        for request in self._dispatch_candidates():
+            if free_slots < 1:
                 return
-            more = r.kb * (self.s.running_memory_factor - 1.0) if r.state == HELD else 0.0
-            if self.memory + more > MEMORY * self.s.memory_kb or r.guarded and not r.kept:
+            if not self.memory.can_start(request):
                 continue
-            r.ran = True
-            self._move(r, RUNNING)
-            self.out.append(StartRun(r.id))
-            room -= 1
+            if request.needs_reservation and not request.has_reservation:
+                continue
+            request.has_run = True
+            self.table.move(request, RequestState.RUNNING, self._now)
+            self._actions.append(StartRun(request.request_id))
+            free_slots -= 1
             if self.pools is not None:
-                self.pools.started(self.now, r.id)
+                self.pools.run_started(self._now, request.request_id)
 
-    def _order(self) -> Iterable[_Request]:
-        """By the pools' turns, where there are any; they hold what was paused as well."""
-        if self.pools is not None:
-            return (self.requests[id] for id in self.pools.order(self.now))
-        return sorted(self.held.values(), key=lambda r: (r.aim_at < self.now, -r.value, r.aim_at))
+    def _free_slots(self) -> float:
+        ceiling = self.concurrency.ceiling(self._now)
+        # Pools bound the running requests themselves, under the same ceiling.
+        limit = self.concurrency.limit if self.pools is None else ceiling
+        return min(limit, ceiling - self.table.at_dependency()) - self.table.counts[RequestState.RUNNING]
 
-    def _finished(self, r: _Request, event: RunFinished) -> None:
+    def _dispatch_candidates(self) -> Iterable[TrackedRequest]:
+        """What may run, in its order. Pools keep the order if there are any, paused requests included."""
         if self.pools is not None:
-            stopped = event.outcome is Outcome.CANCELLED and not r.answered
-            if stopped and self.pools.suspended(self.now, r.id):
-                self._move(r, PAUSED)
-                return
-            self.pools.ended(self.now, r.id, event.outcome is Outcome.OK)
-        if event.outcome is Outcome.OK and r.state == RUNNING and not r.answered:
-            self._learn(r.cls, event.elapsed)
-        if event.outcome is Outcome.CANCELLED and not r.answered:
-            self._move(r, HELD)
-            self._refuse(r, "stopped")
-        else:
-            self._move(r, None)
+            requests = self.table.requests
+            return (requests[request_id] for request_id in self.pools.dispatch_order(self._now))
+        return queue_order.dispatch_order(self.table.queued.values(), self._now)
+
+    # Dependency calls
 
-    # ---- Calls below
-    def _stand(self, r: _Request) -> None:
-        if not r.answered:
-            self._move(r, STANDING)
-            self.calls_waiting.append(r.id)
+    def _on_dependency_needed(self, request: TrackedRequest) -> None:
+        if not request.is_answered:
+            self.table.move(request, RequestState.AWAITING_DEPENDENCY, self._now)
+            self.dependency.waiting.append(request.request_id)
 
-    def _call_ended(self, r: _Request, outcome: Outcome) -> None:
-        if r.state != CALLING or r.answered:
+    def _on_dependency_finished(self, request: TrackedRequest, event: DependencyCallFinished) -> None:
+        self.dependency.latency.record(event.elapsed)
+        if request.state is not RequestState.CALLING_DEPENDENCY or request.is_answered:
             return
-        self._move(r, RUNNING if outcome is Outcome.OK else STANDING)
-        if outcome is Outcome.OK:
+        if event.outcome is Outcome.OK:
+            self.table.move(request, RequestState.RUNNING, self._now)
             return
-        if outcome is Outcome.TIMEOUT:
-            self.lingering.append(self.now + self.s.dependency_linger)
-        if r.spec.degraded_weight > 0:
-            self._skip(r)
-        elif outcome in (Outcome.OVERLOADED, Outcome.UNREACHABLE):
-            self.calls_waiting.append(r.id)
+        self.table.move(request, RequestState.AWAITING_DEPENDENCY, self._now)
+        if event.outcome is Outcome.TIMEOUT:
+            self.dependency.add_lingering(self._now)
+        if request.request_class.degraded_weight > 0:
+            self._skip_dependency(request)
+        elif event.outcome in (Outcome.OVERLOADED, Outcome.UNREACHABLE):
+            self.dependency.waiting.append(request.request_id)
         else:
-            self._refuse(r, "call failed")
-
-    def _calls(self) -> int:
-        return self.count[CALLING] + len(self.lingering)
-
-    def _skip(self, r: _Request) -> None:
-        self.out.append(SkipDependency(r.id))
-        self._move(r, RUNNING)
-
-    def _make_calls(self) -> None:
-        while self.lingering and self.lingering[0] <= self.now:
-            self.lingering.popleft()
-        # Dependency guard: once calls take well over their base, what cannot call at once goes without it.
-        # Else all stand in line for what is slow and fall due. Harm: poorer answers in a short slowness.
-        slow = self._climb(-1) > SLOW
-        for _ in range(len(self.calls_waiting)):
-            r = self.requests.get(self.calls_waiting[0])
-            if r is None or r.state != STANDING or r.answered:
-                self.calls_waiting.popleft()
-            elif max(self.calls_mean, self._calls() + min(1.0, self.fair)) <= self.fair:
-                self.calls_waiting.popleft()
-                self._move(r, CALLING)
-                left = max(POLL, r.due - MARGIN - self.now)
-                self.out.append(CallDependency(r.id, min(left, PATIENCE * r.spec.latency_objective)))
-            elif r.spec.degraded_weight > 0 and (slow or self.now - r.since > PATIENCE * r.spec.latency_objective):
-                self.calls_waiting.popleft()
-                self._skip(r)
+            self._reject(request, rejection.DEPENDENCY_FAILED)
+
+    def _advance_dependency_calls(self) -> None:
+        """Start or skip the calls of waiting requests, in their order, until one has to go on waiting."""
+        waiting = self.dependency.waiting
+        while waiting:
+            request = self.table.requests.get(waiting[0])
+            if request is None or request.state is not RequestState.AWAITING_DEPENDENCY or request.is_answered:
+                waiting.popleft()
+                continue
+            calling = self.table.counts[RequestState.CALLING_DEPENDENCY]
+            step = self.dependency.next_step(request, self._now, calling)
+            if step is DependencyStep.WAIT:
+                return
+            waiting.popleft()
+            if step is DependencyStep.SKIP:
+                self._skip_dependency(request)
             else:
-                break
-
-    # ---- Keys
-    def _keep_if_guarded(self, r: _Request) -> None:
-        if r.guarded:
-            self._keep(r)
-
-    def _keep(self, r: _Request) -> None:
-        """An entry before the run, to the window's end, or a refusal; booked only for classes with keys."""
-        size = self.s.key_entry_kb if r.spec.idempotency is Idempotency.WITH_KEY else 0.0
-        if self.memory + size > MEMORY * self.s.memory_kb:
-            self._refuse(r, "keys full")
-            return
-        end = r.arrived + (r.spec.idempotency_window or r.spec.deadline) + POLL
-        r.kept = True
-        self.kept[r.id] = size
-        heappush(self.keys, (end, r.id))  # by their end: windows differ by class
-        self.memory += size
-        self.out.append(ReserveKey(r.id, end - self.now))
-
-    def _drop_key(self, r: _Request) -> None:
-        if r.kept and not r.ran and r.id in self.kept:
-            self.out.append(ReleaseKey(r.id))
-            self.memory -= self.kept.pop(r.id)
-
-    def _watch_keys(self) -> None:
-        while self.keys and self.keys[0][0] + POLL < self.now:
-            self.memory -= self.kept.pop(heappop(self.keys)[1], 0.0)
-
-    # ---- What is told to callers
-    def _tell(self) -> None:
-        self.steady += STEADY * (self.chance - self.steady)
-        if self.s.load_signal is None:
-            return
-        off = self.drain_from is not None
-        if self.s.load_signal == "level":
-            value = 1.0 if off else self.steady
-        elif self.s.load_signal == "weight":
-            value = 0.0 if off else 1.0 - self.steady
-        else:
-            share = 3.0 * self.limit * (1.0 - self.steady)
-            value = 0.0 if off else share / (1.0 + NARROW * self.steady * self.s.caller_count)
-        if abs(value - self.said) > 0.02:
-            self.said = value
-            self.out.append(PublishLoad(value))
-
-    def _close_idle(self) -> None:
-        """Table guard: where those kept for all who came within the idle span would be far more than the runs
-        that are survived, idle ones are closed. They tax the cores and fill the table, and callers beyond it
-        are turned back unseen. Harm: a handshake for each request of those that come often.
-        """
-        span = self.s.idle_timeout or 0.0
-        while self.caller_seen and next(iter(self.caller_seen.values()))[0] < self.now - span:
-            del self.caller_seen[next(iter(self.caller_seen))]
-        callers = max(len(self.caller_seen), self.s.caller_count)  # at the start, those that were told
-        idle = POLL if callers > TABLE * self.s.cores * self.s.collapse_concurrency else span
-        if span > 0 and idle != self.idle:
-            self.idle = idle
-            self.out.append(SetIdleTimeout(idle))
-
-    # ---- Drain and health
-    def _check_health(self) -> None:
-        """Late-reading guard: when what is read has waited past every aim, none can be met, so the instance
-        asks to be left out until it reads in time again.
-
-        It tells a machine that is slow or stalled from one that is merely full, whose reads are prompt. Harm:
-        were all machines so, all would leave; each comes back by itself once its unread work is gone.
-        """
-        back = self.unread < POLL and self.steady < 0.5
-        good = self.unread <= max(c.latency_objective for c in self.s.classes) if self.good else back
-        if good != self.good and self.drain_from is None and self.s.registry_follows_health:
-            self.good = good
-            self.out.append(SetHealth(good))
-
-    def _drain(self, kill_at: float) -> None:
-        self.drain_from, self.kill_at = self.now, kill_at
-        self.out.append(SetHealth(False))
-        self._tell()
-        for r in self.requests.values():
-            heappush(self.dues, (kill_at - 2 * MARGIN, r.id))
-
-    def _too_late(self, r: _Request) -> bool:
-        """Drain guard: past the grace nothing new runs, nor what cannot end well before the kill."""
-        assert self.drain_from is not None
-        late = r.arrived > self.drain_from + self.s.drain_grace - 0.01
-        return late or self.now + 1.5 * self._run_time(r.cls) > self.kill_at - 2 * MARGIN
-
-    def _watch_dues(self) -> None:
-        while self.dues and self.dues[0][0] <= self.now:
-            r = self.requests.get(heappop(self.dues)[1])
-            if r is not None and not r.answered:
-                self._refuse(r, "due")
-
-    # ---- The one timer
-    def _poll(self, poll: LoadSample) -> None:
-        self.out.append(ScheduleTimer(POLL, 0))
-        self._sample(poll)
-        self._step_limit(poll)
+                self.table.move(request, RequestState.CALLING_DEPENDENCY, self._now)
+                timeout = dependency_calls.call_timeout(request, self._now)
+                self._actions.append(CallDependency(request.request_id, timeout))
+
+    def _skip_dependency(self, request: TrackedRequest) -> None:
+        self._actions.append(SkipDependency(request.request_id))
+        self.table.move(request, RequestState.RUNNING, self._now)
+
+    # Load samples and drain
+
+    def _on_load_sample(self, sample: LoadSample) -> None:
+        self._actions.append(ScheduleTimer(POLL_INTERVAL_S, LOAD_TIMER_ID))
+        self._measure_load(sample)
+        self._step_concurrency(sample)
         if self.pools is not None:
-            self.out += [CancelRun(id) for id in self.pools.poll(self.now, poll) if id in self.requests]
-        self.calls_mean += POLL / max(POLL, self.s.dependency_window) * (self._calls() - self.calls_mean)
-        for n, tenant in enumerate(self.s.tenants):
-            self.tenant_rate[n] += POLL / TENANT_SPAN * (self.tenant_seen[n] / POLL - self.tenant_rate[n])
-            self.tenant_seen[n] = 0
-            fair = tenant.quota / max(1, self.s.peer_count)
-            inside = min(1.0, fair / self.tenant_rate[n]) if self.tenant_rate[n] > 0 else 1.0
-            self.tenant_weight[n] = inside + self.s.over_quota_weight * (1.0 - inside)
-        self._tell()
-        self._close_idle()
-        self._check_health()
+            for request_id in self.pools.sample(self._now, sample):
+                if request_id in self.table.requests:
+                    self._actions.append(CancelRun(request_id))
+        self.dependency.update_mean(self.table.counts[RequestState.CALLING_DEPENDENCY])
+        self.quotas.update()
+        self._publish_load()
+        self.callers.forget_before(self._now - self.idle_timeout.configured())
+        timeout = self.idle_timeout.update(len(self.callers))
+        if timeout is not None:
+            self._actions.append(SetIdleTimeout(timeout))
+        healthy = self.health.update(self.load.read_delay, self.signal.smoothed, self.drain.is_active)
+        if healthy is not None:
+            self._actions.append(SetHealth(healthy))
+
+    def _measure_load(self, sample: LoadSample) -> None:
+        queued = self.table.queued
+        stalled = self.table.occupied_slots() + 1 > self.concurrency.ceiling(self._now)
+        self.load.record_utilization(sample.cpu_utilization, stalled, bool(queued))
+        self.load.record_load(self.load.current(queued.values(), self.run_latency, self.concurrency.limit))
+        self.rejection_probability = shedding.probability_at(self.load.average())
+
+    def _step_concurrency(self, sample: LoadSample) -> None:
+        self.concurrency.step(
+            self._now,
+            utilization=self.load.utilization,
+            runnable=sample.runnable or 0.0,
+            running=self.table.counts[RequestState.RUNNING],
+            has_queue=bool(self.table.queued),
+            latency_inflated=self.run_latency.any_inflated(concurrency_limit.INFLATED_LATENCY),
+        )
+
+    def _publish_load(self) -> None:
+        value = self.signal.update(self.rejection_probability, self.concurrency.limit, self.drain.is_active)
+        if value is not None:
+            self._actions.append(PublishLoad(value))
+
+    def _on_drain(self, event: DrainRequested) -> None:
+        self.drain.begin(self._now, event.kill_at)
+        self._actions.append(SetHealth(False))
+        self._publish_load()
+        for request_id in self.table.requests:
+            self.deadlines.push(self.drain.last_answer_at(), request_id)
--- /dev/null
+++ b/lapishaven/admission/memory_budget.py
@@ -0,0 +1,47 @@
+"""The memory that open requests and idempotency keys may take."""
+
+from __future__ import annotations
+
+from lapishaven.admission.request import RequestState, TrackedRequest
+from lapishaven.admission.settings import Settings
+
+MAX_MEMORY_SHARE = 0.92  # of the instance's memory; requests read in the next batch come on top
+
+
+class MemoryBudget:
+    """Accounts for memory in kilobytes. A request is charged by its state: more once it has started to run."""
+
+    __slots__ = ("_limit_kb", "_running_factor", "_state_factors", "used_kb")
+
+    def __init__(self, settings: Settings) -> None:
+        self.used_kb = 0.0
+        self.apply_settings(settings)
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Take over the limit and the factor of new settings; what is charged already stays as it is."""
+        factor = settings.running_memory_factor
+        self._limit_kb = MAX_MEMORY_SHARE * settings.memory_kb
+        self._running_factor = factor
+        self._state_factors = [factor if state >= RequestState.RUNNING else 1.0 for state in RequestState]
+
+    def charge(self, request: TrackedRequest) -> None:
+        """Add what the request takes in its present state."""
+        self.used_kb += request.memory_kb * self._state_factors[request.state]
+
+    def release(self, request: TrackedRequest) -> None:
+        """Take off what the request takes in its present state."""
+        self.used_kb -= request.memory_kb * self._state_factors[request.state]
+
+    def is_exhausted_by(self, request: TrackedRequest) -> bool:
+        """Whether a request that is charged as queued leaves too little memory, or could never run."""
+        return max(self.used_kb, request.memory_kb * self._running_factor) > self._limit_kb
+
+    def fits(self, additional_kb: float) -> bool:
+        """Whether so much more can be charged."""
+        return self.used_kb + additional_kb <= self._limit_kb
+
+    def can_start(self, request: TrackedRequest) -> bool:
+        """Whether a run of the request fits; a paused run is charged in full already."""
+        if request.state is not RequestState.QUEUED:
+            return self.fits(0.0)
+        return self.fits(request.memory_kb * (self._running_factor - 1.0))
--- a/lapishaven/admission/ports.py
+++ b/lapishaven/admission/ports.py
@@ -6,36 +6,46 @@
 from typing import Protocol
 
 from lapishaven.admission.events import LoadSample
+from lapishaven.admission.rejection import Rejection
 
 
 class AdmissionPools(Protocol):
-    """Pools by class, which the Controller asks where there are any. Times as in ``handle``; all pure."""
+    """Pools of classes with a capacity of their own.
 
-    def guards(self, cls: int) -> bool:
-        """Whether the class is within what is guaranteed to it, so that it is not refused by chance."""
+    All methods are pure. Times are seconds of the clock that ``Controller.handle`` gets, memory is kilobytes.
+    """
 
-    def full(self, now: float, cls: int, aim_at: float, due: float) -> tuple[str, float] | None:
-        """Why there is no room, and in how many seconds there will be; ``None`` where there is."""
+    def is_guaranteed(self, class_index: int) -> bool:
+        """Whether the class's pool is within its guaranteed share, so that load is no reason to reject."""
 
-    def run_time(self, cls: int) -> float:
-        """Seconds that a run of the class takes now."""
+    def rejection(self, now: float, class_index: int, objective_at: float, answer_by: float) -> Rejection | None:
+        """Why the pool has no capacity for a request, which is to be answered by ``answer_by`` at the latest.
 
-    def hold(self, now: float, id: int, cls: int, kb: float, aim_at: float, due: float) -> None:
-        """It was admitted."""
+        ``None`` if it has.
+        """
 
-    def order(self, now: float) -> Iterator[int]:
-        """What may start, in its order."""
+    def run_time(self, class_index: int) -> float:
+        """Seconds that a run of the class takes at present."""
 
-    def started(self, now: float, id: int) -> None: ...
+    def enqueue(
+        self, now: float, request_id: int, class_index: int, memory_kb: float, objective_at: float, deadline: float
+    ) -> None:
+        """Queue a request that was admitted."""
 
-    def dropped(self, id: int) -> None:
-        """It waits no longer, and does not run."""
+    def dispatch_order(self, now: float) -> Iterator[int]:
+        """Ids of requests that may start, in their order; call ``run_started`` before taking the next."""
 
-    def ended(self, now: float, id: int, whole: bool) -> None:
-        """It runs no longer."""
+    def run_started(self, now: float, request_id: int) -> None:
+        """Note that a request runs, for the first time or again after a pause."""
 
-    def suspended(self, now: float, id: int) -> bool:
-        """It was stopped: whether by the pools, to go on later."""
+    def dequeue(self, request_id: int) -> None:
+        """Forget a queued request that will not run."""
 
-    def poll(self, now: float, poll: LoadSample) -> list[int]:
-        """The gauges; gives the runs to be paused."""
+    def run_ended(self, now: float, request_id: int, succeeded: bool) -> None:
+        """Note that a run has ended; ``succeeded`` if it was completed and not cancelled or failed."""
+
+    def requeue_preempted(self, now: float, request_id: int) -> bool:
+        """Queue the rest of a cancelled run if the pools preempted it; whether they did."""
+
+    def sample(self, now: float, sample: LoadSample) -> list[int]:
+        """Take in a load sample; return the ids of runs to preempt."""
--- /dev/null
+++ b/lapishaven/admission/request_table.py
@@ -0,0 +1,55 @@
+"""The open requests of an instance, by id and by state."""
+
+from __future__ import annotations
+
+from lapishaven.admission.memory_budget import MemoryBudget
+from lapishaven.admission.request import RequestState, TrackedRequest
+
+
+class RequestTable:
+    """The one place where a request changes its state, so that counts, queue and memory always agree."""
+
+    __slots__ = ("_memory", "counts", "queued", "requests")
+
+    def __init__(self, memory: MemoryBudget) -> None:
+        self._memory = memory
+        self.requests: dict[int, TrackedRequest] = {}
+        self.queued: dict[int, TrackedRequest] = {}
+        """Requests in state ``QUEUED``, in the order in which they entered it."""
+        self.counts = [0] * len(RequestState)
+        """Requests by state."""
+
+    def add(self, request: TrackedRequest) -> None:
+        """Take in a request that was read; its state is ``QUEUED``."""
+        self.requests[request.request_id] = request
+        self.queued[request.request_id] = request
+        self.counts[request.state] += 1
+        self._memory.charge(request)
+
+    def move(self, request: TrackedRequest, state: RequestState, now: float) -> None:
+        """Change the state of a request."""
+        self._leave_state(request)
+        request.state = state
+        request.state_since = now
+        self.counts[state] += 1
+        self._memory.charge(request)
+        if state is RequestState.QUEUED:
+            self.queued[request.request_id] = request
+
+    def remove(self, request: TrackedRequest) -> None:
+        """Forget a request that has ended."""
+        self._leave_state(request)
+        del self.requests[request.request_id]
+
+    def occupied_slots(self) -> int:
+        """Requests whose run has started and is not paused, those at a dependency call included."""
+        return sum(self.counts[RequestState.RUNNING : RequestState.PAUSED])
+
+    def at_dependency(self) -> int:
+        """Requests whose run is suspended for a dependency call."""
+        return self.counts[RequestState.AWAITING_DEPENDENCY] + self.counts[RequestState.CALLING_DEPENDENCY]
+
+    def _leave_state(self, request: TrackedRequest) -> None:
+        self.counts[request.state] -= 1
+        self._memory.release(request)
+        self.queued.pop(request.request_id, None)
--- a/lapishaven/admission/settings.py
+++ b/lapishaven/admission/settings.py
@@ -76,3 +76,17 @@
     deep_health_checks: bool
     registry_follows_health: bool
     idle_timeout: float | None
+
+
+def check_settings(settings: Settings) -> None:
+    """Raise ``ValueError`` if an instance cannot work with these settings."""
+    if settings.cores < 1 or not settings.classes or settings.memory_kb <= 0:
+        raise ValueError("settings need at least one core, one class and some memory")
+    if any(c.latency_objective <= 0 or c.deadline <= 0 or c.priority_weight < 0 for c in settings.classes):
+        raise ValueError("each class needs an aim and a deadline above 0 and a worth of 0 or more")
+
+
+def check_reload(old: Settings, new: Settings) -> None:
+    """Raise ``ValueError`` if ``new`` may not replace ``old`` while requests are open."""
+    if len(new.classes) < len(old.classes) or len(new.tenants) != len(old.tenants):
+        raise ValueError("classes keep their numbers, and tenants stay")
--- a/lapishaven/pools/pools.py
+++ b/lapishaven/pools/pools.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass
 
 from lapishaven.admission import Idempotency, LoadSample, Settings
+from lapishaven.admission.rejection import Rejection
 from lapishaven.pools.capacity import Capacity
 from lapishaven.pools.ready import Entry, ReadyQueue
 from lapishaven.pools.settings import PoolSettings
@@ -117,7 +118,7 @@
         return min(self.pools[pool].share / busy, self.pools[pool].ceiling)
 
     # ---- What the Controller asks
-    def guards(self, cls: int) -> bool:
+    def is_guaranteed(self, cls: int) -> bool:
         """Whether the class's pool is within its guarantee, so that its share is not refused for others' load."""
         n = self._of[cls]
         pool = self.pools[n]
@@ -125,7 +126,7 @@
         held = self.ready.work(n) / mean if mean else 0.0
         return n == self.reserved or pool.running + held + 1 <= max(1.0, pool.share * self.limit)
 
-    def full(self, now: float, cls: int, aim_at: float, due: float) -> tuple[str, float] | None:
+    def rejection(self, now: float, cls: int, aim_at: float, due: float) -> Rejection | None:
         """Why a request that is read now is refused, and in how many seconds there will be room; or ``None``."""
         n = self._of[cls]
         alone = self.capacity.run_time(cls, min(len(self.running) + 1, self.settings.cores))
@@ -141,25 +142,27 @@
             if safe and not wait and self.settings.classes[cls].late_weight > 0 and alone < due - now:
                 return None
             self.pools[n].refused += 1
-            return "slow box" if self.capacity.speed < SLOWED else "past its aim", self.settings.max_retry_after or 1.0
+            return Rejection(
+                "slow box" if self.capacity.speed < SLOWED else "past its aim", self.settings.max_retry_after or 1.0
+            )
         self.pools[n].refused += 1
-        return "pool full", max(LEAST_WAIT, wait + alone - left * SAFETY)
+        return Rejection("pool full", max(LEAST_WAIT, wait + alone - left * SAFETY))
 
     def run_time(self, cls: int) -> float:
         """Seconds that a run of the class takes on this box now."""
         return self.capacity.run_time(cls, min(len(self.running) + 1, self.settings.cores))
 
-    def hold(self, now: float, id: int, cls: int, kb: float, aim_at: float, due: float) -> None:
+    def enqueue(self, now: float, id: int, cls: int, kb: float, aim_at: float, due: float) -> None:
         """It was admitted and waits."""
         self._held[id] = cls, now
         self.ready.push(Entry(id, self._of[cls], self.capacity.work(cls), kb, aim_at, due))
 
-    def order(self, now: float) -> Iterator[int]:
+    def dispatch_order(self, now: float) -> Iterator[int]:
         """What may start, in its order; each is to be ``started``, ``dropped`` or left."""
         for entry in self.ready.order(now, self._may):
             yield entry.id
 
-    def started(self, now: float, id: int) -> None:
+    def run_started(self, now: float, id: int) -> None:
         entry = self.ready.start(id)
         if entry is None:
             return
@@ -173,19 +176,19 @@
         self.capacity.started(now, id, cls)
         self.worst_concurrency = max(self.worst_concurrency, len(self.running) / self.settings.cores)
 
-    def dropped(self, id: int) -> None:
+    def dequeue(self, id: int) -> None:
         """It no longer waits, and never ran."""
         if self.ready.remove(id) is not None:
             self._held.pop(id, None)
 
-    def ended(self, now: float, id: int, whole: bool) -> None:
+    def run_ended(self, now: float, id: int, whole: bool) -> None:
         """It no longer runs."""
         run = self.running.pop(id, None)
         if run is not None:
             self.pools[run.pool].running -= 1
             self.capacity.ended(now, id, whole)
 
-    def suspended(self, now: float, id: int) -> bool:
+    def requeue_preempted(self, now: float, id: int) -> bool:
         """A run was stopped: true if by these pools, which hold it again to go on later."""
         run = self.running.get(id)
         if run is None or not run.halting:
@@ -199,7 +202,7 @@
         return True
 
     # ---- Each poll
-    def poll(self, now: float, poll: LoadSample) -> list[int]:
+    def sample(self, now: float, poll: LoadSample) -> list[int]:
         """Weigh what the box does; gives the runs that are to be paused, as another pool waits for its share."""
         self.capacity.sample(now)
         self._adapt(poll)
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -1,4 +1,4 @@
-"""The ordinary path and the exceptions to it, one test for each failure that was found."""
+"""The rules of admission control, one test for each failure that was found."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from helpers import arrival, ids, of, poll, saturate, started
 
 from lapishaven.admission import (
+    Controller,
     DependencyCallFinished,
     DependencyCallNeeded,
     Event,
@@ -16,245 +17,261 @@
     SetIdleTimeout,
     SkipDependency,
 )
-from lapishaven.admission import controller as c_
+from lapishaven.admission.concurrency_limit import DECREASE_FACTOR, MAX_RUNNABLE_PER_CORE
+from lapishaven.admission.load_measurement import POLL_INTERVAL_S, WINDOW_SAMPLES
+from lapishaven.admission.load_signal import LASTING_OVERLOAD
+from lapishaven.admission.rejection_probability import LOWER_LOAD, UPPER_LOAD
+from lapishaven.admission.request import RequestState
+
+
+def set_run_latency(controller: Controller, mean: float, baseline: float) -> None:
+    """Pretend that runs of the first class took so many seconds."""
+    estimate = controller.run_latency.estimates[0]
+    estimate.mean = mean
+    estimate.baseline = baseline
 
 
 @pytest.mark.parametrize(
-    ("busy", "chance"),
-    [(0.0, 0.0), (c_.LOWER, 0.0), (0.99, (0.99 - c_.LOWER) / (c_.UPPER - c_.LOWER))],
+    ("utilization", "probability"),
+    [(0.0, 0.0), (LOWER_LOAD, 0.0), (0.99, (0.99 - LOWER_LOAD) / (UPPER_LOAD - LOWER_LOAD))],
 )
-def test_the_chance_is_linear_in_the_windows_average(busy: float, chance: float) -> None:
-    c = started()
-    for n in range(c_.WINDOW):
-        c.handle(0.1 * n, [poll(busy, 4.0)])
-    assert c.chance == pytest.approx(chance)
+def test_rejection_probability_is_linear_in_the_average_load(utilization: float, probability: float) -> None:
+    controller = started()
+    for n in range(WINDOW_SAMPLES):
+        controller.handle(0.1 * n, [poll(utilization, 4.0)])
+    assert controller.rejection_probability == pytest.approx(probability)
 
 
-def test_the_window_rolls() -> None:
-    c = started()
+def test_old_samples_leave_the_window() -> None:
+    controller = started()
     for n in range(10):
-        c.handle(0.1 * n, [arrival(n + 1, age=1.5, rank=0.999), poll(1.0, 4.0)])
-    assert c.chance > 0.9
-    for n in range(c_.WINDOW):
-        c.handle(5.0 + 0.1 * n, [poll(0.5, 2.0)])
-    assert c.chance == 0.0
+        controller.handle(0.1 * n, [arrival(n + 1, age=1.5, rank=0.999), poll(1.0, 4.0)])
+    assert controller.rejection_probability > 0.9
+    for n in range(WINDOW_SAMPLES):
+        controller.handle(5.0 + 0.1 * n, [poll(0.5, 2.0)])
+    assert controller.rejection_probability == 0.0
 
 
-def test_everything_passes_until_there_is_a_sample() -> None:
+def test_nothing_is_rejected_before_the_first_sample() -> None:
     assert not of(started().handle(0.1, [arrival(n, rank=0.001) for n in range(1, 100)]), Reject)
 
 
-def test_the_coin_is_tossed_only_while_work_is_held_and_cores_are_full() -> None:
-    c = started()
-    now = saturate(c, held=200)
-    assert ids(c.handle(now, [arrival(1, rank=0.01)]), Reject) == [1]
-    c.handle(now, [poll(0.5, 2.0)])
-    assert not of(c.handle(now, [arrival(2, rank=0.01)]), Reject)
+def test_load_is_shed_only_while_work_is_queued_and_cores_are_full() -> None:
+    controller = started()
+    now = saturate(controller, held=200)
+    assert ids(controller.handle(now, [arrival(1, rank=0.01)]), Reject) == [1]
+    controller.handle(now, [poll(0.5, 2.0)])
+    assert not of(controller.handle(now, [arrival(2, rank=0.01)]), Reject)
 
 
-def test_a_retry_meets_the_same_coin() -> None:
-    c = started()
-    now = saturate(c, held=10)
-    assert 0.0 < c.chance < 1.0
-    low, high = c.chance / 8, 0.249
-    assert ids(c.handle(now, [arrival(n, rank=low) for n in range(1, 9)]), Reject) == list(range(1, 9))
-    assert not of(c.handle(now, [arrival(n, rank=high) for n in range(11, 19)]), Reject)
+def test_a_retry_meets_the_same_decision_as_the_first_attempt() -> None:
+    controller = started()
+    now = saturate(controller, held=10)
+    assert 0.0 < controller.rejection_probability < 1.0
+    low, high = controller.rejection_probability / 8, 0.249
+    assert ids(controller.handle(now, [arrival(n, rank=low) for n in range(1, 9)]), Reject) == list(range(1, 9))
+    assert not of(controller.handle(now, [arrival(n, rank=high) for n in range(11, 19)]), Reject)
 
 
-def test_the_limit_steps_up_while_there_is_room_and_work_is_held() -> None:
-    c = started()
-    c.handle(0.0, [arrival(n, rank=0.999) for n in range(40)])
-    assert c.limit == 4.0
-    c.handle(0.1, [poll(0.5, 2.0)])
-    assert c.limit == 5.0
-    c.handle(0.2, [poll(1.0, 8.0)])
-    assert c.limit == 5.0
+def test_the_limit_grows_while_cores_are_idle_and_work_is_queued() -> None:
+    controller = started()
+    controller.handle(0.0, [arrival(n, rank=0.999) for n in range(40)])
+    assert controller.concurrency.limit == 4.0
+    controller.handle(0.1, [poll(0.5, 2.0)])
+    assert controller.concurrency.limit == 5.0
+    controller.handle(0.2, [poll(1.0, 8.0)])
+    assert controller.concurrency.limit == 5.0
 
 
-def test_the_limit_is_cut_when_runs_climb_past_their_base_but_not_under_the_cores() -> None:
-    c = started()
-    c.limit, c.latency[0], c.base[0] = 10.0, 1.0, 0.2
-    c.handle(0.1, [poll(1.0, 8.0)])
-    assert c.limit == pytest.approx(10.0 * c_.CUT)
+def test_the_limit_is_cut_when_latency_is_inflated_but_not_below_the_cores() -> None:
+    controller = started()
+    controller.concurrency.limit = 10.0
+    set_run_latency(controller, mean=1.0, baseline=0.2)
+    controller.handle(0.1, [poll(1.0, 8.0)])
+    assert controller.concurrency.limit == pytest.approx(10.0 * DECREASE_FACTOR)
     for n in range(10):
-        c.handle(0.2 + n * 0.1, [poll(1.0, 8.0)])
-    assert c.limit == 4.0
+        controller.handle(0.2 + n * 0.1, [poll(1.0, 8.0)])
+    assert controller.concurrency.limit == 4.0
 
 
-def test_a_stale_latency_does_not_hold_the_limit_down_while_cores_idle() -> None:
-    c = started()
-    c.handle(0.0, [arrival(n, rank=0.999) for n in range(40)])
-    c.latency[0], c.base[0] = 1.0, 0.2
+def test_a_stale_latency_does_not_keep_the_limit_low_while_cores_are_idle() -> None:
+    controller = started()
+    controller.handle(0.0, [arrival(n, rank=0.999) for n in range(40)])
+    set_run_latency(controller, mean=1.0, baseline=0.2)
     for n in range(1, 5):
-        c.handle(0.1 * n, [poll(0.6, 3.0)])
-    assert c.limit > 8.0
+        controller.handle(0.1 * n, [poll(0.6, 3.0)])
+    assert controller.concurrency.limit > 8.0
 
 
-def test_reads_that_come_late_count_as_load() -> None:
-    c = started()
+def test_delayed_reads_count_as_load() -> None:
+    controller = started()
     for n in range(10):
-        c.handle(0.1 * n, [arrival(n + 1, age=1.5, rank=0.999), poll(1.0, 4.0)])
-    assert c.chance == 1.0
+        controller.handle(0.1 * n, [arrival(n + 1, age=1.5, rank=0.999), poll(1.0, 4.0)])
+    assert controller.rejection_probability == 1.0
 
 
-def test_a_machine_that_reads_past_every_aim_leaves_and_comes_back() -> None:
-    c = started()
-    assert not of(c.handle(1.0, [arrival(1, age=1.5), poll(1.0, 4.0)]), SetHealth)  # only some aims are past
-    assert of(c.handle(1.1, [arrival(2, age=3.0), poll(1.0, 4.0)]), SetHealth) == [SetHealth(False)]
+def test_an_instance_that_reads_past_every_latency_objective_is_unhealthy_until_it_recovers() -> None:
+    controller = started()
+    assert not of(
+        controller.handle(1.0, [arrival(1, age=1.5), poll(1.0, 4.0)]), SetHealth
+    )  # only some objectives are past
+    assert of(controller.handle(1.1, [arrival(2, age=3.0), poll(1.0, 4.0)]), SetHealth) == [SetHealth(False)]
     for n in range(80):
-        back = of(c.handle(1.2 + 0.1 * n, [poll(0.2, 1.0)]), SetHealth)
+        back = of(controller.handle(1.2 + 0.1 * n, [poll(0.2, 1.0)]), SetHealth)
         if back:
             break
     assert back == [SetHealth(True)]
 
 
-def test_a_full_machine_that_reads_in_time_stays_listed() -> None:
-    c = started()
-    c.handle(0.0, [arrival(n, rank=0.999) for n in range(200)])
-    assert not any(of(c.handle(0.1 * n, [poll(1.0, 8.0)]), SetHealth) for n in range(1, 30))
+def test_a_full_instance_that_reads_in_time_stays_healthy() -> None:
+    controller = started()
+    controller.handle(0.0, [arrival(n, rank=0.999) for n in range(200)])
+    assert not any(of(controller.handle(0.1 * n, [poll(1.0, 8.0)]), SetHealth) for n in range(1, 30))
 
 
-def test_callers_are_told_a_slow_mean() -> None:
-    c = started()
-    saturate(c, held=200)
-    assert c.chance > 0.9 and 0.0 < c.said < 0.6
+def test_the_published_signal_is_smoothed() -> None:
+    controller = started()
+    saturate(controller, held=200)
+    assert controller.rejection_probability > 0.9 and 0.0 < controller.signal.published < 0.6
 
 
-def test_only_marked_retries_are_aged() -> None:
-    c = started()
-    c.handle(0.0, [arrival(1, deadline=8.0)])
-    c.handle(0.0, [arrival(2, deadline=4.0), arrival(3, deadline=4.0, is_retry=True)])
-    assert c.requests[2].aim_at == pytest.approx(2.0)
-    assert c.requests[3].aim_at == pytest.approx(-2.0)
+def test_only_marked_retries_count_as_older() -> None:
+    controller = started()
+    controller.handle(0.0, [arrival(1, deadline=8.0)])
+    controller.handle(0.0, [arrival(2, deadline=4.0), arrival(3, deadline=4.0, is_retry=True)])
+    assert controller.table.requests[2].objective_at == pytest.approx(2.0)
+    assert controller.table.requests[3].objective_at == pytest.approx(-2.0)
 
 
-def test_a_stuck_call_is_left_out_where_that_earns_something() -> None:
-    c = started()
-    c.handle(0.0, [arrival(1, class_index=2)])
-    c.handle(0.1, [DependencyCallNeeded(1)])
-    assert ids(c.handle(1.1, [DependencyCallFinished(1, Outcome.TIMEOUT, 1.0)]), SkipDependency) == [1]
+def test_a_timed_out_dependency_call_is_skipped_where_a_degraded_answer_is_allowed() -> None:
+    controller = started()
+    controller.handle(0.0, [arrival(1, class_index=2)])
+    controller.handle(0.1, [DependencyCallNeeded(1)])
+    assert ids(controller.handle(1.1, [DependencyCallFinished(1, Outcome.TIMEOUT, 1.0)]), SkipDependency) == [1]
 
 
-def test_work_past_hope_is_dropped_from_the_hold() -> None:
-    c = started()
-    c.handle(0.0, [arrival(n, class_index=2) for n in range(1, 10)])
-    assert len(ids(c.handle(2.0, [poll(1.0, 4.0)]), Reject)) == 5
+def test_hopeless_requests_are_rejected_from_the_queue() -> None:
+    controller = started()
+    controller.handle(0.0, [arrival(n, class_index=2) for n in range(1, 10)])
+    assert len(ids(controller.handle(2.0, [poll(1.0, 4.0)]), Reject)) == 5
 
 
-def test_the_window_told_shrinks_with_the_callers_that_share_it() -> None:
-    told = {}
+def test_the_published_window_shrinks_with_the_callers_that_share_it() -> None:
+    published = {}
     for callers in (1, 8):
-        c = started(load_signal="window", caller_count=callers)
-        saturate(c, held=200)
-        told[callers] = c.said
-    assert 0 < told[8] < told[1] / 2
-
-
-def test_an_unused_limit_does_not_grow_and_crowded_cores_cut_it() -> None:
-    c = started()
-    c.handle(0.0, [arrival(1)])
-    c.handle(0.1, [poll(0.3, 1.0)])
-    assert c.limit == 4.0
-    c.limit = 12.0
-    c.handle(0.2, [poll(1.0, 4 * c_.CUT_CONCURRENCY + 1)])
-    assert c.limit == 12.0  # reading and handshakes, not runs
-    c.count[2] = 4 * int(c_.CUT_CONCURRENCY) + 1
-    c.handle(0.2, [poll(1.0, 4 * c_.CUT_CONCURRENCY + 1)])
-    assert c.limit == pytest.approx(12.0 * c_.CUT)
-
-
-def test_refusals_say_last_only_in_lasting_overload() -> None:
-    c = started()
-    now = saturate(c, held=200)
-    c.steady = c_.LAST - 0.01
-    assert not of(c.handle(now, [arrival(1, rank=0.01)]), Reject)[0].no_retry_elsewhere
-    c.steady = c_.LAST + 0.01
-    assert of(c.handle(now, [arrival(2, rank=0.01)]), Reject)[0].no_retry_elsewhere
-
-
-def test_a_hold_run_dry_is_not_refused_into_idleness() -> None:
-    c = started()
-    now = saturate(c, held=200)
-    assert c.chance > 0.9
-    for r in list(c.held.values()):
-        c._move(r, None)
-    c.unread = 0.11
-    assert not of(c.handle(now, [arrival(1, rank=0.2)]), Reject)
+        controller = started(load_signal="window", caller_count=callers)
+        saturate(controller, held=200)
+        published[callers] = controller.signal.published
+    assert 0 < published[8] < published[1] / 2
+
+
+def test_an_unused_limit_does_not_grow_and_runnable_runs_cut_it() -> None:
+    controller = started()
+    controller.handle(0.0, [arrival(1)])
+    controller.handle(0.1, [poll(0.3, 1.0)])
+    assert controller.concurrency.limit == 4.0
+    controller.concurrency.limit = 12.0
+    controller.handle(0.2, [poll(1.0, 4 * MAX_RUNNABLE_PER_CORE + 1)])
+    assert controller.concurrency.limit == 12.0  # reading and handshakes, not runs
+    controller.table.counts[RequestState.RUNNING] = 4 * int(MAX_RUNNABLE_PER_CORE) + 1
+    controller.handle(0.2, [poll(1.0, 4 * MAX_RUNNABLE_PER_CORE + 1)])
+    assert controller.concurrency.limit == pytest.approx(12.0 * DECREASE_FACTOR)
+
+
+def test_rejections_forbid_retry_elsewhere_only_in_lasting_overload() -> None:
+    controller = started()
+    now = saturate(controller, held=200)
+    controller.signal.smoothed = LASTING_OVERLOAD - 0.01
+    assert not of(controller.handle(now, [arrival(1, rank=0.01)]), Reject)[0].no_retry_elsewhere
+    controller.signal.smoothed = LASTING_OVERLOAD + 0.01
+    assert of(controller.handle(now, [arrival(2, rank=0.01)]), Reject)[0].no_retry_elsewhere
+
+
+def test_nothing_is_shed_once_the_queue_has_run_dry() -> None:
+    controller = started()
+    now = saturate(controller, held=200)
+    assert controller.rejection_probability > 0.9
+    for request in list(controller.table.queued.values()):
+        controller.table.remove(request)
+    controller.load.read_delay = 0.11
+    assert not of(controller.handle(now, [arrival(1, rank=0.2)]), Reject)
 
 
 def test_a_stall_with_idle_cores_counts_as_busy() -> None:
-    c = started(collapse_concurrency=3.0)
-    c.handle(0.0, [arrival(n, rank=0.999) for n in range(60)])
+    controller = started(collapse_concurrency=3.0)
+    controller.handle(0.0, [arrival(n, rank=0.999) for n in range(60)])
     for n in range(1, 25):
-        c.handle(0.1 * n, [poll(0.0, 0.0)])
-        c.handle(0.1 * n, [arrival(100 * n + k, rank=0.999) for k in range(3)])
-    assert c.chance > 0.9
+        controller.handle(0.1 * n, [poll(0.0, 0.0)])
+        controller.handle(0.1 * n, [arrival(100 * n + k, rank=0.999) for k in range(3)])
+    assert controller.rejection_probability > 0.9
 
 
-def test_a_fair_share_under_one_call_is_kept_in_the_mean() -> None:
-    c = started(dependency_quota=0.4)
-    c.handle(0.0, [arrival(1, class_index=2)])
+def test_a_dependency_quota_below_one_call_is_kept_in_the_mean() -> None:
+    controller = started(dependency_quota=0.4)
+    controller.handle(0.0, [arrival(1, class_index=2, deadline=100.0)])
     made, now = 0, 0.0
-    c.handle(0.05, [DependencyCallNeeded(1)])
+    controller.handle(0.05, [DependencyCallNeeded(1)])
     for n in range(1, 60):
         now = 0.1 * n
         events: list[Event] = [poll(0.5, 1.0)]
-        if c.requests.get(1) and c.requests[1].state == c_.CALLING:
+        if controller.table.requests.get(1) and controller.table.requests[1].state == RequestState.CALLING_DEPENDENCY:
             made += 1
             events += [DependencyCallFinished(1, Outcome.OK, 0.1), DependencyCallNeeded(1)]
-        c.requests[1].due = 100.0
-        c.dues.clear()
-        actions = c.handle(now, events)
+        actions = controller.handle(now, events)
         if of(actions, SkipDependency):
-            c.handle(now, [DependencyCallNeeded(1)])
-    assert c.calls_mean <= 0.4 and 5 < made < 45
+            controller.handle(now, [DependencyCallNeeded(1)])
+    assert controller.dependency.mean_in_flight <= 0.4 and 5 < made < 45
 
 
-def test_a_cold_instance_asks_for_less_from_the_start() -> None:
-    c = started(slow_start=True)
-    c.handle(0.1, [poll(0.0, 0.0)])
-    assert c.said > 0.4
+def test_an_instance_in_slow_start_publishes_load_from_the_start() -> None:
+    controller = started(slow_start=True)
+    controller.handle(0.1, [poll(0.0, 0.0)])
+    assert controller.signal.published > 0.4
     for n in range(150):
-        c.handle(0.2 + 0.1 * n, [poll(0.2, 1.0)])
-    assert c.said < 0.05
+        controller.handle(0.2 + 0.1 * n, [poll(0.2, 1.0)])
+    assert controller.signal.published < 0.05
     assert not of(started().handle(0.1, [poll(0.0, 0.0)]), PublishLoad)
 
 
-def test_idle_connections_are_closed_where_many_callers_come_within_the_idle_span() -> None:
+def test_idle_connections_are_closed_early_with_many_callers() -> None:
     for callers, closed in ((100, True), (3, False)):
-        c = started()
+        controller = started()
         for n in range(100):
-            c.handle(0.1 * n, [arrival(n, caller_id=n % callers), poll(0.2, 1.0)])
-        assert (c.idle == c_.POLL) is closed
-    c.handle(60.0, [poll(0.2, 1.0)])
-    assert not c.caller_seen  # bounded: what is learned of callers is given up with their connections
-    assert of(started(caller_count=1000).handle(0.1, [poll(0.2, 1.0)]), SetIdleTimeout) == [SetIdleTimeout(c_.POLL)]
+            controller.handle(0.1 * n, [arrival(n, caller_id=n % callers), poll(0.2, 1.0)])
+        assert (controller.idle_timeout.current == POLL_INTERVAL_S) is closed
+    controller.handle(60.0, [poll(0.2, 1.0)])
+    assert not len(controller.callers)  # the table is bounded: callers are forgotten with their connections
+    assert of(started(caller_count=1000).handle(0.1, [poll(0.2, 1.0)]), SetIdleTimeout) == [
+        SetIdleTimeout(POLL_INTERVAL_S)
+    ]
 
 
-def test_the_more_peers_would_refuse_the_sooner_a_refusal_says_last() -> None:
+def test_rejections_forbid_retry_elsewhere_sooner_with_more_peers() -> None:
     for peers, last in ((10, False), (300, True)):
-        c = started(peer_count=peers)
-        now = saturate(c)
-        c.steady = 0.1
-        assert of(c.handle(now, [arrival(1, rank=0.01)]), Reject)[0].no_retry_elsewhere is last
+        controller = started(peer_count=peers)
+        now = saturate(controller)
+        controller.signal.smoothed = 0.1
+        assert of(controller.handle(now, [arrival(1, rank=0.01)]), Reject)[0].no_retry_elsewhere is last
 
 
-def test_a_call_is_left_out_at_once_while_calls_take_well_over_their_base() -> None:
+def test_a_dependency_call_is_skipped_at_once_while_call_latency_is_inflated() -> None:
     for spent, skipped in ((0.02, []), (1.0, [2])):
-        c = started(dependency_quota=1.0, cores=8)
-        c.handle(0.1, [arrival(1, 2), arrival(2, 2), arrival(3, 2)])
-        c.handle(0.2, [DependencyCallNeeded(3)])
-        c.handle(0.3, [DependencyCallFinished(3, Outcome.OK, 0.02)])
-        c.handle(0.4, [DependencyCallNeeded(3)])
-        c.handle(0.5, [DependencyCallFinished(3, Outcome.OK, spent)])
-        assert ids(c.handle(0.6, [DependencyCallNeeded(1), DependencyCallNeeded(2)]), SkipDependency) == skipped
-
-
-def test_the_time_a_caller_gives_is_forgotten_with_its_connection() -> None:
-    c = started()
-    c.handle(0.0, [arrival(1, deadline=8.0)])
-    c.handle(0.1, [arrival(2, deadline=2.1, is_retry=True)])
-    assert c.requests[2].aim_at == pytest.approx(0.1 + 2.0 - 6.0)
-    c.handle(20.0, [poll(0.2, 1.0)])
-    c.handle(20.1, [arrival(3, deadline=22.1, is_retry=True)])
-    assert c.requests[3].aim_at == pytest.approx(22.1)
+        controller = started(dependency_quota=1.0, cores=8)
+        controller.handle(0.1, [arrival(1, 2), arrival(2, 2), arrival(3, 2)])
+        controller.handle(0.2, [DependencyCallNeeded(3)])
+        controller.handle(0.3, [DependencyCallFinished(3, Outcome.OK, 0.02)])
+        controller.handle(0.4, [DependencyCallNeeded(3)])
+        controller.handle(0.5, [DependencyCallFinished(3, Outcome.OK, spent)])
+        assert (
+            ids(controller.handle(0.6, [DependencyCallNeeded(1), DependencyCallNeeded(2)]), SkipDependency) == skipped
+        )
+
+
+def test_the_time_a_caller_allows_is_forgotten_with_its_connection() -> None:
+    controller = started()
+    controller.handle(0.0, [arrival(1, deadline=8.0)])
+    controller.handle(0.1, [arrival(2, deadline=2.1, is_retry=True)])
+    assert controller.table.requests[2].objective_at == pytest.approx(0.1 + 2.0 - 6.0)
+    controller.handle(20.0, [poll(0.2, 1.0)])
+    controller.handle(20.1, [arrival(3, deadline=22.1, is_retry=True)])
+    assert controller.table.requests[3].objective_at == pytest.approx(22.1)
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -226,20 +226,20 @@
         new = list(range(self.last + 1, self.last + count + 1))
         self.last += count
         for id in new:
-            self.pools.hold(self.now, id, cls, 30.0, self.now + aim, self.now + aim + 1)
+            self.pools.enqueue(self.now, id, cls, 30.0, self.now + aim, self.now + aim + 1)
         return new
 
     def start(self) -> list[int]:
         begun = []
-        for id in self.pools.order(self.now):
-            self.pools.started(self.now, id)
+        for id in self.pools.dispatch_order(self.now):
+            self.pools.run_started(self.now, id)
             begun.append(id)
         return begun
 
     def end(self, *some: int, after: float = 0.3) -> None:
         self.now += after
         for id in some:
-            self.pools.ended(self.now, id, True)
+            self.pools.run_ended(self.now, id, True)
 
 
 # Guards against idle cores beside waiting work, and against a reserve that the others borrow.
@@ -275,12 +275,12 @@
     bench.start()
     matches = bench.hold(0, 1) and [id for id, run in bench.pools.running.items() if run.cls == 0]
     bench.hold(1, 5)
-    assert not bench.pools.poll(bench.now, poll(1.0, 4.0))
+    assert not bench.pools.sample(bench.now, poll(1.0, 4.0))
     bench.now += 0.21
-    halted = bench.pools.poll(bench.now, poll(1.0, 4.0))
+    halted = bench.pools.sample(bench.now, poll(1.0, 4.0))
     assert len(halted) == 1 and halted[0] in matches
-    assert bench.pools.suspended(bench.now, halted[0])
-    assert not bench.pools.suspended(bench.now, matches[0] if matches[0] != halted[0] else matches[1])
+    assert bench.pools.requeue_preempted(bench.now, halted[0])
+    assert not bench.pools.requeue_preempted(bench.now, matches[0] if matches[0] != halted[0] else matches[1])
     begun = bench.start()
     assert [bench.pools.running[id].cls for id in begun] == [1]
     assert halted[0] in bench.pools.ready  # and goes on later
@@ -312,15 +312,15 @@
         bench.end(*bench.start(), after=0.4)
     work = bench.pools.capacity.work(0)
     assert work == pytest.approx(0.4, rel=0.1)
-    assert bench.pools.full(bench.now, 0, bench.now + 1.5, bench.now + 5.6) is None
+    assert bench.pools.rejection(bench.now, 0, bench.now + 1.5, bench.now + 5.6) is None
     bench.hold(0, 30)
     bench.start()
-    full = bench.pools.full(bench.now, 0, bench.now + 1.5, bench.now + 5.6)
-    assert full is not None and full[0] == "pool full"
+    full = bench.pools.rejection(bench.now, 0, bench.now + 1.5, bench.now + 5.6)
+    assert full is not None and full.reason == "pool full"
     # Once so much has gone through at the pool's own rate, there is room again.
     queue = bench.pools.ready.work(0)
     rate = bench.pools.capacity.rate() * 0.9
-    assert full[1] == pytest.approx(queue / rate + 0.4 - 1.5 * 0.9, abs=0.4)
+    assert full.retry_after == pytest.approx(queue / rate + 0.4 - 1.5 * 0.9, abs=0.4)
 
 
 def test_absurd_or_missing_gauges_change_no_bound() -> None:
@@ -329,7 +329,7 @@
     for cpu in (None, -1.0, 1e9, 0.0, float("nan")):
         bench.start()
         bench.now += 0.1
-        bench.pools.poll(bench.now, LoadSample(0, cpu, cpu, cpu, None))
+        bench.pools.sample(bench.now, LoadSample(0, cpu, cpu, cpu, None))
         assert SITE.cores <= bench.pools.limit <= SITE.cores * SITE.collapse_concurrency
         assert len(bench.pools.running) <= bench.pools.limit + bench.pools.reserve_slots
 
@@ -451,8 +451,8 @@
                 pending.append(RunFinished(action.request_id, 0.1, Outcome.CANCELLED))
         assert len(running) <= 0.85 * SITE.cores * SITE.collapse_concurrency
     assert set(arrived) == set(answered) | gone
-    assert not pools.running and len(pools.ready) == 0 and controller.memory == pytest.approx(0.0, abs=1e-6)
-    assert halts > 0 and sum(controller.count) == 0
+    assert not pools.running and len(pools.ready) == 0 and controller.memory.used_kb == pytest.approx(0.0, abs=1e-6)
+    assert halts > 0 and sum(controller.table.counts) == 0
 
 
 def test_refusals_of_a_full_pool_come_from_the_pool_and_spare_the_others() -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -26,6 +26,7 @@
     Settings,
     StartRun,
 )
+from lapishaven.admission.concurrency_limit import ConcurrencyLimit
 from lapishaven.lab.interpreter import Box, Cores, Work
 
 SERVERS, CALLERS = 30, 24
@@ -69,7 +70,7 @@
         events, self.events = self.events, []
         for action in self.controller.handle(now, events):
             if isinstance(action, StartRun):
-                cls = self.controller.requests[action.request_id].cls
+                cls = self.controller.table.requests[action.request_id].class_index
                 self.cores.start(now, str(action.request_id), self.rules.classes[cls].name, b"")
         self._judge(now)
 
@@ -105,7 +106,7 @@
     fleet can do when it is warm, and with every caller's first requests in one burst. The running limit alone keeps the
     rule mostly; without it (``limited`` off) the ceiling that follows the warm-up must."""
     if not limited:
-        monkeypatch.setattr(Controller, "_step_limit", lambda self, poll: setattr(self, "limit", 1e9))
+        monkeypatch.setattr(ConcurrencyLimit, "step", lambda self, now, **inputs: setattr(self, "limit", 1e9))
     rules = settings(
         classes=(LOOK_UP, COMMIT),
         tenants=(),
