--- a/lapishaven/config.py
+++ b/lapishaven/config.py
@@ -12,7 +12,7 @@
 
 from lapishaven.admission import Settings
 from lapishaven.core.contracts import Contract
-from lapishaven.simulator import codec
+from lapishaven.proto.admission_settings import SettingsError, parse_settings
 
 if TYPE_CHECKING:
     from lapishaven.load_balancing.settings import Settings as SpreadSettings
@@ -90,9 +90,9 @@
     except ValueError:
         raise ConfigError("seed is not a hex number") from None
     try:
-        settings, gauges = codec.settings(json.dumps(data.get("settings")).encode())
-    except codec.WireError as error:
-        raise ConfigError(str(error).replace("BORN profile-data: ", "settings: ")) from None
+        settings, gauges = parse_settings(json.dumps(data.get("settings")))
+    except SettingsError as error:
+        raise ConfigError(f"settings: {error}") from None
     names = [spec.name for spec in settings.classes]
     for n, spec in enumerate(settings.classes):
         if not spec.name or not spec.name.isprintable():
--- a/lapishaven/lab/emulator.py
+++ b/lapishaven/lab/emulator.py
@@ -28,7 +28,7 @@
 from lapishaven.pools import Pools
 from lapishaven.pools.settings import PoolSettings
 from lapishaven.pools.settings import parse as parse_pools
-from lapishaven.simulator import codec
+from lapishaven.proto.admission_settings import parse_settings
 
 TICK = 0.01  # s between two steps of a machine that has something to do
 LIGHT = site.Kind("glossary-look-up", 0.05, Work(0.01, 0.03), 0.5, 2.0, 0.3, True)
@@ -117,7 +117,7 @@
         e = self.emulator
         self.cores = Cores(self.box, e.works, Random(self.seed ^ self.life), now, self.cold, self.factor)
         table = site.settings(self.box, e.spec.servers, e.spec.clients, self.cold, e.kinds)
-        settings, _ = codec.settings(json.dumps(table).encode())
+        settings, _ = parse_settings(json.dumps(table))
         self.pools = e.make_pools(settings, now)
         self.broker = Broker(
             settings, self.seed + self.life, self, self, self.counters, memory=192 << 20, pools=self.pools
--- /dev/null
+++ b/lapishaven/proto/admission_settings.py
@@ -0,0 +1,160 @@
+"""The JSON settings of an instance, as the platform and the simulator give them, read into ``Settings``."""
+
+from __future__ import annotations
+
+import json
+from typing import Any, NamedTuple
+
+from lapishaven.admission import Idempotency, RequestClass, Settings, Tenant
+
+IDEMPOTENCY_BY_EFFECT = {
+    "free": Idempotency.IDEMPOTENT,
+    "guarded": Idempotency.WITH_KEY,
+    "single_shot": Idempotency.NOT_IDEMPOTENT,
+}
+LOAD_SIGNAL_BY_SAY = {"threshold": "level", "window": "window", "share_of": "weight", "silent": None}
+CANCELLATION_BY_HALT = {"abort": "abort", "suspend": "pause", "silent": None}
+
+
+class SettingsError(ValueError):
+    """A setting is missing or malformed. ``path`` names it, such as ``extra.cores``; empty for the whole text."""
+
+    def __init__(self, path: str, problem: str) -> None:
+        super().__init__(f"{path} {problem}" if path else problem)
+        self.path = path
+        self.problem = problem
+
+
+class InstanceSettings(NamedTuple):
+    """What an instance is told at its start."""
+
+    settings: Settings
+    gauge_names: tuple[str, ...]
+    """Names of the gauges that a load sample brings, in their order."""
+
+
+class _Table:
+    """A JSON object whose readers name the setting that is missing or malformed."""
+
+    def __init__(self, data: Any, path: str) -> None:
+        if not isinstance(data, dict):
+            raise SettingsError(path or "settings", "is not an object")
+        self.data: dict[str, Any] = data
+        self._path = path
+
+    def _path_of(self, key: str) -> str:
+        return f"{self._path}.{key}" if self._path else key
+
+    def table(self, key: str) -> _Table:
+        return _Table(self.data.get(key), self._path_of(key))
+
+    def tables(self, key: str) -> list[_Table]:
+        rows = self.data.get(key)
+        path = self._path_of(key)
+        if not isinstance(rows, list):
+            raise SettingsError(path, "is not a list")
+        return [_Table(row, f"{path}[{index}]") for index, row in enumerate(rows)]
+
+    def number(self, key: str) -> float:
+        value = self.optional_number(key)
+        if value is None:
+            raise SettingsError(self._path_of(key), "is missing")
+        return value
+
+    def optional_number(self, key: str) -> float | None:
+        value = self.data.get(key)
+        if value is None:
+            return None
+        if isinstance(value, bool) or not isinstance(value, int | float):
+            raise SettingsError(self._path_of(key), "is not a number")
+        return float(value)
+
+    def flag(self, key: str) -> bool:
+        return bool(self.data.get(key))
+
+    def choice(self, key: str, choices: dict[str, Any]) -> Any:
+        value = self.data.get(key)
+        if not isinstance(value, str) or value not in choices:
+            raise SettingsError(self._path_of(key), f"is {value!r}")
+        return choices[value]
+
+    def item(self, key: str, index: int) -> Any:
+        """An item of a list; ``None`` if there is no list or it is too short."""
+        row = self.data.get(key)
+        return row[index] if isinstance(row, list) and index < len(row) else None
+
+
+def parse_settings(text: str | bytes) -> InstanceSettings:
+    """Read the settings of an instance from JSON text; raise ``SettingsError``. Unknown keys are ignored."""
+    try:
+        data = json.loads(text)
+    except ValueError:
+        raise SettingsError("", "not JSON") from None
+    top = _Table(data, "")
+    extra = top.table("extra")
+    obligations = top.table("obligations")
+    limits = top.table("limits")
+    classes = tuple(_request_class(row, extra, index) for index, row in enumerate(top.tables("profiles")))
+    tenants = _tenants(top)
+    gauge_names = extra.data.get("gauges")
+    if not isinstance(gauge_names, list):
+        raise SettingsError("extra.gauges", "is not a list")
+    max_retry_after = limits.optional_number("max-retry-after")
+    callers = _Table(top.data.get("callers") or {}, "callers")
+    settings = Settings(
+        classes=classes,
+        tenants=tenants,
+        cores=int(extra.number("cores")),
+        memory_kb=extra.number("memory-kb"),
+        running_memory_factor=extra.number("run-factor"),
+        key_entry_kb=extra.optional_number("key-kb") or 0.0,
+        peer_count=int(top.number("peers-total")),
+        caller_count=int(extra.optional_number("upstreams") or 1),
+        slow_start=extra.flag("cold"),
+        slow_start_span=obligations.number("cold"),
+        slow_start_initial_speed=obligations.number("cold-from"),
+        collapse_concurrency=obligations.number("fall-multiple"),
+        collapse_span=obligations.number("tip-after"),
+        drain_grace=obligations.number("drain-grace"),
+        response_slack=obligations.number("answer-slack"),
+        over_quota_weight=top.optional_number("over-share-worth") or 0.0,
+        weight_per_request=top.data.get("value-by") == "work",
+        max_retry_after=max_retry_after if limits.flag("retry-after") else None,
+        load_signal=extra.choice("say", LOAD_SIGNAL_BY_SAY),
+        load_signal_ttl=extra.optional_number("said-for") or 0.0,
+        cancellation=extra.choice("halt", CANCELLATION_BY_HALT),
+        result_freshness=extra.optional_number("fresh") or 0.0,
+        dependency_quota=extra.optional_number("fair-calls") if extra.data.get("below") == "shared" else None,
+        dependency_window=extra.optional_number("dep-window") or 0.0,
+        dependency_linger=extra.optional_number("linger") or 0.0,
+        propagates_deadline=extra.flag("passes-deadline"),
+        reports_cancellation=extra.flag("tells-gone"),
+        marks_retries=callers.flag("marks-retry"),
+        deep_health_checks=extra.flag("deep-checks"),
+        registry_follows_health=extra.flag("registry-follows"),
+        idle_timeout=extra.optional_number("idle"),
+    )
+    return InstanceSettings(settings, tuple(str(name) for name in gauge_names))
+
+
+def _request_class(row: _Table, extra: _Table, index: int) -> RequestClass:
+    return RequestClass(
+        name=str(row.data.get("name", "")),
+        latency_objective=row.number("aim"),
+        deadline=row.number("deadline"),
+        priority_weight=row.number("credit"),
+        idempotency=row.choice("effect", IDEMPOTENCY_BY_EFFECT),
+        late_weight=row.optional_number("late-worth") or 0.0,
+        idempotency_window=row.optional_number("window"),
+        calls_dependency=bool(extra.item("calls-by-class", index)),
+        degraded_weight=float(extra.item("class-skip-worth", index) or 0.0),
+        objective_per_cost=row.optional_number("aim-stretch"),
+    )
+
+
+def _tenants(top: _Table) -> tuple[Tenant, ...]:
+    if not top.data.get("customers"):
+        return ()
+    return tuple(
+        Tenant(str(row.data.get("name", "")), row.number("allowance-per-s")) for row in top.tables("customers")
+    )
--- a/lapishaven/simulator/adapter.py
+++ b/lapishaven/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Stdin/stdout loop: one Controller for each instance, nothing shared between them."""
+"""The adapter process: reads batches on standard input, lets a ``Controller`` decide for each instance, replies."""
 
 from __future__ import annotations
 
@@ -8,70 +8,83 @@
 
 from lapishaven.admission import Controller, Event
 from lapishaven.simulator import codec
+from lapishaven.simulator.codec import EventCode, WireError
 
 
 class Instance:
-    """One life of one instance."""
+    """One incarnation of one instance; nothing is shared with others."""
 
-    __slots__ = ("controller", "gauges")
+    __slots__ = ("controller", "gauge_names")
 
-    def __init__(self, seed: int, text: bytes) -> None:
-        settings, self.gauges = codec.settings(text)
+    def __init__(self, seed: int, settings_text: bytes) -> None:
+        settings, self.gauge_names = codec.decode_settings(settings_text)
         self.controller = Controller(settings, seed)
 
 
 class Host:
-    """Splits a batch among its instances and builds the reply."""
+    """Splits each batch among its instances and builds the reply."""
 
     def __init__(self) -> None:
-        self.lives: dict[int, Instance] = {}
-
-    def batch(self, number: int, now: float, count: int, body: memoryview) -> bytes:
-        lives, pending = self.lives, dict[int, list[Event]]()
-        current: int | None = None
-        for code, at in codec.records(body, count):
-            if code == codec.SELECT:
-                current = codec.instance_of(body, at)
-                continue
-            where = f"record {at // codec.RECORD} (code {code})"
-            if current is None:
-                raise codec.WireError(f"{where}: no SELECT before it")
-            if code == codec.BORN:
-                seed, text = codec.born(body, at, count)
-                lives[current] = Instance(seed, text)
-                pending[current] = []
-            elif current not in lives:
-                raise codec.WireError(f"{where}: instance {current} was never born")
-            elif code == codec.DOWN:
-                del lives[current]
-                pending.pop(current, None)
-            else:
-                life = lives[current]
-                try:
-                    event = codec.decode_event(code, body, at, lambda life=life: life.gauges)  # type: ignore[misc]
-                except codec.WireError as error:
-                    raise codec.WireError(f"record {at // codec.RECORD}: {error}") from None
-                if event is None:
-                    raise codec.WireError(f"{where}: unknown event code")
-                pending.setdefault(current, []).append(event)
+        self._instances: dict[int, Instance] = {}
+
+    def handle_batch(self, number: int, now: float, record_count: int, body: memoryview) -> bytes:
+        """The reply frame to a batch; ``body`` is what follows its header. ``WireError`` if it is malformed."""
         reply = codec.Reply()
-        for instance, events in pending.items():
+        for instance_number, events in self._read_events(record_count, body).items():
             try:
-                actions = lives[instance].controller.handle(now, events)
+                actions = self._instances[instance_number].controller.handle(now, events)
             except Exception as error:
                 traceback.print_exc(file=sys.stderr)
-                reply.select(instance)
-                reply.die(f"{type(error).__name__}: {error}")
+                reply.select(instance_number)
+                reply.add_death(f"{type(error).__name__}: {error}")
                 continue
             if actions:
-                reply.select(instance)
+                reply.select(instance_number)
                 for action in actions:
                     reply.add(action)
         return reply.frame(number)
 
+    def _read_events(self, record_count: int, body: memoryview) -> dict[int, list[Event]]:
+        """Start and end instances, and collect the events of each that has any or has just started."""
+        instances = self._instances
+        events_by_instance: dict[int, list[Event]] = {}
+        selected: int | None = None
+        for code, offset in codec.split_records(body, record_count):
+            if code == EventCode.SELECT:
+                selected = codec.decode_select(body, offset)
+            elif selected is None:
+                raise WireError(f"{_describe(code, offset)}: no SELECT before it")
+            elif code == EventCode.BORN:
+                seed, settings_text = codec.decode_born(body, offset, record_count)
+                instances[selected] = Instance(seed, settings_text)
+                events_by_instance[selected] = []
+            elif selected not in instances:
+                raise WireError(f"{_describe(code, offset)}: instance {selected} was never born")
+            elif code == EventCode.DOWN:
+                del instances[selected]
+                events_by_instance.pop(selected, None)
+            else:
+                event = _decode_event(code, body, offset, instances[selected])
+                events_by_instance.setdefault(selected, []).append(event)
+        return events_by_instance
+
+
+def _describe(code: int, offset: int) -> str:
+    return f"record {offset // codec.EVENT_RECORD_SIZE} (code {code})"
+
+
+def _decode_event(code: int, body: memoryview, offset: int, instance: Instance) -> Event:
+    try:
+        event = codec.decode_event(code, body, offset, instance.gauge_names)
+    except WireError as error:
+        raise WireError(f"record {offset // codec.EVENT_RECORD_SIZE}: {error}") from None
+    if event is None:
+        raise WireError(f"{_describe(code, offset)}: unknown event code")
+    return event
+
 
-def read_exactly(source: BinaryIO, size: int) -> bytes:
-    """All of ``size`` bytes, or fewer at the end of input."""
+def read_up_to(source: BinaryIO, size: int) -> bytes:
+    """Read ``size`` bytes, or fewer at the end of the input."""
     data = source.read(size)
     while len(data) < size:
         more = source.read(size - len(data))
@@ -82,16 +95,16 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Answer batches until the input ends; ``WireError`` at a malformed one."""
     host = Host()
-    while head := read_exactly(source, codec.HEADER.size):
-        if len(head) < codec.HEADER.size:
-            raise codec.WireError(f"frame header: {len(head)} bytes of {codec.HEADER.size}")
-        number, length, now, count = codec.HEADER.unpack(head)
-        body = read_exactly(source, length)
+    while header := read_up_to(source, codec.BATCH_HEADER.size):
+        if len(header) < codec.BATCH_HEADER.size:
+            raise WireError(f"frame header: {len(header)} bytes of {codec.BATCH_HEADER.size}")
+        number, length, now, record_count = codec.BATCH_HEADER.unpack(header)
+        body = read_up_to(source, length)
         if len(body) < length:
-            raise codec.WireError(f"frame length: {len(body)} bytes of {length}")
-        sink.write(host.batch(number, now, count, memoryview(body)))
+            raise WireError(f"frame length: {len(body)} bytes of {length}")
+        sink.write(host.handle_batch(number, now, record_count, memoryview(body)))
         sink.flush()
 
 
@@ -99,7 +112,7 @@
     """Run on standard input and output; a malformed frame ends it with one plain line."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except (codec.WireError, ValueError) as error:
+    except ValueError as error:
         print(f"simulator adapter: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/lapishaven/simulator/codec.py
+++ b/lapishaven/simulator/codec.py
@@ -1,12 +1,14 @@
-"""Binary codec and its translation to and from ``interface``. It holds no decision.
+"""The binary codec of the simulator's frames: events in, actions out. It holds no decision.
 
-The frame layout is the simulator's; a malformed frame raises ``WireError`` with the record and field.
+A batch is a header, event records of fixed size, and a tail for data of variable size; a reply has the same
+form. The codes and the field names are those of the adapter protocol. A malformed frame raises ``WireError``
+with the record and the field.
 """
 
 from __future__ import annotations
 
-import json
 from collections.abc import Callable, Iterator
+from enum import IntEnum
 from struct import Struct
 from typing import Any
 
@@ -20,7 +22,6 @@
     DrainRequested,
     Event,
     Fail,
-    Idempotency,
     LoadSample,
     Log,
     Outcome,
@@ -29,300 +30,274 @@
     ReleaseKey,
     RequestArrived,
     RequestCancelled,
-    RequestClass,
     ReserveKey,
     RunFinished,
     ScheduleTimer,
     SetHealth,
     SetIdleTimeout,
-    Settings,
     SkipDependency,
     StartRun,
-    Tenant,
 )
+from lapishaven.proto.admission_settings import InstanceSettings, SettingsError, parse_settings
+
+BATCH_HEADER = Struct(">IIdI")
+"""Batch number, bytes after the header, clock time in seconds, number of records."""
+REPLY_HEADER = Struct(">III")
+"""Batch number, number of records, bytes after the header."""
+EVENT_RECORD_SIZE = 56
+ACTION_RECORD_SIZE = 16
+
+
+class EventCode(IntEnum):
+    """First byte of a record in a batch."""
+
+    BORN = 10
+    ARRIVAL = 20
+    FINISHED = 30
+    NEEDS_DEP = 40
+    DOWNSTREAM = 50
+    WIND_DOWN = 60
+    EXPIRED = 70
+    TIMER = 80
+    DOWN = 90
+    SELECT = 100
+
+
+class ActionCode(IntEnum):
+    """First byte of a record in a reply."""
+
+    SERVE = 10
+    REFUSE = 20
+    SURRENDER = 30
+    STOP = 40
+    CALL_DEP = 50
+    BYPASS = 60
+    MEMO = 70
+    FORGET = 80
+    ATTACH = 90
+    FITNESS = 100
+    HINT_OUT = 110
+    TRIM_AFTER = 120
+    SCHEDULE = 130
+    REMARK = 140
+    DIE = 150
+    FOR = 160
 
-HEADER = Struct(">IIdI")
-REPLY = Struct(">III")
-RECORD, ACTION = 56, 16
-NEEDED, DOWN, SELECT, BORN = 40, 90, 100, 10
 
-_U16 = Struct(">H")
-_U32 = Struct(">I")
-_F64 = Struct(">d")
-_BORN = Struct(">QII")
-_ARRIVAL = Struct(">IfHdHdBBfQdI")
-_FINISHED = Struct(">IdH")
-_CALLED = Struct(">IHd")
-_POLL = Struct(">IB")
+class WireError(ValueError):
+    """A frame or its settings text breaks the rules of the wire."""
 
-_EFFECTS = {"free": Idempotency.IDEMPOTENT, "guarded": Idempotency.WITH_KEY, "single_shot": Idempotency.NOT_IDEMPOTENT}
-_SAYS = {"threshold": "level", "window": "window", "share_of": "weight", "silent": None}
-_HALTS = {"abort": "abort", "suspend": "pause", "silent": None}
 
+def decode_settings(text: bytes) -> InstanceSettings:
+    """The settings of a BORN record."""
+    try:
+        return parse_settings(text)
+    except SettingsError as error:
+        raise WireError(f"BORN profile-data: {error}") from None
+
+
+# Events. The layouts leave out the code.
+_SELECT = Struct(">H")  # i
+_BORN = Struct(">QII")  # random-seed, offset and length of profile-data
+_ARRIVAL = Struct(">IfHdHdBBfQdI")  # xid, footprint, account, valid-until, src, queued-for, opts, category, prio,
+# subject, hint, repeats
+_FINISHED = Struct(">IdH")  # xid, spent, result
+_XID = Struct(">I")
+_DOWNSTREAM = Struct(">IHd")  # xid, result, spent
+_WIND_DOWN = Struct(">d")  # when the process is stopped
+_TIMER = Struct(">IB")  # mark, number of gauges
+_GAUGES_OFFSET = 6
+_GAUGE_SIZE = 4
+_GAUGES = ("core_use", "on_cores", "heap_share", "links")  # those of a ``LoadSample``, in its order
+
+_OPT_HINT_VALID = 1
+_OPT_IS_RETRY = 2
+_OPT_IS_WRITE = 4
+
+
+def split_records(body: memoryview, count: int) -> Iterator[tuple[int, int]]:
+    """The code and the offset of each record of a batch."""
+    if count * EVENT_RECORD_SIZE > len(body):
+        raise WireError(f"frame length: {len(body)} bytes do not hold {count} records")
+    for offset in range(0, count * EVENT_RECORD_SIZE, EVENT_RECORD_SIZE):
+        yield body[offset], offset
+
+
+def decode_select(body: memoryview, offset: int) -> int:
+    """The number of the instance that a SELECT record names."""
+    instance: int = _SELECT.unpack_from(body, offset + 1)[0]
+    return instance
+
+
+def decode_born(body: memoryview, offset: int, record_count: int) -> tuple[int, bytes]:
+    """The seed and the settings text of a BORN record in a batch of ``record_count`` records."""
+    seed, tail_offset, length = _BORN.unpack_from(body, offset + 1)
+    start = record_count * EVENT_RECORD_SIZE + tail_offset
+    if start + length > len(body):
+        raise WireError("BORN profile-data: tail out of range")
+    return seed, bytes(body[start : start + length])
+
+
+def decode_event(code: int, body: memoryview, offset: int, gauge_names: tuple[str, ...]) -> Event | None:
+    """The event of a record at ``offset``; ``None`` for an unknown code.
+
+    ``gauge_names`` are those of the instance's settings.
+    """
+    if code == EventCode.TIMER:
+        return _decode_timer(body, offset + 1, gauge_names)
+    decoder = _EVENT_DECODERS.get(code)
+    return decoder(body, offset + 1) if decoder is not None else None
+
+
+def _decode_arrival(body: memoryview, offset: int) -> RequestArrived:
+    (
+        request_id,
+        memory_kb,
+        tenant_index,
+        deadline,
+        caller_id,
+        age,
+        options,
+        class_index,
+        rank,
+        subject,
+        cost_hint,
+        duplicate_of,
+    ) = _ARRIVAL.unpack_from(body, offset)
+    return RequestArrived(
+        request_id,
+        memory_kb,
+        tenant_index,
+        deadline or None,
+        caller_id,
+        age,
+        bool(options & _OPT_IS_RETRY),
+        bool(options & _OPT_IS_WRITE),
+        class_index,
+        rank,
+        subject or None,
+        cost_hint if options & _OPT_HINT_VALID else None,
+        duplicate_of or None,
+    )
 
-class WireError(ValueError):
-    """A frame or settings text that breaks the wire's rules."""
 
+def _decode_finished(body: memoryview, offset: int) -> RunFinished:
+    request_id, elapsed, result = _FINISHED.unpack_from(body, offset)
+    return RunFinished(request_id, elapsed, _decode_outcome(result, "FINISHED"))
 
-class _Table:
-    """A JSON object that names the missing or mistyped setting."""
 
-    def __init__(self, data: Any, path: str) -> None:
-        if not isinstance(data, dict):
-            raise WireError(f"BORN profile-data: {path or 'settings'} is not an object")
-        self.data, self.path = data, path
+def _decode_needs_dep(body: memoryview, offset: int) -> DependencyCallNeeded:
+    return DependencyCallNeeded(_XID.unpack_from(body, offset)[0])
 
-    def _name(self, key: str) -> str:
-        return f"{self.path}.{key}" if self.path else key
 
-    def table(self, key: str) -> _Table:
-        return _Table(self.data.get(key), self._name(key))
+def _decode_downstream(body: memoryview, offset: int) -> DependencyCallFinished:
+    request_id, result, elapsed = _DOWNSTREAM.unpack_from(body, offset)
+    return DependencyCallFinished(request_id, _decode_outcome(result, "DOWNSTREAM"), elapsed)
 
-    def tables(self, key: str) -> list[_Table]:
-        rows = self.data.get(key)
-        if not isinstance(rows, list):
-            raise WireError(f"BORN profile-data: {self._name(key)} is not a list")
-        return [_Table(row, f"{self._name(key)}[{n}]") for n, row in enumerate(rows)]
 
-    def number(self, key: str) -> float:
-        value = self.optional(key)
-        if value is None:
-            raise WireError(f"BORN profile-data: {self._name(key)} is missing")
-        return value
+def _decode_wind_down(body: memoryview, offset: int) -> DrainRequested:
+    return DrainRequested(_WIND_DOWN.unpack_from(body, offset)[0])
 
-    def optional(self, key: str) -> float | None:
-        value = self.data.get(key)
-        if value is None:
-            return None
-        if isinstance(value, bool) or not isinstance(value, int | float):
-            raise WireError(f"BORN profile-data: {self._name(key)} is not a number")
-        return float(value)
 
-    def flag(self, key: str) -> bool:
-        return bool(self.data.get(key))
+def _decode_expired(body: memoryview, offset: int) -> RequestCancelled:
+    return RequestCancelled(_XID.unpack_from(body, offset)[0])
 
-    def word(self, key: str, words: dict[str, Any]) -> Any:
-        value = self.data.get(key)
-        if not isinstance(value, str) or value not in words:
-            raise WireError(f"BORN profile-data: {self._name(key)} is {value!r}")
-        return words[value]
 
-    def place(self, key: str, n: int) -> Any:
-        row = self.data.get(key)
-        return row[n] if isinstance(row, list) and n < len(row) else None
+def _decode_timer(body: memoryview, offset: int, gauge_names: tuple[str, ...]) -> LoadSample:
+    timer_id, count = _TIMER.unpack_from(body, offset)
+    if _GAUGES_OFFSET + _GAUGE_SIZE * count > EVENT_RECORD_SIZE:
+        raise WireError(f"TIMER pressure: {count} values do not fit a record")
+    values = Struct(f">{count}f").unpack_from(body, offset + _TIMER.size)
+    gauges = dict(zip(gauge_names, values, strict=False))
+    return LoadSample(timer_id, *(gauges.get(name) for name in _GAUGES))
 
 
-def settings(text: bytes) -> tuple[Settings, tuple[str, ...]]:
-    """Settings from the start text, and the gauges' names in their order."""
-    try:
-        top = _Table(json.loads(text), "")
-    except ValueError as error:
-        if isinstance(error, WireError):
-            raise
-        raise WireError("BORN profile-data: not JSON") from None
-    extra, rules, limits = top.table("extra"), top.table("obligations"), top.table("limits")
-    classes = tuple(
-        RequestClass(
-            name=str(row.data.get("name", "")),
-            latency_objective=row.number("aim"),
-            deadline=row.number("deadline"),
-            priority_weight=row.number("credit"),
-            idempotency=row.word("effect", _EFFECTS),
-            late_weight=row.optional("late-worth") or 0.0,
-            idempotency_window=row.optional("window"),
-            calls_dependency=bool(extra.place("calls-by-class", n)),
-            degraded_weight=float(extra.place("class-skip-worth", n) or 0.0),
-            objective_per_cost=row.optional("aim-stretch"),
-        )
-        for n, row in enumerate(top.tables("profiles"))
-    )
-    tenants = tuple(
-        Tenant(str(row.data.get("name", "")), row.number("allowance-per-s"))
-        for row in (top.tables("customers") if top.data.get("customers") else [])
-    )
-    gauges = extra.data.get("gauges")
-    if not isinstance(gauges, list):
-        raise WireError("BORN profile-data: extra.gauges is not a list")
-    advice = limits.optional("max-retry-after")
-    callers = _Table(top.data.get("callers") or {}, "callers")
-    return Settings(
-        classes=classes,
-        tenants=tenants,
-        cores=int(extra.number("cores")),
-        memory_kb=extra.number("memory-kb"),
-        running_memory_factor=extra.number("run-factor"),
-        key_entry_kb=extra.optional("key-kb") or 0.0,
-        peer_count=int(top.number("peers-total")),
-        caller_count=int(extra.optional("upstreams") or 1),
-        slow_start=extra.flag("cold"),
-        slow_start_span=rules.number("cold"),
-        slow_start_initial_speed=rules.number("cold-from"),
-        collapse_concurrency=rules.number("fall-multiple"),
-        collapse_span=rules.number("tip-after"),
-        drain_grace=rules.number("drain-grace"),
-        response_slack=rules.number("answer-slack"),
-        over_quota_weight=top.optional("over-share-worth") or 0.0,
-        weight_per_request=top.data.get("value-by") == "work",
-        max_retry_after=advice if limits.flag("retry-after") else None,
-        load_signal=extra.word("say", _SAYS),
-        load_signal_ttl=extra.optional("said-for") or 0.0,
-        cancellation=extra.word("halt", _HALTS),
-        result_freshness=extra.optional("fresh") or 0.0,
-        dependency_quota=extra.optional("fair-calls") if extra.data.get("below") == "shared" else None,
-        dependency_window=extra.optional("dep-window") or 0.0,
-        dependency_linger=extra.optional("linger") or 0.0,
-        propagates_deadline=extra.flag("passes-deadline"),
-        reports_cancellation=extra.flag("tells-gone"),
-        marks_retries=callers.flag("marks-retry"),
-        deep_health_checks=extra.flag("deep-checks"),
-        registry_follows_health=extra.flag("registry-follows"),
-        idle_timeout=extra.optional("idle"),
-    ), tuple(str(name) for name in gauges)
-
-
-def _outcome(code: int, where: str) -> Outcome:
+def _decode_outcome(code: int, record: str) -> Outcome:
     try:
         return Outcome(code)
     except ValueError:
-        raise WireError(f"{where} result: {code} is no outcome") from None
-
-
-def decode_event(code: int, body: memoryview, at: int, gauges: Callable[[], tuple[str, ...]]) -> Event | None:
-    """One event record as an interface event; ``None`` for a code that is unknown."""
-    if code == 20:
-        (xid, kb, tenant, due, caller, age, opts, cls, rank, subject, cost, repeats) = _ARRIVAL.unpack_from(
-            body, at + 1
-        )
-        return RequestArrived(
-            xid,
-            kb,
-            tenant,
-            due or None,
-            caller,
-            age,
-            bool(opts & 2),
-            bool(opts & 4),
-            cls,
-            rank,
-            subject or None,
-            cost if opts & 1 else None,
-            repeats or None,
-        )
-    if code == 30:
-        xid, spent, result = _FINISHED.unpack_from(body, at + 1)
-        return RunFinished(xid, spent, _outcome(result, "FINISHED"))
-    if code == 40:
-        return DependencyCallNeeded(_U32.unpack_from(body, at + 1)[0])
-    if code == 50:
-        xid, result, spent = _CALLED.unpack_from(body, at + 1)
-        return DependencyCallFinished(xid, _outcome(result, "DOWNSTREAM"), spent)
-    if code == 60:
-        return DrainRequested(_F64.unpack_from(body, at + 1)[0])
-    if code == 70:
-        return RequestCancelled(_U32.unpack_from(body, at + 1)[0])
-    if code == 80:
-        mark, count = _POLL.unpack_from(body, at + 1)
-        if 6 + 4 * count > RECORD:
-            raise WireError(f"TIMER pressure: {count} values do not fit a record")
-        values = dict(zip(gauges(), Struct(f">{count}f").unpack_from(body, at + 6), strict=False))
-        told = (values.get(name) for name in ("core_use", "on_cores", "heap_share", "links"))
-        return LoadSample(mark, *told)
-    return None
-
-
-def tail_slice(body: memoryview, start: int, offset: int, length: int, where: str) -> bytes:
-    """Bytes of a frame's tail, checked against its end."""
-    if start + offset + length > len(body):
-        raise WireError(f"{where}: tail out of range")
-    return bytes(body[start + offset : start + offset + length])
-
-
-def records(body: memoryview, count: int) -> Iterator[tuple[int, int]]:
-    """Each record's code and position."""
-    if count * RECORD > len(body):
-        raise WireError(f"frame length: {len(body)} bytes do not hold {count} records")
-    for at in range(0, count * RECORD, RECORD):
-        yield body[at], at
-
-
-def instance_of(body: memoryview, at: int) -> int:
-    """The instance that a SELECT record names."""
-    number: int = _U16.unpack_from(body, at + 1)[0]
-    return number
-
-
-def born(body: memoryview, at: int, count: int) -> tuple[int, bytes]:
-    """Seed and settings text of a BORN record."""
-    seed, offset, length = _BORN.unpack_from(body, at + 1)
-    return seed, tail_slice(body, count * RECORD, offset, length, "BORN profile-data")
-
-
-_ID = Struct(">BI11x")
-_REFUSE = Struct(">BIdB2x")
-_ID_SPAN = Struct(">BId3x")
-_SPAN = Struct(">Bd7x")
-_TIMER = Struct(">BdI3x")
-_HEALTH = Struct(">BBB13x")
-_SAY = Struct(">Bf11x")
-_TEXT = Struct(">BII7x")
-_FOR = Struct(">BH13x")
-_IDS: dict[type, int] = {
-    StartRun: 10,
-    Fail: 30,
-    CancelRun: 40,
-    SkipDependency: 60,
-    ReleaseKey: 80,
-    AwaitOriginal: 90,
+        raise WireError(f"{record} result: {code} is no outcome") from None
+
+
+_EVENT_DECODERS: dict[int, Callable[[memoryview, int], Event]] = {
+    int(EventCode.ARRIVAL): _decode_arrival,
+    int(EventCode.FINISHED): _decode_finished,
+    int(EventCode.NEEDS_DEP): _decode_needs_dep,
+    int(EventCode.DOWNSTREAM): _decode_downstream,
+    int(EventCode.WIND_DOWN): _decode_wind_down,
+    int(EventCode.EXPIRED): _decode_expired,
+}
+
+
+# Actions. The layouts include the code and fill the record.
+_CODE_XID = Struct(">BI11x")
+_REFUSE = Struct(">BIdB2x")  # xid, wait, last
+_CODE_XID_SECONDS = Struct(">BId3x")
+_TRIM_AFTER = Struct(">Bd7x")  # after
+_SCHEDULE = Struct(">BdI3x")  # delay, mark
+_FITNESS = Struct(">BBB13x")  # from-state, healthy
+_HINT_OUT = Struct(">Bf11x")  # value
+_CODE_TEXT = Struct(">BII7x")  # offset and length of the text in the tail
+_FOR = Struct(">BH13x")  # i
+
+
+def _encode_reject(action: Reject) -> bytes:
+    return _REFUSE.pack(ActionCode.REFUSE, action.request_id, action.retry_after or 0.0, action.no_retry_elsewhere)
+
+
+_ACTION_ENCODERS: dict[type, Callable[[Any], bytes]] = {
+    StartRun: lambda action: _CODE_XID.pack(ActionCode.SERVE, action.request_id),
+    Reject: _encode_reject,
+    Fail: lambda action: _CODE_XID.pack(ActionCode.SURRENDER, action.request_id),
+    CancelRun: lambda action: _CODE_XID.pack(ActionCode.STOP, action.request_id),
+    CallDependency: lambda action: _CODE_XID_SECONDS.pack(ActionCode.CALL_DEP, action.request_id, action.timeout),
+    SkipDependency: lambda action: _CODE_XID.pack(ActionCode.BYPASS, action.request_id),
+    ReserveKey: lambda action: _CODE_XID_SECONDS.pack(ActionCode.MEMO, action.request_id, action.ttl),
+    ReleaseKey: lambda action: _CODE_XID.pack(ActionCode.FORGET, action.request_id),
+    AwaitOriginal: lambda action: _CODE_XID.pack(ActionCode.ATTACH, action.request_id),
+    SetHealth: lambda action: _FITNESS.pack(ActionCode.FITNESS, True, action.healthy),
+    PublishLoad: lambda action: _HINT_OUT.pack(ActionCode.HINT_OUT, action.value),
+    SetIdleTimeout: lambda action: _TRIM_AFTER.pack(ActionCode.TRIM_AFTER, action.timeout),
+    ScheduleTimer: lambda action: _SCHEDULE.pack(ActionCode.SCHEDULE, action.delay, action.timer_id),
 }
 
 
 class Reply:
     """Builds one reply frame."""
 
-    __slots__ = ("records", "tail", "tail_size")
+    __slots__ = ("_records", "_tail", "_tail_size")
 
     def __init__(self) -> None:
-        self.records: list[bytes] = []
-        self.tail: list[bytes] = []
-        self.tail_size = 0
+        self._records: list[bytes] = []
+        self._tail: list[bytes] = []
+        self._tail_size = 0
 
     def select(self, instance: int) -> None:
-        self.records.append(_FOR.pack(160, instance))
-
-    def _text(self, code: int, text: str) -> None:
-        data = text.encode("utf-8", "replace")
-        self.records.append(_TEXT.pack(code, self.tail_size, len(data)))
-        self.tail.append(data)
-        self.tail_size += len(data)
-
-    def die(self, text: str) -> None:
-        self._text(150, text)
+        """Name the instance of the records that follow."""
+        self._records.append(_FOR.pack(ActionCode.FOR, instance))
 
     def add(self, action: Action) -> None:
-        kind = type(action)
-        if kind in _IDS:
-            self.records.append(_ID.pack(_IDS[kind], action.request_id))  # type: ignore[union-attr]
-        elif isinstance(action, Reject):
-            self.records.append(
-                _REFUSE.pack(20, action.request_id, action.retry_after or 0.0, action.no_retry_elsewhere)
-            )
-        elif isinstance(action, CallDependency):
-            self.records.append(_ID_SPAN.pack(50, action.request_id, action.timeout))
-        elif isinstance(action, ReserveKey):
-            self.records.append(_ID_SPAN.pack(70, action.request_id, action.ttl))
-        elif isinstance(action, ScheduleTimer):
-            self.records.append(_TIMER.pack(130, action.delay, action.timer_id))
-        elif isinstance(action, PublishLoad):
-            self.records.append(_SAY.pack(110, action.value))
-        elif isinstance(action, SetHealth):
-            self.records.append(_HEALTH.pack(100, True, action.healthy))
-        elif isinstance(action, SetIdleTimeout):
-            self.records.append(_SPAN.pack(120, action.timeout))
+        """Add an action; ``TypeError`` if the wire has no form for it."""
+        encoder = _ACTION_ENCODERS.get(type(action))
+        if encoder is not None:
+            self._records.append(encoder(action))
         elif isinstance(action, Log):
-            self._text(140, action.text)
+            self._add_text(ActionCode.REMARK, action.text)
         else:
-            raise TypeError(f"no wire form for {kind.__name__}")
+            raise TypeError(f"no wire form for {type(action).__name__}")
+
+    def add_death(self, text: str) -> None:
+        """Say that the instance has failed."""
+        self._add_text(ActionCode.DIE, text)
 
     def frame(self, number: int) -> bytes:
-        size = len(self.records) * ACTION + self.tail_size
-        return b"".join((REPLY.pack(number, len(self.records), size), *self.records, *self.tail))
+        """The whole frame, as the answer to batch ``number``."""
+        size = len(self._records) * ACTION_RECORD_SIZE + self._tail_size
+        header = REPLY_HEADER.pack(number, len(self._records), size)
+        return b"".join((header, *self._records, *self._tail))
+
+    def _add_text(self, code: ActionCode, text: str) -> None:
+        data = text.encode("utf-8", "replace")
+        self._records.append(_CODE_TEXT.pack(code, self._tail_size, len(data)))
+        self._tail.append(data)
+        self._tail_size += len(data)
--- a/tests/test_simulator_codec.py
+++ b/tests/test_simulator_codec.py
@@ -150,11 +150,11 @@
 
 def test_arrival_fields_and_absent_values() -> None:
     body = memoryview(arrival(9, opts=7))
-    event = codec.decode_event(20, body, 0, tuple)
+    event = codec.decode_event(20, body, 0, ())
     assert isinstance(event, RequestArrived)
     assert (event.request_id, event.caller_id, event.class_index, event.subject, event.deadline) == (9, 3, 0, 77, 9.5)
     assert event.cost_hint == 0.3 and event.is_retry and event.is_write and event.duplicate_of is None
-    bare = codec.decode_event(20, memoryview(record(20)), 0, tuple)
+    bare = codec.decode_event(20, memoryview(record(20)), 0, ())
     assert (
         isinstance(bare, RequestArrived) and bare.deadline is None and bare.cost_hint is None and bare.subject is None
     )
@@ -173,7 +173,7 @@
 )
 def test_events(packed: bytes, code: int, event: Event) -> None:
     names = ("core_use", "links")
-    assert codec.decode_event(code, memoryview(record(code, packed)), 0, lambda: names) == event
+    assert codec.decode_event(code, memoryview(record(code, packed)), 0, names) == event
 
 
 @pytest.mark.parametrize(
