--- a/lapishaven/admission/arrival.py
+++ b/lapishaven/admission/arrival.py
@@ -12,7 +12,7 @@
 from lapishaven.admission.queue_order import relative_weight
 from lapishaven.admission.rejection import Rejection
 from lapishaven.admission.rejection_probability import rejection_rank
-from lapishaven.admission.request import RequestState, TrackedRequest
+from lapishaven.admission.request import AWAITING_ORIGINAL, TrackedRequest
 from lapishaven.admission.request_ending import RequestEnding
 from lapishaven.admission.rules import AdmissionRules
 
@@ -34,7 +34,7 @@
         settings = rules.settings
         request = self._track(event, now)
         if can_share_result(request, event, settings.result_freshness):
-            self._table.move(request, RequestState.AWAITING_ORIGINAL, now)
+            self._table.move(request, AWAITING_ORIGINAL, now)
             actions.append(AwaitOriginal(request.request_id))
             return
         request.weight *= relative_weight(settings, rules.run_latency, request.class_index)
--- a/lapishaven/admission/dependency_handler.py
+++ b/lapishaven/admission/dependency_handler.py
@@ -6,7 +6,7 @@
 from lapishaven.admission.actions import Action, CallDependency, SkipDependency
 from lapishaven.admission.dependency_calls import DependencyStep, call_timeout
 from lapishaven.admission.events import DependencyCallFinished, Outcome
-from lapishaven.admission.request import RequestState, TrackedRequest
+from lapishaven.admission.request import AWAITING_DEPENDENCY, CALLING_DEPENDENCY, RUNNING, TrackedRequest
 from lapishaven.admission.request_ending import RequestEnding
 from lapishaven.admission.rules import AdmissionRules
 
@@ -27,7 +27,7 @@
     def need_call(self, request: TrackedRequest, now: float) -> None:
         """A running request needs a call: it waits until it may make it."""
         if not request.is_answered:
-            self._table.move(request, RequestState.AWAITING_DEPENDENCY, now)
+            self._table.move(request, AWAITING_DEPENDENCY, now)
             self._calls.waiting.append(request.request_id)
 
     def finish_call(
@@ -35,12 +35,12 @@
     ) -> None:
         """A call ended: go on with its result, or after a failure skip it, retry it, or fail the request."""
         self._calls.latency.record(event.elapsed)
-        if request.state is not RequestState.CALLING_DEPENDENCY or request.is_answered:
+        if request.state is not CALLING_DEPENDENCY or request.is_answered:
             return
         if event.outcome is Outcome.OK:
-            self._table.move(request, RequestState.RUNNING, now)
+            self._table.move(request, RUNNING, now)
             return
-        self._table.move(request, RequestState.AWAITING_DEPENDENCY, now)
+        self._table.move(request, AWAITING_DEPENDENCY, now)
         if event.outcome is Outcome.TIMEOUT:
             self._calls.add_lingering(now)
         if request.request_class.degraded_weight > 0:
@@ -56,19 +56,19 @@
         waiting = self._calls.waiting
         while waiting:
             request = self._table.requests.get(waiting[0])
-            if request is None or request.state is not RequestState.AWAITING_DEPENDENCY or request.is_answered:
+            if request is None or request.state is not AWAITING_DEPENDENCY or request.is_answered:
                 waiting.popleft()
                 continue
-            step = self._calls.next_step(request, now, self._table.counts[RequestState.CALLING_DEPENDENCY])
+            step = self._calls.next_step(request, now, self._table.counts[CALLING_DEPENDENCY])
             if step is DependencyStep.WAIT:
                 return
             waiting.popleft()
             if step is DependencyStep.SKIP:
                 self._skip(request, now, actions)
             else:
-                self._table.move(request, RequestState.CALLING_DEPENDENCY, now)
+                self._table.move(request, CALLING_DEPENDENCY, now)
                 actions.append(CallDependency(request.request_id, call_timeout(request, now)))
 
     def _skip(self, request: TrackedRequest, now: float, actions: list[Action]) -> None:
         actions.append(SkipDependency(request.request_id))
-        self._table.move(request, RequestState.RUNNING, now)
+        self._table.move(request, RUNNING, now)
--- a/lapishaven/admission/dispatcher.py
+++ b/lapishaven/admission/dispatcher.py
@@ -6,7 +6,7 @@
 
 from lapishaven.admission import queue_order, rejection
 from lapishaven.admission.actions import Action, StartRun
-from lapishaven.admission.request import RequestState, TrackedRequest
+from lapishaven.admission.request import RUNNING, TrackedRequest
 from lapishaven.admission.request_ending import RequestEnding
 from lapishaven.admission.rules import AdmissionRules
 
@@ -48,7 +48,7 @@
             if request.needs_reservation and not request.has_reservation:
                 continue
             request.has_run = True
-            self._table.move(request, RequestState.RUNNING, now)
+            self._table.move(request, RUNNING, now)
             actions.append(StartRun(request.request_id))
             free_slots -= 1
             if rules.pools is not None:
@@ -60,7 +60,7 @@
         ceiling = rules.concurrency.ceiling(now)
         # Pools bound the running requests themselves, under the same ceiling.
         limit = rules.concurrency.limit if rules.pools is None else ceiling
-        return min(limit, ceiling - self._table.at_dependency()) - self._table.counts[RequestState.RUNNING]
+        return min(limit, ceiling - self._table.at_dependency()) - self._table.counts[RUNNING]
 
     def _candidates(self, now: float) -> Iterable[TrackedRequest]:
         """What may start, in its order. Pools keep the order if there are any, paused requests included."""
--- a/lapishaven/admission/load_sample_handler.py
+++ b/lapishaven/admission/load_sample_handler.py
@@ -5,7 +5,7 @@
 from lapishaven.admission.actions import Action, CancelRun, PublishLoad, ScheduleTimer, SetHealth, SetIdleTimeout
 from lapishaven.admission.events import LoadSample
 from lapishaven.admission.load_measurement import POLL_INTERVAL_S
-from lapishaven.admission.request import RequestState
+from lapishaven.admission.request import CALLING_DEPENDENCY, RUNNING
 from lapishaven.admission.rules import AdmissionRules
 
 LOAD_TIMER_ID = 0
@@ -34,7 +34,7 @@
         if rules.pools is not None:
             preempted = rules.pools.sample(now, sample)
             actions += [CancelRun(request_id) for request_id in preempted if request_id in self._table.requests]
-        rules.dependency.update_mean(self._table.counts[RequestState.CALLING_DEPENDENCY])
+        rules.dependency.update_mean(self._table.counts[CALLING_DEPENDENCY])
         rules.quotas.update()
         self.publish_load(actions)
         self._limit_idle_connections(now, actions)
@@ -63,7 +63,7 @@
             now,
             utilization=rules.load.utilization,
             runnable=sample.runnable or 0.0,
-            running=self._table.counts[RequestState.RUNNING],
+            running=self._table.counts[RUNNING],
             has_queue=bool(self._table.queued),
             highest_inflation=rules.run_latency.highest_inflation(),
         )
--- a/lapishaven/admission/memory_budget.py
+++ b/lapishaven/admission/memory_budget.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lapishaven.admission.request import RequestState, TrackedRequest
+from lapishaven.admission.request import QUEUED, RUNNING, RequestState, TrackedRequest
 from lapishaven.admission.settings import Settings
 
 MAX_MEMORY_SHARE = 0.92  # of the instance's memory; requests read in the next batch come on top
@@ -22,7 +22,7 @@
         factor = settings.running_memory_factor
         self._limit_kb = MAX_MEMORY_SHARE * settings.memory_kb
         self._running_factor = factor
-        self._state_factors = [factor if state >= RequestState.RUNNING else 1.0 for state in RequestState]
+        self._state_factors = [factor if state >= RUNNING else 1.0 for state in RequestState]
 
     def charge(self, request: TrackedRequest) -> None:
         """Add what the request takes in its present state."""
@@ -42,6 +42,6 @@
 
     def can_start(self, request: TrackedRequest) -> bool:
         """Whether a run of the request fits; a paused run is charged in full already."""
-        if request.state is not RequestState.QUEUED:
+        if request.state is not QUEUED:
             return self.fits(0.0)
         return self.fits(request.memory_kb * (self._running_factor - 1.0))
--- a/lapishaven/admission/request.py
+++ b/lapishaven/admission/request.py
@@ -25,6 +25,15 @@
     """Its run was preempted by the pools and is to go on later."""
 
 
+# Aliases for the request path: looking up an enum member by attribute is slow on Python 3.11.
+QUEUED = RequestState.QUEUED
+AWAITING_ORIGINAL = RequestState.AWAITING_ORIGINAL
+RUNNING = RequestState.RUNNING
+AWAITING_DEPENDENCY = RequestState.AWAITING_DEPENDENCY
+CALLING_DEPENDENCY = RequestState.CALLING_DEPENDENCY
+PAUSED = RequestState.PAUSED
+
+
 class TrackedRequest:
     """What the controller knows of one open request. Times are seconds of the host's clock."""
 
@@ -62,7 +71,7 @@
         )
         self.rank = 0.0  # its place among its caller's requests of the class, 0 to 1; low ranks are rejected first
         self.weight = 1.0  # priority weight, relative to the class with the least
-        self.state = RequestState.QUEUED
+        self.state = QUEUED
         self.state_since = 0.0
         self.has_run = False
         self.is_answered = False  # the answer has gone out, although its run has not ended
--- a/lapishaven/admission/request_ending.py
+++ b/lapishaven/admission/request_ending.py
@@ -6,7 +6,7 @@
 from lapishaven.admission.actions import Action, CancelRun, Fail, Reject, ReleaseKey
 from lapishaven.admission.events import Outcome, RunFinished
 from lapishaven.admission.rejection import Rejection
-from lapishaven.admission.request import RequestState, TrackedRequest
+from lapishaven.admission.request import AWAITING_ORIGINAL, CALLING_DEPENDENCY, PAUSED, QUEUED, RUNNING, TrackedRequest
 from lapishaven.admission.rules import AdmissionRules
 
 
@@ -21,7 +21,7 @@
 
     def reject(self, request: TrackedRequest, verdict: Rejection, now: float, actions: list[Action]) -> None:
         """Reject a request that never ran, with advice when to come back; fail any other."""
-        if request.has_run or request.state is not RequestState.QUEUED:
+        if request.has_run or request.state is not QUEUED:
             actions.append(Fail(request.request_id, verdict.reason))
         else:
             rules = self._rules
@@ -34,7 +34,7 @@
         """Nobody waits for the request any more: forget it, or cancel its run if the host can do that."""
         rules = self._rules
         state = request.state
-        if state in (RequestState.QUEUED, RequestState.AWAITING_ORIGINAL, RequestState.PAUSED):
+        if state in (QUEUED, AWAITING_ORIGINAL, PAUSED):
             if rules.reservations.release(request):
                 actions.append(ReleaseKey(request.request_id))
             self._table.remove(request)
@@ -44,9 +44,9 @@
         if request.is_answered:
             return
         request.is_answered = True
-        if state is RequestState.CALLING_DEPENDENCY:
+        if state is CALLING_DEPENDENCY:
             rules.dependency.add_lingering(now)
-        elif state is RequestState.RUNNING and rules.settings.cancellation is not None:
+        elif state is RUNNING and rules.settings.cancellation is not None:
             actions.append(CancelRun(request.request_id))
 
     def reject_expired(self, now: float, actions: list[Action]) -> None:
@@ -63,13 +63,13 @@
         was_cancelled = event.outcome is Outcome.CANCELLED and not request.is_answered
         if rules.pools is not None:
             if was_cancelled and rules.pools.requeue_preempted(now, request.request_id):
-                self._table.move(request, RequestState.PAUSED, now)
+                self._table.move(request, PAUSED, now)
                 return
             rules.pools.run_ended(now, request.request_id, succeeded)
-        if succeeded and request.state is RequestState.RUNNING and not request.is_answered:
+        if succeeded and request.state is RUNNING and not request.is_answered:
             rules.run_latency.record(request.class_index, event.elapsed)
         if was_cancelled:
-            self._table.move(request, RequestState.QUEUED, now)
+            self._table.move(request, QUEUED, now)
             self.reject(request, rejection.RUN_CANCELLED, now, actions)
         else:
             self._table.remove(request)
--- a/lapishaven/admission/request_table.py
+++ b/lapishaven/admission/request_table.py
@@ -3,7 +3,15 @@
 from __future__ import annotations
 
 from lapishaven.admission.memory_budget import MemoryBudget
-from lapishaven.admission.request import RequestState, TrackedRequest
+from lapishaven.admission.request import (
+    AWAITING_DEPENDENCY,
+    CALLING_DEPENDENCY,
+    PAUSED,
+    QUEUED,
+    RUNNING,
+    RequestState,
+    TrackedRequest,
+)
 
 
 class RequestTable:
@@ -33,7 +41,7 @@
         request.state_since = now
         self.counts[state] += 1
         self._memory.charge(request)
-        if state is RequestState.QUEUED:
+        if state is QUEUED:
             self.queued[request.request_id] = request
 
     def remove(self, request: TrackedRequest) -> None:
@@ -43,11 +51,11 @@
 
     def occupied_slots(self) -> int:
         """Requests whose run has started and is not paused, those at a dependency call included."""
-        return sum(self.counts[RequestState.RUNNING : RequestState.PAUSED])
+        return sum(self.counts[RUNNING:PAUSED])
 
     def at_dependency(self) -> int:
         """Requests whose run is suspended for a dependency call."""
-        return self.counts[RequestState.AWAITING_DEPENDENCY] + self.counts[RequestState.CALLING_DEPENDENCY]
+        return self.counts[AWAITING_DEPENDENCY] + self.counts[CALLING_DEPENDENCY]
 
     def _leave_state(self, request: TrackedRequest) -> None:
         self.counts[request.state] -= 1
--- a/lapishaven/simulator/codec.py
+++ b/lapishaven/simulator/codec.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
-from enum import IntEnum
 from struct import Struct
 from typing import Any
 
@@ -48,8 +47,8 @@
 ACTION_RECORD_SIZE = 16
 
 
-class EventCode(IntEnum):
-    """First byte of a record in a batch."""
+class EventCode:
+    """First byte of a record in a batch. Plain numbers: an enum costs too much for each record."""
 
     BORN = 10
     ARRIVAL = 20
@@ -63,7 +62,7 @@
     SELECT = 100
 
 
-class ActionCode(IntEnum):
+class ActionCode:
     """First byte of a record in a reply."""
 
     SERVE = 10
@@ -143,10 +142,10 @@
 
     ``gauge_names`` are those of the instance's settings.
     """
-    if code == EventCode.TIMER:
-        return _decode_timer(body, offset + 1, gauge_names)
     decoder = _EVENT_DECODERS.get(code)
-    return decoder(body, offset + 1) if decoder is not None else None
+    if decoder is not None:
+        return decoder(body, offset + 1)
+    return _decode_timer(body, offset + 1, gauge_names) if code == EventCode.TIMER else None
 
 
 def _decode_arrival(body: memoryview, offset: int) -> RequestArrived:
@@ -220,12 +219,12 @@
 
 
 _EVENT_DECODERS: dict[int, Callable[[memoryview, int], Event]] = {
-    int(EventCode.ARRIVAL): _decode_arrival,
-    int(EventCode.FINISHED): _decode_finished,
-    int(EventCode.NEEDS_DEP): _decode_needs_dep,
-    int(EventCode.DOWNSTREAM): _decode_downstream,
-    int(EventCode.WIND_DOWN): _decode_wind_down,
-    int(EventCode.EXPIRED): _decode_expired,
+    EventCode.ARRIVAL: _decode_arrival,
+    EventCode.FINISHED: _decode_finished,
+    EventCode.NEEDS_DEP: _decode_needs_dep,
+    EventCode.DOWNSTREAM: _decode_downstream,
+    EventCode.WIND_DOWN: _decode_wind_down,
+    EventCode.EXPIRED: _decode_expired,
 }
 
 
@@ -241,24 +240,53 @@
 _FOR = Struct(">BH13x")  # i
 
 
+def _request_encoder(code: int) -> Callable[[Any], bytes]:
+    """Encodes actions that carry a request id only."""
+    return lambda action: _CODE_XID.pack(code, action.request_id)
+
+
 def _encode_reject(action: Reject) -> bytes:
     return _REFUSE.pack(ActionCode.REFUSE, action.request_id, action.retry_after or 0.0, action.no_retry_elsewhere)
 
 
+def _encode_call(action: CallDependency) -> bytes:
+    return _CODE_XID_SECONDS.pack(ActionCode.CALL_DEP, action.request_id, action.timeout)
+
+
+def _encode_reserve_key(action: ReserveKey) -> bytes:
+    return _CODE_XID_SECONDS.pack(ActionCode.MEMO, action.request_id, action.ttl)
+
+
+def _encode_health(action: SetHealth) -> bytes:
+    return _FITNESS.pack(ActionCode.FITNESS, True, action.healthy)
+
+
+def _encode_load(action: PublishLoad) -> bytes:
+    return _HINT_OUT.pack(ActionCode.HINT_OUT, action.value)
+
+
+def _encode_idle_timeout(action: SetIdleTimeout) -> bytes:
+    return _TRIM_AFTER.pack(ActionCode.TRIM_AFTER, action.timeout)
+
+
+def _encode_timer(action: ScheduleTimer) -> bytes:
+    return _SCHEDULE.pack(ActionCode.SCHEDULE, action.delay, action.timer_id)
+
+
 _ACTION_ENCODERS: dict[type, Callable[[Any], bytes]] = {
-    StartRun: lambda action: _CODE_XID.pack(ActionCode.SERVE, action.request_id),
+    StartRun: _request_encoder(ActionCode.SERVE),
     Reject: _encode_reject,
-    Fail: lambda action: _CODE_XID.pack(ActionCode.SURRENDER, action.request_id),
-    CancelRun: lambda action: _CODE_XID.pack(ActionCode.STOP, action.request_id),
-    CallDependency: lambda action: _CODE_XID_SECONDS.pack(ActionCode.CALL_DEP, action.request_id, action.timeout),
-    SkipDependency: lambda action: _CODE_XID.pack(ActionCode.BYPASS, action.request_id),
-    ReserveKey: lambda action: _CODE_XID_SECONDS.pack(ActionCode.MEMO, action.request_id, action.ttl),
-    ReleaseKey: lambda action: _CODE_XID.pack(ActionCode.FORGET, action.request_id),
-    AwaitOriginal: lambda action: _CODE_XID.pack(ActionCode.ATTACH, action.request_id),
-    SetHealth: lambda action: _FITNESS.pack(ActionCode.FITNESS, True, action.healthy),
-    PublishLoad: lambda action: _HINT_OUT.pack(ActionCode.HINT_OUT, action.value),
-    SetIdleTimeout: lambda action: _TRIM_AFTER.pack(ActionCode.TRIM_AFTER, action.timeout),
-    ScheduleTimer: lambda action: _SCHEDULE.pack(ActionCode.SCHEDULE, action.delay, action.timer_id),
+    Fail: _request_encoder(ActionCode.SURRENDER),
+    CancelRun: _request_encoder(ActionCode.STOP),
+    CallDependency: _encode_call,
+    SkipDependency: _request_encoder(ActionCode.BYPASS),
+    ReserveKey: _encode_reserve_key,
+    ReleaseKey: _request_encoder(ActionCode.FORGET),
+    AwaitOriginal: _request_encoder(ActionCode.ATTACH),
+    SetHealth: _encode_health,
+    PublishLoad: _encode_load,
+    SetIdleTimeout: _encode_idle_timeout,
+    ScheduleTimer: _encode_timer,
 }
 
 
@@ -296,7 +324,7 @@
         header = REPLY_HEADER.pack(number, len(self._records), size)
         return b"".join((header, *self._records, *self._tail))
 
-    def _add_text(self, code: ActionCode, text: str) -> None:
+    def _add_text(self, code: int, text: str) -> None:
         data = text.encode("utf-8", "replace")
         self._records.append(_CODE_TEXT.pack(code, self._tail_size, len(data)))
         self._tail.append(data)
