--- a/lapishaven/admission/actions.py
+++ b/lapishaven/admission/actions.py
@@ -1,4 +1,7 @@
-"""Actions that the controller asks its host to carry out. Times are seconds."""
+"""Actions that the controller asks its host to carry out.
+
+Times are seconds. An action on a request that has ended does nothing.
+"""
 
 from __future__ import annotations
 
@@ -7,107 +10,128 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRun:
-    """Start, or take up again, a request."""
+    """Start the run of a request, or resume it after a pause."""
 
     request_id: int
+    """The request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Turn away a request that never ran; ``reason`` is for people, not for callers."""
+    """Answer a request that never ran with a rejection; it may be retried."""
 
     request_id: int
+    """The request."""
     reason: str
+    """For people and counters, not for callers."""
     retry_after: float | None = None
+    """Seconds for which the caller is to stay away; ``None`` if it is not told any."""
     no_retry_elsewhere: bool = False
+    """Whether the caller is asked not to retry at another instance."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Answer with an error, with no promise."""
+    """Answer a request with an error. It may have run and had its effect."""
 
     request_id: int
+    """The request."""
     reason: str
+    """For people and counters, not for callers."""
 
 
 @dataclass(frozen=True, slots=True)
 class CancelRun:
-    """Stop running work."""
+    """Cancel a run, as ``Settings.cancellation`` says; its end comes as ``RunFinished``."""
 
     request_id: int
+    """The request."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallDependency:
-    """Make the call that a request stands at."""
+    """Make the dependency call that a request needs; its end comes as ``DependencyCallFinished``."""
 
     request_id: int
+    """The request."""
     timeout: float
+    """Seconds after which the call is given up."""
 
 
 @dataclass(frozen=True, slots=True)
 class SkipDependency:
-    """Leave the call out and finish with a poorer answer."""
+    """Go on without the dependency call and give a degraded answer."""
 
     request_id: int
+    """The request."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReserveKey:
-    """Put a request in the table of keys."""
+    """Enter a request in the idempotency key table, before its run."""
 
     request_id: int
+    """The request."""
     ttl: float
+    """Seconds for which the entry is kept."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseKey:
-    """Drop a request's entry in the table of keys."""
+    """Remove the entry of a request that never ran from the idempotency key table."""
 
     request_id: int
+    """The request."""
 
 
 @dataclass(frozen=True, slots=True)
 class AwaitOriginal:
-    """Serve a repeat from its forerunner's result."""
+    """Answer a duplicate with the result of the request that it repeats."""
 
     request_id: int
+    """The request."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetHealth:
-    """How health checks are answered from now on."""
+    """Answer health checks in this way from now on."""
 
     healthy: bool
+    """Whether the checks pass."""
 
 
 @dataclass(frozen=True, slots=True)
 class PublishLoad:
-    """The level, window or weight told to callers from now on."""
+    """Tell callers of the load from now on."""
 
     value: float
+    """A level, window or weight, as ``Settings.load_signal`` says."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetIdleTimeout:
-    """How long an unused connection may stay open."""
+    """Close connections that are idle for so long."""
 
     timeout: float
+    """Seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduleTimer:
-    """Ask for a ``Poll`` after a span."""
+    """Send a ``LoadSample`` after a time."""
 
     delay: float
+    """Seconds."""
     timer_id: int
+    """Comes back with the sample."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for on-call staff."""
+    """Write a line for the operators."""
 
     text: str
+    """The line, without its end."""
 
 
 Action = (
