--- a/lapishaven/config/node.py
+++ b/lapishaven/config/node.py
@@ -10,7 +10,7 @@
 
 from lapishaven.admission import RequestClass, Settings
 from lapishaven.config.values import Address, ConfigError, parse_address, positive_number, read_text
-from lapishaven.simulator import codec
+from lapishaven.proto.admission_settings import SettingsError, parse_settings
 
 MIN_DESCRIPTORS = 64
 FIRST_FREE_DESCRIPTOR = 3  # after standard input, output and error
@@ -104,9 +104,9 @@
 def _parse_settings(value: Any) -> tuple[Settings, tuple[str, ...]]:
     """The settings and the names of the gauges."""
     try:
-        settings, gauges = codec.settings(json.dumps(value).encode())
-    except codec.WireError as error:
-        raise ConfigError(str(error).replace("BORN profile-data: ", "settings: ")) from None
+        settings, gauges = parse_settings(json.dumps(value))
+    except SettingsError as error:
+        raise ConfigError(f"settings: {error}") from None
     _check_classes(settings.classes)
     return settings, gauges
 
