--- a/lapishaven/core/__init__.py
+++ b/lapishaven/core/__init__.py
@@ -1,4 +1,4 @@
-"""The core: requests, attempts and answers. It knows no wire, no socket and no clock."""
+"""Requests, attempts and answers, independent of protocols, sockets and clocks."""
 
 from lapishaven.core.broker import Broker
 from lapishaven.core.requests import Answer, AnswerKind, Submission
--- a/lapishaven/core/contracts.py
+++ b/lapishaven/core/contracts.py
@@ -1,11 +1,17 @@
-"""Contracts between teams' services and this broker: what they may ask for, how much of it, and by when."""
+"""Contracts between teams' services and this server: what they may request, how much of it, and by when."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
-Party = tuple[str, str, int]  # team, service, class
+
+class Party(NamedTuple):
+    """Whom a contract is with, and about which class."""
+
+    team: str
+    service: str
+    class_index: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -14,51 +20,78 @@
 
     team: str
     service: str
-    cls: int
-    deadline: float  # seconds; never past the class's own
-    route: str  # the backend that runs it
-    rate: float  # requests a second that the budget is refilled with
-    burst: float  # requests that it holds at most
+    cls: int  # the class's place in the settings
+    deadline: float  # seconds; never beyond the class's own
+    route: str  # name of the backend that runs it
+    rate: float  # requests a second by which the budget is refilled
+    burst: float  # requests that the budget holds at most
+
+    @property
+    def party(self) -> Party:
+        """The key under which it is found."""
+        return Party(self.team, self.service, self.cls)
 
 
 @dataclass(frozen=True, slots=True)
 class Denied:
-    """Why a request does not come before the module, and when it may."""
+    """Why a request does not reach the controller, and when a retry may."""
 
     reason: str
-    wait: float | None  # None: waiting does not help
+    retry_after: float | None  # seconds; None: a retry does not help
 
 
 class Budgets(Protocol):
-    """Budgets that are dealt from elsewhere, for the contracts that it knows."""
+    """Budgets that are allotted outside this process, for the contracts that it knows."""
 
     def take_budget(self, now: float, contract: Contract) -> float:
-        """Charge one request: below 0 if this contract is not dealt, 0 if it may go, else seconds until it might."""
+        """Charge one request.
+
+        Returns a number below 0 if the contract has no allotted budget, 0 if the request may pass, else the seconds
+        until one might.
+        """
+
+
+@dataclass(slots=True)
+class _Bucket:
+    """The state of one token bucket: the tokens (requests) that were left at a time in seconds."""
+
+    updated_at: float
+    tokens: float
 
 
 class Contracts:
-    """The book of contracts with each one's budget: a token bucket, or what ``budgets`` says where that deals it."""
+    """All contracts, each with its budget: a token bucket, or what ``budgets`` says where that allots it."""
 
     def __init__(self, contracts: list[Contract], budgets: Budgets | None = None) -> None:
-        self._dealt = budgets
-        self._book = {(c.team, c.service, c.cls): c for c in contracts}
-        self._budget: dict[Party, tuple[float, float]] = {}  # when, and what was left then
+        self._allotted = budgets
+        self._contracts = {contract.party: contract for contract in contracts}
+        self._buckets: dict[Party, _Bucket] = {}
 
     def inherit(self, old: Contracts) -> None:
-        """Take over what is left of the budgets, so that a reload is no refill."""
-        self._budget = {party: left for party, left in old._budget.items() if party in self._book}
+        """Take over the budgets of the contracts before a reload, so that a reload does not refill them."""
+        self._buckets = {party: bucket for party, bucket in old._buckets.items() if party in self._contracts}
 
     def admit(self, now: float, party: Party) -> Contract | Denied:
-        """The contract that covers a request, whose budget is then charged with it."""
-        contract = self._book.get(party)
+        """The contract that covers a request, whose budget is charged with it; or why it is denied."""
+        contract = self._contracts.get(party)
         if contract is None:
             return Denied("no contract", None)
-        if self._dealt is not None and (wait := self._dealt.take_budget(now, contract)) >= 0.0:
-            return Denied("over budget", wait) if wait > 0.0 else contract
-        since, left = self._budget.get(party, (now, contract.burst))
-        left = min(contract.burst, left + contract.rate * (now - since))
-        if left < 1.0:
-            self._budget[party] = now, left
-            return Denied("over budget", (1.0 - left) / contract.rate)
-        self._budget[party] = now, left - 1.0
+        if self._allotted is not None:
+            wait = self._allotted.take_budget(now, contract)
+            if wait > 0.0:
+                return Denied("over budget", wait)
+            if wait == 0.0:
+                return contract
+        return self._take_token(now, party, contract)
+
+    def _take_token(self, now: float, party: Party, contract: Contract) -> Contract | Denied:
+        """Charge the contract's token bucket."""
+        bucket = self._buckets.get(party)
+        if bucket is None:
+            bucket = self._buckets[party] = _Bucket(now, contract.burst)
+        bucket.tokens = min(contract.burst, bucket.tokens + contract.rate * (now - bucket.updated_at))
+        bucket.updated_at = now
+        if bucket.tokens < 1.0:
+            return Denied("over budget", (1.0 - bucket.tokens) / contract.rate)
+        bucket.tokens -= 1.0
         return contract
--- a/lapishaven/core/deduplication.py
+++ b/lapishaven/core/deduplication.py
@@ -1,4 +1,4 @@
-"""The single-execution guard: a name is claimed once, and remembered for as long as a try may return."""
+"""Remembers which names were used, so that nothing is started twice under one name."""
 
 from __future__ import annotations
 
@@ -8,41 +8,41 @@
 
 
 class AttemptRegistry:
-    """Remembers what was started. A name is forgotten ``life`` seconds after it was claimed, or after the life that
-    its claim gave.
+    """Claimed names. Each is forgotten ``retention`` seconds after it was claimed, unless its claim says otherwise.
 
-    Nothing is forgotten early to make room: when ``limit`` names are there, no new one can be claimed.
+    Nothing is forgotten early to make room: with ``limit`` names in the registry no further one may be claimed.
     """
 
-    def __init__(self, life: float, limit: int) -> None:
-        self.life, self.limit = life, limit
-        self._claimed: dict[Hashable, float] = {}  # until when
-        self._ends: list[tuple[float, int, Hashable]] = []
-        self._order = count()
+    def __init__(self, retention: float, limit: int) -> None:
+        self.retention = retention
+        self.limit = limit
+        self._claimed: dict[Hashable, float] = {}  # by name, until when
+        self._expiries: list[tuple[float, int, Hashable]] = []  # heap; the number keeps names from being compared
+        self._sequence = count()
 
     def expire(self, now: float) -> None:
-        """Forget what is past its life."""
-        while self._ends and self._ends[0][0] <= now:
-            until, _, name = heappop(self._ends)
+        """Forget the names whose retention has passed."""
+        while self._expiries and self._expiries[0][0] <= now:
+            until, _, name = heappop(self._expiries)
             if self._claimed.get(name) == until:
                 del self._claimed[name]
 
-    def full(self, now: float) -> bool:
-        """Whether no further name can be claimed; forgets what is past its life."""
+    def is_full(self, now: float) -> bool:
+        """Whether no further name may be claimed; forgets those whose retention has passed."""
         self.expire(now)
         return len(self._claimed) >= self.limit
 
-    def claim(self, now: float, name: Hashable, life: float | None = None) -> None:
-        """Take a name, which is neither claimed nor beyond the limit."""
-        until = now + (self.life if life is None else life)
+    def claim(self, now: float, name: Hashable, retention: float | None = None) -> None:
+        """Claim a name, which is not claimed yet, in a registry that is not full; ``retention`` in seconds."""
+        until = now + (self.retention if retention is None else retention)
         self._claimed[name] = until
-        heappush(self._ends, (until, next(self._order), name))
+        heappush(self._expiries, (until, next(self._sequence), name))
 
     def release(self, name: Hashable) -> None:
-        """For what provably never ran."""
+        """Forget a name whose run provably did nothing."""
         self._claimed.pop(name, None)
 
-    def claimed(self, name: Hashable) -> bool:
+    def is_claimed(self, name: Hashable) -> bool:
         """Whether the name was claimed and is still remembered."""
         return name in self._claimed
 
--- a/lapishaven/core/execution_guard.py
+++ b/lapishaven/core/execution_guard.py
@@ -1,4 +1,4 @@
-"""What keeps a request from being run: its try or its effect was run before, or it came too late."""
+"""Keeps a request from being run twice: its attempt, or its effect, may have been run before."""
 
 from __future__ import annotations
 
@@ -6,48 +6,58 @@
 from lapishaven.core.deduplication import AttemptRegistry
 from lapishaven.core.requests import Answer, AnswerKind, Submission
 
-ONCE_LIFE = 900.0  # s for a key; far longer than any caller keeps a try
-TRY_LIFE = 75.0  # s for a try's name: a copy bears its time, and one from over a minute ago is an error
-CLOCK_SLACK = 1.0  # s by which callers' clocks and what is under way may stretch a window
-FULL_WAIT = 1.0  # s to keep away where there is no room to remember a run
-NAME_PART = 2048  # bytes of the memory for each name that may be remembered: one takes some 200, so a tenth
+EFFECT_RETENTION_S = 900.0  # far longer than any caller goes on with its retries
+ATTEMPT_RETENTION_S = 75.0  # a copy carries the time of the original, and one from over a minute ago is malformed
+CLOCK_SLACK_S = 1.0  # by which callers' clocks and messages on their way may stretch an idempotency window
+FULL_RETRY_AFTER_S = 1.0  # Retry-After where there is no room to remember a run
+MEMORY_BYTES_PER_NAME = 2048  # of the process's memory for each name; one takes about 200, so a tenth is used at most
 
 
 class ExecutionGuard:
-    """Remembers the tries and the effects that were started, those of classes that may not be run twice."""
+    """Remembers which attempts and effects were started, of the classes that are not idempotent.
 
-    def __init__(self, memory: int) -> None:
-        self.tries = AttemptRegistry(TRY_LIFE, memory // NAME_PART)
-        self.effects = AttemptRegistry(ONCE_LIFE, memory // NAME_PART)
+    An attempt is known by its id, an effect by its class and idempotency key.
+    """
 
-    def refuse_duplicate(self, now: float, sub: Submission, settings: Settings) -> Answer | None:
-        """The answer that takes the place of a run; else its try is claimed, and its effect where it has a key."""
-        if settings.classes[sub.class_index].idempotency is Idempotency.IDEMPOTENT:
+    def __init__(self, memory: int) -> None:
+        """``memory`` is the process's memory in bytes."""
+        limit = memory // MEMORY_BYTES_PER_NAME
+        self.attempts = AttemptRegistry(ATTEMPT_RETENTION_S, limit)
+        self.effects = AttemptRegistry(EFFECT_RETENTION_S, limit)
+
+    def refuse_duplicate(self, now: float, submission: Submission, settings: Settings) -> Answer | None:
+        """The answer that takes the place of a run; ``None`` if it may run, and then it is remembered as started."""
+        if settings.classes[submission.class_index].idempotency is Idempotency.IDEMPOTENT:
             return None
-        effect = (sub.class_index, sub.idempotency_key)
+        has_key = submission.idempotency_key is not None
+        effect = (submission.class_index, submission.idempotency_key)
         self.effects.expire(now)
-        if self.tries.claimed(sub.attempt_id) or sub.idempotency_key is not None and self.effects.claimed(effect):
+        if self.attempts.is_claimed(submission.attempt_id) or (has_key and self.effects.is_claimed(effect)):
             return Answer(AnswerKind.FAILED, reason="it ran before")
-        if self.tries.full(now) or sub.idempotency_key is not None and self.effects.full(now):
-            return Answer(AnswerKind.REJECTED, reason="no room to remember its run", retry_after=FULL_WAIT)
-        self.tries.claim(now, sub.attempt_id)
-        if sub.idempotency_key is not None:
-            self.effects.claim(now, effect, self._life(settings, sub.class_index))
+        if self.attempts.is_full(now) or (has_key and self.effects.is_full(now)):
+            return Answer(AnswerKind.REJECTED, reason="no room to remember its run", retry_after=FULL_RETRY_AFTER_S)
+        self.attempts.claim(now, submission.attempt_id)
+        if has_key:
+            self.effects.claim(now, effect, self._effect_retention(settings, submission.class_index))
         return None
 
-    def release(self, sub: Submission) -> None:
-        """It provably never ran."""
-        self.tries.release(sub.attempt_id)
-        self.effects.release((sub.class_index, sub.idempotency_key))
-
-    def remember(self, when: float, cls: int, key: str) -> None:
-        """An effect that was started at that time, before this guard was there."""
-        self.effects.claim(when, (cls, key))
-
-    def _life(self, settings: Settings, cls: int) -> float:
-        """For how long a repeat of what is started now may come: where the settings name the class's window, which
-        counts from the arrival of the try that runs, that and the time for which it may have waited."""
-        spec = settings.classes[cls]
-        if spec.idempotency is Idempotency.WITH_KEY and spec.idempotency_window is not None:
-            return spec.idempotency_window + spec.deadline + CLOCK_SLACK
-        return self.effects.life
+    def release(self, submission: Submission) -> None:
+        """Forget a run that provably did nothing."""
+        self.attempts.release(submission.attempt_id)
+        self.effects.release((submission.class_index, submission.idempotency_key))
+
+    def remember(self, started_at: float, class_index: int, key: str) -> None:
+        """Note an effect that an earlier process started."""
+        self.effects.claim(started_at, (class_index, key))
+
+    def _effect_retention(self, settings: Settings, class_index: int) -> float:
+        """Seconds for which a duplicate of an effect that starts now may still arrive.
+
+        The class's idempotency window, where it has one, counts from the arrival of the attempt that runs, which may
+        have been queued for up to the class's deadline.
+        """
+        request_class = settings.classes[class_index]
+        window = request_class.idempotency_window
+        if request_class.idempotency is Idempotency.WITH_KEY and window is not None:
+            return window + request_class.deadline + CLOCK_SLACK_S
+        return self.effects.retention
--- a/lapishaven/core/outcome_metrics.py
+++ b/lapishaven/core/outcome_metrics.py
@@ -5,7 +5,11 @@
 from lapishaven.admission import Outcome
 from lapishaven.core.requests import AnswerKind
 
-FULFILLED, THROTTLED, FAULTED, RELAYED = "fulfilled", "throttled", "faulted", "relayed"
+# Groups of counters by request class.
+FULFILLED = "fulfilled"  # requests that were served
+THROTTLED = "throttled"  # requests that were rejected, and never ran
+FAULTED = "faulted"  # requests that failed
+RELAYED = "relayed"  # runs that were handed to the backend
 
 GROUP = {
     AnswerKind.SERVED: FULFILLED,
@@ -14,6 +18,7 @@
     AnswerKind.FAILED: FAULTED,
     AnswerKind.DEADLINE_EXCEEDED: FAULTED,
 }
+"""The group that counts an answer of each kind."""
 
 OUTCOME_LABELS = {
     Outcome.OK: "ok",
@@ -25,3 +30,4 @@
     Outcome.CANCELLED: "cancelled",
     Outcome.OBSOLETE: "moot",
 }
+"""The word for each outcome of an attempt in counters, logs and reasons."""
--- a/lapishaven/core/ports.py
+++ b/lapishaven/core/ports.py
@@ -1,4 +1,8 @@
-"""Ports through which the core reaches backends, stores, the fleet and the server."""
+"""Ports through which the core reaches backends, stores, the fleet and the server.
+
+Everything here is called on the event loop's thread. No method may block; one that starts something slow returns at
+once and reports the end later, on the same thread.
+"""
 
 from __future__ import annotations
 
@@ -6,89 +10,173 @@
 from enum import Enum
 from typing import Protocol
 
+from lapishaven.admission import Outcome
 from lapishaven.core.contracts import Contract
-from lapishaven.core.requests import Answer, Submission
+from lapishaven.core.requests import Answer, AnswerKind, Submission
 
 
 class Reply(Protocol):
     """Where one request's answer goes."""
 
-    def __call__(self, answer: Answer) -> None: ...
+    def __call__(self, answer: Answer) -> None:
+        """Send the answer to the caller. Called at most once; never blocks."""
 
 
 class Backend(Protocol):
-    """What runs requests."""
+    """Runs attempts. The end of each is reported through ``Broker.run_finished``; no method blocks or raises."""
+
+    def start(self, handle: str, cls: str, body: bytes, once: bool) -> None:
+        """Start attempt ``handle`` of class ``cls``; with ``once`` it must never be sent a second time."""
+
+    def pause(self, handle: str) -> None:
+        """Stop a running attempt; it ends as cancelled unless it ended by itself before."""
 
-    def start(self, handle: str, cls: str, body: bytes, once: bool) -> None: ...
-    def pause(self, handle: str) -> None: ...
-    def resume(self, handle: str) -> None: ...
-    def gauges(self) -> None: ...
+    def resume(self, handle: str) -> None:
+        """Let an attempt that was paused go on."""
+
+    def gauges(self) -> None:
+        """Request a load sample, which arrives through ``Broker.load_sampled`` or not at all."""
 
 
 class AttemptRecorder(Protocol):
-    """What keeps a record of starts and answers."""
+    """Is notified of every start and every answer, to record them outside the core. No method blocks."""
+
+    def run_started(self, submission: Submission) -> None:
+        """Its run is about to be handed to the backend."""
+
+    def run_disproved(self, submission: Submission, outcome: Outcome) -> None:
+        """The run that was started provably did nothing."""
+
+    def answered(self, submission: Submission, kind: AnswerKind) -> None:
+        """It gets its answer."""
+
+
+class NullAttemptRecorder:
+    """Records nothing."""
 
-    def __call__(self, event: str, sub: Submission, detail: str) -> None: ...
+    def run_started(self, submission: Submission) -> None:
+        """Do nothing."""
+
+    def run_disproved(self, submission: Submission, outcome: Outcome) -> None:
+        """Do nothing."""
+
+    def answered(self, submission: Submission, kind: AnswerKind) -> None:
+        """Do nothing."""
+
+
+class EffectState(Enum):
+    """What a result store knows of an effect."""
+
+    UNKNOWN = "unknown"  # it never ran, as far as the store remembers
+    IN_PROGRESS = "in progress"  # this process has recorded its intent and not yet its end
+    UNCERTAIN = "uncertain"  # it may have run, and there is no result
+    DONE = "done"  # it ran, and its result is stored
 
 
 class KnownEffect(Protocol):
-    """What is known of an effect."""
+    """An effect as a result store knows it."""
 
     @property
-    def result(self) -> bytes: ...
+    def effect_state(self) -> EffectState:
+        """What is known of it."""
+
     @property
-    def state(self) -> Enum: ...
+    def result(self) -> bytes:
+        """The stored result; empty unless the state is ``DONE``."""
+
+
+class IntentOutcome(Enum):
+    """Whether the intent to run a request was made durable."""
+
+    RECORDED = "recorded"
+    NOT_RECORDED = "not recorded"
+
+
+IntentCallback = Callable[[IntentOutcome | KnownEffect], None]
+"""Receives the outcome; or the effect, where another process has run it or may have."""
 
 
 class ResultStore(Protocol):
-    """What keeps keyed results beyond this process's life."""
+    """Keeps the results of requests with idempotency keys beyond this process's life (a write-ahead record)."""
+
+    def find(self, cls: str, key: str) -> KnownEffect:
+        """What is known in memory of the effect ``key`` of class ``cls``. Never blocks."""
+
+    def record_intent(self, cls: str, key: str, sub: Submission, then: IntentCallback) -> float | None:
+        """Begin to make the intent durable; ``then`` is called once it is, or cannot be.
 
-    def find(self, cls: str, key: str) -> KnownEffect: ...
-    def record_intent(
-        self, cls: str, key: str, sub: Submission, then: Callable[[bool | KnownEffect], None]
-    ) -> float | None: ...
-    def record_result(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None: ...
-    def record_failure(self, cls: str, key: str) -> None: ...
-    def cancel_intent(self, cls: str, key: str) -> None: ...
+        Returns ``None``; or, where it is not even tried, the seconds for which the caller should keep away, and then
+        ``then`` is not called. Never blocks.
+        """
+
+    def record_result(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None:
+        """Begin to make the result durable; ``then`` is called with whether it is. Never blocks."""
+
+    def record_failure(self, cls: str, key: str) -> None:
+        """The run gave no result, though it may have had its effect. Never blocks."""
+
+    def cancel_intent(self, cls: str, key: str) -> None:
+        """The run provably never happened: its key is free again. Never blocks."""
 
 
 class DurableResultStore(ResultStore, Protocol):
-    """One that works off the event path: ``told`` is to be called there when ``ready`` has something to read.
-    ``label`` heads its gauges."""
+    """A result store that writes off the event path and reports back through a descriptor."""
 
-    label: str
+    label: str  # the group of its figures among the counters
 
     @property
-    def ready(self) -> int: ...
-    def process_completions(self) -> None: ...
-    def uncertain_effects(self) -> list[tuple[str, str, float]]: ...
-    def state(self) -> dict[str, int]: ...
-    def close(self) -> None: ...
+    def ready(self) -> int:
+        """The descriptor that is readable when ``process_completions`` has something to do."""
+
+    def process_completions(self) -> None:
+        """Call the callbacks of all writes that have ended. Never blocks."""
+
+    def uncertain_effects(self) -> list[tuple[str, str, float]]:
+        """Class, key and age in seconds of each effect that an earlier process may have run."""
+
+    def state(self) -> dict[str, int]:
+        """Its figures by name, for operators."""
+
+    def close(self) -> None:
+        """Finish the writes that were begun and release the store. May block for a moment, at the process's end."""
 
 
 class FleetMember(Protocol):
     """This process's part in work that belongs to the whole fleet."""
 
     def request_served(self, team: str | None, cls: str, worth: float, key: str | None) -> None:
-        """A request was answered as served; ``key`` names its effect, where it has one. Never waits."""
+        """A request was answered as served.
+
+        ``worth`` is its class's priority weight; ``key`` names its effect, where it has one. Never blocks.
+        """
 
-    def take_budget(self, now: float, contract: Contract) -> float: ...
     def request_not_served(self, refused: bool) -> None:
-        """A request was answered otherwise. Never waits."""
+        """A request was answered otherwise; ``refused`` if it never ran. Never blocks."""
+
+    def take_budget(self, now: float, contract: Contract) -> float:
+        """Charge one request, as ``contracts.Budgets`` has it. Never blocks."""
 
     def set_overloaded(self, so: bool) -> None:
-        """The module says that it reads too late for every aim, or that it does not any more. Never waits."""
+        """Whether the controller reports the server as unhealthy under its load. Never blocks."""
+
+    def state(self) -> dict[str, int]:
+        """Its figures by name, for operators."""
 
-    def state(self) -> dict[str, int]: ...
     def drain(self) -> None:
-        """The notice to leave came: hand over what is owned. Never waits."""
+        """The server shuts down: transfer what is owned. Never blocks."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """End its work. May block for a moment, at the process's end."""
 
 
 class ModuleListener(Protocol):
-    """What the module tells the outside apart from answers."""
+    """Receives what the controller decides apart from answers. No method blocks."""
+
+    def set_health(self, good: bool) -> None:
+        """Whether health checks are to be answered as healthy from now on."""
+
+    def set_idle_timeout(self, span: float) -> None:
+        """Seconds for which an unused connection may stay open; 0 for the default."""
 
-    def set_health(self, good: bool) -> None: ...
-    def set_idle_timeout(self, span: float) -> None: ...
-    def log_remark(self, text: str) -> None: ...
+    def log_remark(self, text: str) -> None:
+        """Log a line for the staff on call."""
--- /dev/null
+++ b/lapishaven/core/request_lifecycle.py
@@ -0,0 +1,123 @@
+"""How a request is answered, and how it leaves the table: each in one place, for all parts of the core."""
+
+from __future__ import annotations
+
+from lapishaven.admission import Event, Outcome, RunFinished
+from lapishaven.core import outcome_metrics
+from lapishaven.core.active_settings import ActiveSettings
+from lapishaven.core.idempotency_keys import IdempotencyKeyTable
+from lapishaven.core.ports import AttemptRecorder, Reply
+from lapishaven.core.request_table import RequestTable
+from lapishaven.core.requests import WITHOUT_RUN, Answer, AnswerKind, Request, RequestState, Submission
+from lapishaven.counters import Counters
+
+NEVER_RAN_RETRY_AFTER_S = 1.0  # Retry-After where the backend is unreachable or full, or the server shuts down
+
+
+class RequestLifecycle:
+    """Answers requests once, removes them from the table once, and serves duplicates from their originals."""
+
+    def __init__(
+        self,
+        settings: ActiveSettings,
+        table: RequestTable,
+        keys: IdempotencyKeyTable,
+        recorder: AttemptRecorder,
+        counters: Counters,
+        events: list[Event],
+    ) -> None:
+        """``events`` is the queue of what the controller is to be told."""
+        self._settings = settings
+        self._table = table
+        self._keys = keys
+        self._recorder = recorder
+        self._counters = counters
+        self._events = events
+
+    def answer(self, request: Request, answer: Answer) -> None:
+        """Answer a request, unless it was answered or its caller has gone.
+
+        This is the only place that takes a request's ``reply``, so there is no second answer.
+        """
+        reply = request.reply
+        request.reply = None
+        if reply is not None:
+            self.send(request.submission, reply, answer)
+
+    def send(self, submission: Submission, reply: Reply, answer: Answer) -> None:
+        """Count, record and send an answer; called directly for submissions that never enter the table."""
+        self._counters.add("answers", answer.kind.value)
+        self._counters.add(outcome_metrics.GROUP[answer.kind], self._settings.class_of(submission).name)
+        self._recorder.answered(submission, answer.kind)
+        reply(answer)
+
+    def close(self, request: Request, result: bytes | None = None) -> None:
+        """Remove a request from the table: the only place that does. ``result`` is that of a run that ended well.
+
+        The key of a request that never ran is freed here, since the controller releases it only after the request has
+        left the table.
+        """
+        if request.state is RequestState.CLOSED:
+            return
+        request.state = RequestState.CLOSED
+        self._table.remove(request)
+        submission = request.submission
+        if submission.idempotency_key is not None:
+            key = (submission.class_index, submission.idempotency_key)
+            if request.ran:
+                self._keys.close(key, request.request_id, result)
+            else:
+                self._keys.release(key, request.request_id)
+        for duplicate_id in request.duplicate_ids:
+            duplicate = self._table.requests.get(duplicate_id)
+            if duplicate is not None:
+                self._answer_duplicate(duplicate, result, request.ran)
+
+    def close_unless_running(self, request: Request) -> None:
+        """Close a request that was answered or cancelled, unless the end of its run or of a write is still to come."""
+        if request.state in WITHOUT_RUN:
+            self.close(request)
+
+    def end_without_run(self, request: Request, answer: Answer, result: bytes | None = None) -> None:
+        """Answer and close a request that the controller wanted to run and that was not run here."""
+        self.answer(request, answer)
+        self._events.append(RunFinished(request.request_id, 0.0, Outcome.OBSOLETE))
+        self.close(request, result)
+
+    # ---- Duplicates
+    def has_waiting_duplicate(self, request: Request) -> bool:
+        """Whether the caller of a duplicate waits for the request's result."""
+        duplicates = (self._table.requests.get(request_id) for request_id in request.duplicate_ids)
+        return any(duplicate is not None and duplicate.reply is not None for duplicate in duplicates)
+
+    def attach_to_original(self, now: float, request: Request) -> None:
+        """Have a duplicate wait for the result of its original, or answer it if that is known already."""
+        key = request.submission.idempotency_key
+        assert request.duplicate_of is not None and key is not None
+        request.state = RequestState.ATTACHED
+        original = self._table.requests.get(request.duplicate_of)
+        entry = self._keys.find((request.submission.class_index, key), now)
+        if original is not None and original.state is not RequestState.CLOSED:
+            original.duplicate_ids.append(request.request_id)
+            return
+        is_entry_of_original = entry is not None and entry.request_id == request.duplicate_of
+        self._answer_duplicate(request, entry.result if entry is not None and is_entry_of_original else None)
+
+    def _answer_duplicate(self, request: Request, result: bytes | None, original_ran: bool = True) -> None:
+        """Answer a duplicate as its original ended; it is rejected only if that provably never ran."""
+        if request.state is not RequestState.ATTACHED:
+            return
+        outcome = Outcome.ERROR if result is None else Outcome.OK
+        self._events.append(RunFinished(request.request_id, 0.0, outcome))
+        if not original_ran:
+            answer = Answer(
+                AnswerKind.REJECTED,
+                reason="the first try of it never ran",
+                retry_after=NEVER_RAN_RETRY_AFTER_S,
+            )
+        elif result is None:
+            answer = Answer(AnswerKind.FAILED, reason="the first try of it gave no result")
+        else:
+            answer = Answer(AnswerKind.SERVED, result)
+        self.answer(request, answer)
+        self.close(request)
--- a/lapishaven/core/requests.py
+++ b/lapishaven/core/requests.py
@@ -11,13 +11,13 @@
 
 
 class AnswerKind(Enum):
-    """How a request was answered."""
+    """How a request was answered. The values are counted and logged, so they are part of the interface."""
 
     SERVED = "served"
-    REJECTED = "refused"  # this try never ran and never will
-    FAILED = "failed"
-    DEADLINE_EXCEEDED = "due"  # failed as its due time came
-    FORBIDDEN = "denied"  # no contract covers it; it never ran, and trying again does not help
+    REJECTED = "refused"  # this attempt never ran and never will, so it is safe to retry
+    FAILED = "failed"  # it may have run
+    DEADLINE_EXCEEDED = "due"  # failed because its deadline passed
+    FORBIDDEN = "denied"  # no contract covers it; it never ran, and a retry does not help
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,55 +25,61 @@
     """The one final answer to a request."""
 
     kind: AnswerKind
-    body: bytes = b""
-    reason: str = ""
-    retry_after: float | None = None  # seconds to keep away
-    no_retry_elsewhere: bool = False  # no other server should be tried
+    body: bytes = b""  # the result of the run; empty unless the request was served
+    reason: str = ""  # for people; empty if it was served
+    retry_after: float | None = None  # seconds for which the caller should keep away; None: no advice
+    no_retry_elsewhere: bool = False  # whether a retry on another server would only add load
 
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A request as a front read it."""
+    """One attempt of a request, as a frontend read it."""
 
-    attempt_id: str  # the name under which the backend runs it
-    class_index: int
+    attempt_id: str  # unique name under which the backend runs it
+    class_index: int  # its class's place in the settings
     body: bytes
-    memory_kb: float
-    rank: float = 0.0
-    age: float = 0.0
-    caller_id: int = 0
-    is_retry: bool = False
+    memory_kb: float  # memory that it is expected to occupy while it is queued
+    rank: float = 0.0  # the caller's priority within the class; higher goes first
+    age: float = 0.0  # seconds since the caller sent it, by the caller's or the gateway's clock; may be negative
+    caller_id: int = 0  # number of the caller; 0 where the protocol names none
+    is_retry: bool = False  # whether the caller marked it as a retry
     is_write: bool = False
-    subject: int | None = None
-    idempotency_key: str | None = None  # names the effect, where the front's protocol has such a key
-    team: str | None = None  # whose contract it comes under; None where the front's protocol names no team
-    service: str = ""
-    time_left: float | None = None  # seconds from its arrival for which its caller waits; None: its class's deadline
-    body_digest: bytes | None = None  # of what is asked, where a key must always stand for the same
-    tenant_index: int = 0  # its place in the settings' tenants
+    subject: int | None = None  # number of the object that it is about; None where the protocol names none
+    idempotency_key: str | None = None  # names the effect; None where the protocol or the caller gives none
+    team: str | None = None  # the team whose contract covers it; None where the protocol names no team
+    service: str = ""  # the team's service; empty without a team
+    time_left: float | None = None  # seconds from arrival until its caller gives up; None: the class's deadline
+    body_digest: bytes | None = None  # compared between attempts with the same key; None: not compared
+    tenant_index: int = 0  # its tenant's place in the settings
 
 
 class RequestState(Enum):
-    HELD = "held"
-    ATTACHED = "attached"
-    INTENDING = "intending"  # to be run once its intent is durable
-    RUNNING = "running"
-    RECORDING = "recording"  # it ran; to be answered once its result is durable
-    PAUSED = "paused"
-    OVER = "over"
+    """Where a request stands between its arrival and its removal from the request table."""
+
+    QUEUED = "queued"  # not started; the controller decides when it is
+    ATTACHED = "attached"  # a duplicate, which waits for the result of the original
+    RECORDING_INTENT = "recording intent"  # starts once the intent to run it is durable
+    RUNNING = "running"  # the backend has it
+    RECORDING_RESULT = "recording result"  # it ran, and is answered once its result is durable
+    PAUSED = "paused"  # the backend has stopped it and can resume it
+    CLOSED = "closed"  # no longer in the table
+
+
+WITHOUT_RUN = frozenset({RequestState.QUEUED, RequestState.ATTACHED, RequestState.PAUSED})
+"""States in which no completion is outstanding, so that a request that was answered or cancelled can be closed."""
 
 
 @dataclass(slots=True)
 class Request:
-    """An entry of the request table. ``reply`` is there until the request is answered or gone."""
+    """An entry of the request table."""
 
-    request_id: int
+    request_id: int  # its u32 id in the controller's events and actions
     submission: Submission
-    reply: Reply | None
-    arrived_at: float
-    deadline: float
+    reply: Reply | None  # where its answer goes; None once it was answered or its caller has gone
+    arrived_at: float  # seconds on the host's clock
+    deadline: float  # seconds on the host's clock; answered by then at the latest
     backend: Backend
-    state: RequestState = RequestState.HELD
-    ran: bool = False
-    duplicate_of: int | None = None
-    followers: list[int] = field(default_factory=list)
+    state: RequestState = RequestState.QUEUED
+    ran: bool = False  # whether a run of it was started and not proven to have done nothing
+    duplicate_of: int | None = None  # request id of the original; None unless it is a duplicate
+    duplicate_ids: list[int] = field(default_factory=list)  # request ids of the duplicates that wait for its result
--- /dev/null
+++ b/lapishaven/core/run_control.py
@@ -0,0 +1,145 @@
+"""Starts, pauses and ends the runs of requests on their backends."""
+
+from __future__ import annotations
+
+from lapishaven.admission import Event, Idempotency, Outcome, RunFinished
+from lapishaven.core import outcome_metrics
+from lapishaven.core.active_settings import ActiveSettings
+from lapishaven.core.drain_state import DrainState
+from lapishaven.core.durable_execution import DurableExecution
+from lapishaven.core.execution_guard import ExecutionGuard
+from lapishaven.core.ports import AttemptRecorder
+from lapishaven.core.request_lifecycle import NEVER_RAN_RETRY_AFTER_S, RequestLifecycle
+from lapishaven.core.request_table import RequestTable
+from lapishaven.core.requests import Answer, AnswerKind, Request, RequestState
+from lapishaven.counters import Counters
+
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE)  # outcomes that prove that the run did nothing
+
+
+class RunControl:
+    """The one place where a run is started, and where its end is taken in."""
+
+    def __init__(
+        self,
+        settings: ActiveSettings,
+        table: RequestTable,
+        guard: ExecutionGuard,
+        drain_state: DrainState,
+        lifecycle: RequestLifecycle,
+        durable: DurableExecution | None,
+        recorder: AttemptRecorder,
+        counters: Counters,
+        events: list[Event],
+    ) -> None:
+        """``durable`` is ``None`` where no result store is configured; ``events`` is the controller's queue."""
+        self._settings = settings
+        self._table = table
+        self._guard = guard
+        self._drain_state = drain_state
+        self._lifecycle = lifecycle
+        self._durable = durable
+        self._recorder = recorder
+        self._counters = counters
+        self._events = events
+
+    # ---- Start and pause
+    def start(self, now: float, request: Request) -> None:
+        """Start a queued request, or resume a paused one, as the controller decided; ignored in any other state."""
+        if request.state is RequestState.PAUSED:
+            request.state = RequestState.RUNNING
+            request.backend.resume(request.submission.attempt_id)
+            return
+        if request.state is not RequestState.QUEUED:
+            return
+        obstacle = self._claim(now, request)
+        if obstacle is not None:
+            self._counters.add("requests", "start barred")
+            self._lifecycle.end_without_run(request, obstacle)
+        elif self._durable is not None and self._durable.covers(request.submission):
+            self._durable.start(request, self._launch)
+        else:
+            self._launch(request)
+
+    def cancel(self, request: Request) -> None:
+        """Stop a run, unless a duplicate waits for its result though its own caller has gone."""
+        if request.state is RequestState.RUNNING and not self._lifecycle.has_waiting_duplicate(request):
+            request.backend.pause(request.submission.attempt_id)
+
+    def _claim(self, now: float, request: Request) -> Answer | None:
+        """Claim the run; or the answer to a request that must not run, as it came too late or ran before."""
+        if self._drain_state.came_too_late(request.arrived_at, self._settings.current.drain_grace):
+            return Answer(AnswerKind.REJECTED, reason="it came after the leave")
+        obstacle = self._guard.refuse_duplicate(now, request.submission, self._settings.current)
+        if obstacle is not None and obstacle.kind is AnswerKind.REJECTED:
+            self._counters.add("requests", "guard full")
+        return obstacle
+
+    def _launch(self, request: Request) -> None:
+        """Hand the run to the backend."""
+        submission = request.submission
+        request_class = self._settings.class_of(submission)
+        request.state = RequestState.RUNNING
+        request.ran = True
+        self._table.schedule_abandonment(request)
+        self._counters.add("attempts", "started")
+        self._counters.add(outcome_metrics.RELAYED, request_class.name)
+        self._recorder.run_started(submission)
+        must_run_once = request_class.idempotency is not Idempotency.IDEMPOTENT
+        request.backend.start(submission.attempt_id, request_class.name, submission.body, must_run_once)
+
+    # ---- The end of a run
+    def finish(self, attempt_id: str, outcome: Outcome, elapsed: float, result: bytes) -> None:
+        """The backend reports the end of a run: tell the controller, and answer the request."""
+        request = self._table.by_attempt.get(attempt_id)
+        if request is None or request.state not in (RequestState.RUNNING, RequestState.PAUSED):
+            self._counters.add("attempts", "unknown end")
+            return
+        self._counters.add("attempts", outcome_metrics.OUTCOME_LABELS[outcome])
+        if outcome is Outcome.CANCELLED and self._is_wanted_again(request):
+            request.backend.resume(attempt_id)
+            return
+        self._events.append(RunFinished(request.request_id, elapsed, outcome))
+        if outcome is Outcome.CANCELLED and request.reply is not None:
+            request.state = RequestState.PAUSED  # the controller decides whether it goes on
+        elif outcome is Outcome.OK:
+            self._finish_served(request, result)
+        elif outcome in NEVER_RAN:
+            self._finish_unrun(request, outcome)
+        else:
+            self._finish_failed(request, outcome)
+
+    def _is_wanted_again(self, request: Request) -> bool:
+        """Whether a duplicate came while the run of a request that nobody waited for was being paused."""
+        return (
+            request.reply is None
+            and self._settings.current.cancellation == "pause"
+            and self._lifecycle.has_waiting_duplicate(request)
+        )
+
+    def _finish_served(self, request: Request, result: bytes) -> None:
+        if self._durable is not None and self._durable.covers(request.submission):
+            self._durable.record_result(request, result)
+            return
+        self._lifecycle.answer(request, Answer(AnswerKind.SERVED, result))
+        self._lifecycle.close(request, result)
+
+    def _finish_unrun(self, request: Request, outcome: Outcome) -> None:
+        """The run provably did nothing, so the request is rejected and its effect may be started again."""
+        submission = request.submission
+        if self._durable is not None and self._durable.covers(submission):
+            self._durable.cancel_intent(submission)
+        self._guard.release(submission)
+        request.ran = False
+        self._recorder.run_disproved(submission, outcome)
+        answer = Answer(AnswerKind.REJECTED, reason="the backend did not take it", retry_after=NEVER_RAN_RETRY_AFTER_S)
+        self._lifecycle.answer(request, answer)
+        self._lifecycle.close(request)
+
+    def _finish_failed(self, request: Request, outcome: Outcome) -> None:
+        """The run gave no result, and may have had its effect."""
+        if self._durable is not None and self._durable.covers(request.submission):
+            self._durable.record_failure(request.submission)
+        reason = f"the run ended: {outcome_metrics.OUTCOME_LABELS[outcome]}"
+        self._lifecycle.answer(request, Answer(AnswerKind.FAILED, reason=reason))
+        self._lifecycle.close(request)
--- /dev/null
+++ b/lapishaven/core/submission_intake.py
@@ -0,0 +1,187 @@
+"""Takes a submission into the request table, unless it can be answered at once."""
+
+from __future__ import annotations
+
+from lapishaven.admission import Event, RequestArrived
+from lapishaven.core.active_settings import ActiveSettings
+from lapishaven.core.contracts import Contract, Contracts, Denied, Party
+from lapishaven.core.drain_state import DrainState
+from lapishaven.core.durable_execution import DurableExecution
+from lapishaven.core.execution_guard import ExecutionGuard
+from lapishaven.core.idempotency_keys import IdempotencyKeyTable, KeyEntry
+from lapishaven.core.ports import Backend, Reply
+from lapishaven.core.request_lifecycle import NEVER_RAN_RETRY_AFTER_S, RequestLifecycle
+from lapishaven.core.request_table import RequestTable
+from lapishaven.core.requests import Answer, AnswerKind, Request, Submission
+from lapishaven.counters import Counters
+
+
+class SubmissionIntake:
+    """Checks each submission in this order: shutdown, known attempt, key of another request, contract, stored result.
+
+    One that passes is entered in the table, and the controller is told of its arrival.
+    """
+
+    def __init__(
+        self,
+        settings: ActiveSettings,
+        table: RequestTable,
+        keys: IdempotencyKeyTable,
+        guard: ExecutionGuard,
+        drain_state: DrainState,
+        lifecycle: RequestLifecycle,
+        durable: DurableExecution | None,
+        contracts: Contracts | None,
+        default_backend: Backend,
+        routes: dict[str, Backend],
+        counters: Counters,
+        events: list[Event],
+    ) -> None:
+        """``contracts`` is ``None`` where none are checked, ``durable`` where no result store is configured.
+
+        ``routes`` has the backends by the names that contracts route to; ``events`` is the controller's queue.
+        """
+        self._settings = settings
+        self._table = table
+        self._keys = keys
+        self._guard = guard
+        self._drain_state = drain_state
+        self._lifecycle = lifecycle
+        self._durable = durable
+        self._contracts = contracts
+        self._default_backend = default_backend
+        self._routes = routes
+        self._counters = counters
+        self._events = events
+
+    def replace_contracts(self, contracts: Contracts | None) -> None:
+        """Take over a reload's contracts, with the budgets of those that stay, if contracts were checked before."""
+        if self._contracts is not None and contracts is not None:
+            contracts.inherit(self._contracts)
+            self._contracts = contracts
+
+    def submit(self, now: float, submission: Submission, reply: Reply) -> Request | None:
+        """Enter a submission in the table; ``None`` if it was answered at once."""
+        self._counters.add("requests", "read")
+        answer = self._check_attempt(submission)
+        if answer is not None:
+            self._lifecycle.send(submission, reply, answer)
+            return None
+        original = self._find_original(now, submission)
+        if original is not None and original.body_digest != submission.body_digest:
+            # Not a duplicate: it must not get the result of what another caller has requested.
+            self._counters.add("requests", "key of another request")
+            answer = Answer(AnswerKind.FAILED, reason="this key stands for another request")
+            self._lifecycle.send(submission, reply, answer)
+            return None
+        contract = self._charge_contract(now, submission)
+        if isinstance(contract, Denied):
+            self._lifecycle.send(submission, reply, self._denial(contract))
+            return None
+        stored_result = self._find_stored_result(submission)
+        if stored_result is not None:
+            self._counters.add("requests", "answered from its kept result")
+            self._lifecycle.send(submission, reply, Answer(AnswerKind.SERVED, stored_result))
+            return None
+        return self._enter(now, submission, reply, contract, original)
+
+    # ---- Checks
+    def _check_attempt(self, submission: Submission) -> Answer | None:
+        """The answer to an attempt that comes too late or is known already."""
+        if self._drain_state.closed:
+            return Answer(AnswerKind.REJECTED, reason="the server leaves", retry_after=NEVER_RAN_RETRY_AFTER_S)
+        attempt_id = submission.attempt_id
+        if attempt_id in self._table.by_attempt or self._guard.attempts.is_claimed(attempt_id):
+            # The backend knows runs by this id, so a second request under it could get the first one's result. It may
+            # have run, so it is not rejected.
+            return Answer(AnswerKind.FAILED, reason="this try is known already")
+        return None
+
+    def _find_original(self, now: float, submission: Submission) -> KeyEntry | None:
+        """The entry of the request that stands for its idempotency key; ``None`` if there is none."""
+        if not self._settings.is_deduplicated(submission) or submission.idempotency_key is None:
+            return None
+        return self._keys.find((submission.class_index, submission.idempotency_key), now)
+
+    def _charge_contract(self, now: float, submission: Submission) -> Contract | Denied | None:
+        """The contract that covers it, whose budget is charged; ``None`` where no contract is needed."""
+        if self._contracts is None or submission.team is None:
+            return None
+        return self._contracts.admit(now, Party(submission.team, submission.service, submission.class_index))
+
+    def _denial(self, denied: Denied) -> Answer:
+        self._counters.add("reasons", denied.reason)
+        kind = AnswerKind.FORBIDDEN if denied.retry_after is None else AnswerKind.REJECTED
+        return Answer(kind, reason=denied.reason, retry_after=denied.retry_after)
+
+    def _find_stored_result(self, submission: Submission) -> bytes | None:
+        """The first result of its effect, whichever process ran it; ``None`` if there is none."""
+        if self._durable is None or not self._durable.covers(submission):
+            return None
+        return self._durable.find_result(submission)
+
+    # ---- Entry into the table
+    def _enter(
+        self,
+        now: float,
+        submission: Submission,
+        reply: Reply,
+        contract: Contract | None,
+        original: KeyEntry | None,
+    ) -> Request:
+        class_deadline = self._settings.class_of(submission).deadline
+        time_limit = class_deadline
+        backend = self._default_backend
+        if contract is not None:
+            time_limit = min(time_limit, contract.deadline)
+            backend = self._routes[contract.route]
+        has_own_deadline = time_limit < class_deadline
+        if self._settings.current.propagates_deadline and submission.time_left is not None:
+            # Never longer than the class's deadline: that much is reserved for it, whatever its caller says.
+            time_limit = min(time_limit, submission.time_left)
+            has_own_deadline = True
+        arrived_at = now - min(max(submission.age, 0.0), time_limit)
+        request = Request(
+            request_id=self._table.new_id(),
+            submission=submission,
+            reply=reply,
+            arrived_at=arrived_at,
+            deadline=arrived_at + time_limit,
+            backend=backend,
+        )
+        self._table.add(request)
+        answer_at = min(max(request.deadline, now), self._drain_state.final_answers_at)
+        self._table.schedule_final_answer(answer_at, request)
+        self._link_key(request, original)
+        self._announce(now, request, has_own_deadline)
+        return request
+
+    def _link_key(self, request: Request, original: KeyEntry | None) -> None:
+        """Make it a duplicate of its original; or, where there is none, have it stand for its key."""
+        submission = request.submission
+        if original is not None:
+            request.duplicate_of = original.request_id
+        elif self._settings.is_deduplicated(submission) and submission.idempotency_key is not None:
+            key = (submission.class_index, submission.idempotency_key)
+            self._keys.open(key, request.request_id, submission.body_digest)
+
+    def _announce(self, now: float, request: Request, has_own_deadline: bool) -> None:
+        """Queue its arrival for the controller."""
+        submission = request.submission
+        self._events.append(
+            RequestArrived(
+                request_id=request.request_id,
+                memory_kb=submission.memory_kb,
+                tenant_index=submission.tenant_index,
+                deadline=request.deadline if has_own_deadline else None,
+                caller_id=submission.caller_id,
+                age=now - request.arrived_at,
+                is_retry=submission.is_retry,
+                is_write=submission.is_write,
+                class_index=submission.class_index,
+                rank=submission.rank,
+                subject=submission.subject,
+                cost_hint=None,
+                duplicate_of=request.duplicate_of,
+            )
+        )
--- a/lapishaven/frontends/platform.py
+++ b/lapishaven/frontends/platform.py
@@ -145,7 +145,7 @@
         request = self.open.pop(id)
         if request is not None and self.host.broker is not None:
             self._calls.pop(request.submission.attempt_id, None)
-            self.host.broker.gone(request)
+            self.host.broker.cancel(request)
 
     def _answer(self, m: jsonrpc.Serve, answer: Answer) -> None:
         if self._calls.get(m.call) == m.id:
--- a/lapishaven/frontends/uwsgi.py
+++ b/lapishaven/frontends/uwsgi.py
@@ -189,7 +189,7 @@
     def _give_up(self, end: ConnectionEnd) -> None:
         """The client has gone, and a gateway's client that closes no longer waits."""
         if self._request is not None and self.host.broker is not None:
-            self.host.broker.gone(self._request)
+            self.host.broker.cancel(self._request)
         self._open = False
         self.conn.close(end)
 
--- a/lapishaven/graceful_shutdown.py
+++ b/lapishaven/graceful_shutdown.py
@@ -1,7 +1,7 @@
 """The way out: from the notice to leave to the process's end, with all that was read answered before the kill.
 
 At the notice callers are told, and the catalog through the module. The doors stay open for the grace, in which what
-crosses the notice is read and answered like the rest. ``LEAVE_ROOM`` before the kill everything is answered, whatever
+crosses the notice is read and answered like the rest. ``FINAL_ANSWER_MARGIN_S`` before the kill everything is answered, whatever
 it waits for, and the connections are closed in order; the process ends when the last one has, or ``EXIT_ROOM`` before
 the kill.
 """
@@ -11,7 +11,8 @@
 from collections.abc import Callable, Sequence
 
 from lapishaven.client_connections import ClientConnections
-from lapishaven.core.broker import LEAVE_ROOM, Broker
+from lapishaven.core.broker import Broker
+from lapishaven.core.drain_state import FINAL_ANSWER_MARGIN_S
 from lapishaven.net.listener import FULL_WAIT, Listener
 from lapishaven.net.loop import Loop
 
@@ -42,7 +43,7 @@
             return self._leave()
         there.drain(noticed, self._kill_at)
         self.loop.at(noticed + grace, self._close_doors)
-        self.loop.at(self._kill_at - LEAVE_ROOM, self._leave)
+        self.loop.at(self._kill_at - FINAL_ANSWER_MARGIN_S, self._leave)
 
     def shorten(self, stop_span: float) -> None:
         """A reload after the notice says that the kill comes sooner; that it comes later is not relied upon."""
@@ -50,8 +51,8 @@
             return
         self._kill_at = self.requested_at + stop_span
         if (broker := self._broker()) is not None:
-            broker.hurry(self._kill_at)
-        self.loop.at(self._kill_at - LEAVE_ROOM, self._leave)
+            broker.advance_kill(self._kill_at)
+        self.loop.at(self._kill_at - FINAL_ANSWER_MARGIN_S, self._leave)
 
     def _close_doors(self) -> None:
         if not all([listener.close() for listener in self.listeners]):
--- a/lapishaven/idempotency/result_index.py
+++ b/lapishaven/idempotency/result_index.py
@@ -11,6 +11,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from lapishaven.core.ports import EffectState
+
 INTENT, RESULT = b"I", b"R"
 
 
@@ -21,12 +23,25 @@
     DONE = "done"
 
 
+EFFECT_STATES: dict[Standing, EffectState] = {
+    Standing.UNKNOWN: EffectState.UNKNOWN,
+    Standing.GOING: EffectState.IN_PROGRESS,
+    Standing.DOUBT: EffectState.UNCERTAIN,
+    Standing.DONE: EffectState.DONE,
+}
+
+
 @dataclass(frozen=True, slots=True)
 class Entry:
     state: Standing
     since: float  # Unix seconds
     result: bytes = b""
 
+    @property
+    def effect_state(self) -> EffectState:
+        """The state in the terms of the port ``core.ports.KnownEffect``."""
+        return EFFECT_STATES[self.state]
+
 
 def encode(since: float, result: bytes | None) -> bytes:
     """The stored value of an intent, or of a result."""
--- a/lapishaven/idempotency/result_store.py
+++ b/lapishaven/idempotency/result_store.py
@@ -9,7 +9,7 @@
 from concurrent.futures import Future
 from contextlib import suppress
 
-from lapishaven.core.ports import KnownEffect
+from lapishaven.core.ports import IntentOutcome, KnownEffect
 from lapishaven.core.requests import Submission
 from lapishaven.idempotency.result_index import Entry, ResultIndex, Standing, decode, encode
 from lapishaven.net.wake import Wake
@@ -50,7 +50,7 @@
         return self.ledger.find(self._wall(), self.name(cls, key))
 
     def record_intent(
-        self, cls: str, key: str, sub: Submission, then: Callable[[bool | KnownEffect], None]
+        self, cls: str, key: str, sub: Submission, then: Callable[[IntentOutcome | KnownEffect], None]
     ) -> float | None:
         """Have the intent made durable; ``then`` is told whether it was. Seconds to stay away if it is not even
         tried: the bound is reached, or the store stands still."""
@@ -73,7 +73,11 @@
         except (StoreError, ValueError):
             return RETRY
         self.ledger.intend(wall, name)
-        self._when(future, then)
+
+        def settled(durable: bool) -> None:
+            then(IntentOutcome.RECORDED if durable else IntentOutcome.NOT_RECORDED)
+
+        self._when(future, settled)
         return None
 
     def record_result(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None:
--- a/lapishaven/lab/emulator.py
+++ b/lapishaven/lab/emulator.py
@@ -169,12 +169,12 @@
             "links": 1.0,
             "heap_share": len(self.cores.runs) / (self.box.memory_runs * self.box.cores),
         }
-        self.broker.gauges(values)
+        self.broker.load_sampled(values)
         self.turn()
 
     def _told(self, life: int, handle: str, outcome: Outcome, spent: float) -> None:
         if life == self.life and self.up:
-            self.broker.finished(handle, outcome, spent, b"")
+            self.broker.run_finished(handle, outcome, spent, b"")
             self.turn()
 
     # ---- Signals
@@ -199,7 +199,7 @@
         self.ticking = False
         self._read_on(TICK)
         for run in self.cores.step(e.now):
-            self.broker.finished(run.handle, Outcome.OK, e.now - run.began, run.body)
+            self.broker.run_finished(run.handle, Outcome.OK, e.now - run.began, run.body)
         booked = sum(30.0 * 16.0 for _ in self.cores.runs) + 30.0 * len(self.broker.requests)
         self.worst_memory = max(self.worst_memory, booked / (self.box.memory_runs * self.box.cores * 16.0 * 30.0))
         self.worst_concurrency = max(self.worst_concurrency, self.cores.crowded)
@@ -257,7 +257,7 @@
     def turn(self) -> None:
         e = self.emulator
         self.broker.turn(e.now)
-        when = self.broker.next_at()
+        when = self.broker.next_turn_at()
         if when is not None:
             e.plan(self, max(when, e.now))
 
@@ -352,7 +352,7 @@
         machine: Machine = self.servers[connection.peer.name]  # type: ignore[assignment]
         request = machine.open.pop(attempt.name, None) if machine.up else None
         if request is not None and request.entry is not None:
-            machine.broker.gone(request.entry)
+            machine.broker.cancel(request.entry)
             machine.turn()
 
     def _note(self, kind: site.Kind, span: float, served: bool) -> None:
--- a/lapishaven/ledger/recorder.py
+++ b/lapishaven/ledger/recorder.py
@@ -7,9 +7,8 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from enum import Enum
 
-from lapishaven.core.ports import KnownEffect
+from lapishaven.core.ports import EffectState, IntentOutcome, KnownEffect
 from lapishaven.core.requests import Submission
 from lapishaven.ledger.backpressure import Backpressure, BackpressureRules
 from lapishaven.ledger.database import LedgerDatabase, Op, Told
@@ -22,17 +21,11 @@
 LAST_WRITES = 0.1  # s that the end may take for what is still to be written: the kill comes soon after
 
 
-class Met(Enum):
-    """What is known of an effect."""
-
-    UNKNOWN = "unknown"
-    DONE = "done"
-    DOUBT = "doubt"  # another start is at it, or was
-
-
 @dataclass(frozen=True, slots=True)
 class Found:
-    state: Met
+    """What is known of an effect; the result is empty unless the state is ``EffectState.DONE``."""
+
+    effect_state: EffectState
     result: bytes = b""
 
 
@@ -71,10 +64,10 @@
     def find(self, cls: str, key: str) -> KnownEffect:
         """What is known without a look into the file: results of this life, and others' that were met."""
         result = self._kept.get((cls, key))
-        return Found(Met.UNKNOWN) if result is None else Found(Met.DONE, result)
+        return Found(EffectState.UNKNOWN) if result is None else Found(EffectState.DONE, result)
 
     def record_intent(
-        self, cls: str, key: str, sub: Submission, then: Callable[[bool | KnownEffect], None]
+        self, cls: str, key: str, sub: Submission, then: Callable[[IntentOutcome | KnownEffect], None]
     ) -> float | None:
         """Have the intent made durable; ``then`` is told yes, no, or what else is known of the effect. Seconds to stay
         away if it is not even tried."""
@@ -89,17 +82,17 @@
 
         def written(told: Told | None) -> None:
             if told is not None and told.verdict is Verdict.DO:
-                return then(True)
+                return then(IntentOutcome.RECORDED)
             self._open.pop(name, None)
             if told is None:
-                then(False)
+                then(IntentOutcome.NOT_RECORDED)
             elif told.verdict is Verdict.KEPT:
                 self.elsewhere += 1
                 self._keep(name, told.row.result)
-                then(Found(Met.DONE, told.row.result))
+                then(Found(EffectState.DONE, told.row.result))
             else:
                 self.uncertain += 1
-                then(Found(Met.DOUBT))
+                then(Found(EffectState.UNCERTAIN))
 
         self._put(Op(Event.INTEND, cls, key, self.start, self._wall(), customer), written)
         return None
--- a/lapishaven/ownership/participant.py
+++ b/lapishaven/ownership/participant.py
@@ -156,7 +156,7 @@
             # A repeat that is answered with the first result is not served twice. Where no more can be remembered, a
             # keyed effect is not counted: that is not in the customer's disfavour.
             now = self._clock.now()
-            if self._counted.full(now) or self._counted.claimed((cls, key)):
+            if self._counted.is_full(now) or self._counted.is_claimed((cls, key)):
                 return
             self._counted.claim(now, (cls, key))
         with self._lock:
--- a/lapishaven/server.py
+++ b/lapishaven/server.py
@@ -29,7 +29,8 @@
 from lapishaven.core import Submission
 from lapishaven.core.broker import Broker
 from lapishaven.core.contracts import Contract, Contracts
-from lapishaven.core.execution_guard import ONCE_LIFE
+from lapishaven.core.execution_guard import EFFECT_RETENTION_S
+from lapishaven.core.outcome_metrics import OUTCOME_LABELS
 from lapishaven.core.ports import DurableResultStore, FleetMember
 from lapishaven.core.requests import AnswerKind
 from lapishaven.counters import Counters
@@ -180,20 +181,20 @@
                 self.backend,
                 self,
                 self.counters,
-                contracts,
-                self.drivers,
-                self._record,
-                self.config.memory_mb * 1024 * 1024,
-                self._make_pools(settings),
-                self.keeper,
+                contracts=contracts,
+                routes=self.drivers,
+                recorder=AttemptReporting(self),
+                memory=self.config.memory_mb * 1024 * 1024,
+                pools=self._make_pools(settings),
+                result_store=self.keeper,
             )
-            for cls, key, age in self.store.started(ONCE_LIFE) if self.store is not None else ():
+            for cls, key, age in self.store.started(EFFECT_RETENTION_S) if self.store is not None else ():
                 if cls in self.classes:
-                    self.broker.remember(self.loop.now, cls, key, age)
+                    self.broker.remember_run(self.loop.now, self.classes[cls], key, age)
 
             for cls, key, age in self.keeper.uncertain_effects() if self.keeper is not None else ():
                 if cls in self.classes:
-                    self.broker.remember(self.loop.now, cls, key, age)
+                    self.broker.remember_run(self.loop.now, self.classes[cls], key, age)
             if not self.draining:
                 self.listeners[0].open()
             if self.load is not None:
@@ -214,23 +215,11 @@
         if self.load is not None:
             self.load.ended(handle, outcome)
         if self.broker is not None:
-            self.broker.finished(handle, outcome, spent, result)
+            self.broker.run_finished(handle, outcome, spent, result)
 
     def gauges(self, values: dict[str, float]) -> None:
         if self.broker is not None:
-            self.broker.gauges(values)
-
-    def _record(self, event: str, sub: Submission, detail: str) -> None:
-        if self.fleet is not None and event == "answered" and detail == AnswerKind.SERVED.value:
-            spec = self.config.settings.classes[sub.class_index]
-            self.fleet.request_served(sub.team, spec.name, spec.priority_weight, sub.idempotency_key)
-        elif self.fleet is not None and event == "answered":
-            self.fleet.request_not_served(detail == AnswerKind.REJECTED.value)
-        if self.load is not None and event == "started":
-            self.load.started(sub.attempt_id, sub.class_index)
-        if self.store is not None:
-            cls = self.config.settings.classes[sub.class_index].name
-            self.store.record(LogEntry(event, sub.attempt_id, cls, sub.idempotency_key, sub.team, sub.service, detail))
+            self.broker.load_sampled(values)
 
     # ---- What the module says
     def set_health(self, good: bool) -> None:
@@ -297,7 +286,7 @@
         self.counters.add("reloads", "done")
         if settings != old.settings:
             if self.broker is not None:
-                self.broker.retune(settings)
+                self.broker.reconfigure(settings)
             served = {spec.name for spec in new.settings.classes}
             self.classes = {spec.name: n for n, spec in enumerate(settings.classes) if spec.name in served}
             self.log(f"reload: classes now {', '.join(self.classes)}")
@@ -313,7 +302,7 @@
         if files.contracts is not None and self._contracts is not None:
             self._contracts = files.contracts
             if self.broker is not None:
-                self.broker.renew(Contracts(files.contracts, self.fleet))
+                self.broker.replace_contracts(Contracts(files.contracts, self.fleet))
         if files.pools is not None and self._pool_rules is not None:
             self._pool_rules = files.pools
             if self.pools is not None:
@@ -347,7 +336,7 @@
             self.broker.turn(now)
 
     def next_at(self) -> float | None:
-        return self.broker.next_at() if self.broker is not None else None
+        return self.broker.next_turn_at() if self.broker is not None else None
 
     def run(self, signals: Signals | None = None) -> int:
         """Serve until the notice to leave has been carried out. ``signals`` may have been heard from before on."""
@@ -404,3 +393,34 @@
                 self.reload()
             else:
                 self.drain(when)
+
+
+class AttemptReporting:
+    """x."""
+
+    def __init__(self, server: Server) -> None:
+        self.server = server
+
+    def run_started(self, submission: Submission) -> None:
+        if self.server.load is not None:
+            self.server.load.started(submission.attempt_id, submission.class_index)
+        self._log("started", submission, "")
+
+    def run_disproved(self, submission: Submission, outcome: Outcome) -> None:
+        self._log("unrun", submission, OUTCOME_LABELS[outcome])
+
+    def answered(self, submission: Submission, kind: AnswerKind) -> None:
+        fleet = self.server.fleet
+        if fleet is not None and kind is AnswerKind.SERVED:
+            spec = self.server.config.settings.classes[submission.class_index]
+            fleet.request_served(submission.team, spec.name, spec.priority_weight, submission.idempotency_key)
+        elif fleet is not None:
+            fleet.request_not_served(kind is AnswerKind.REJECTED)
+        self._log("answered", submission, kind.value)
+
+    def _log(self, event: str, sub: Submission, detail: str) -> None:
+        if self.server.store is not None:
+            cls = self.server.config.settings.classes[sub.class_index].name
+            self.server.store.record(
+                LogEntry(event, sub.attempt_id, cls, sub.idempotency_key, sub.team, sub.service, detail)
+            )
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -17,7 +17,7 @@
 from wire import Caller, Tcp, wait_for
 
 from lapishaven.client_connections import CLOSED_AT_ONCE
-from lapishaven.core.broker import LEAVE_ROOM
+from lapishaven.core.drain_state import FINAL_ANSWER_MARGIN_S
 from lapishaven.graceful_shutdown import EXIT_ROOM
 from lapishaven.net.listener import ACCEPTS
 from lapishaven.signals import Signals
@@ -111,7 +111,7 @@
         self.send(held, self.message("t1", "1", "approve-commit"))
         self.until(lambda: "t1.1" in self.vm.handles, "its run")
         self.server.drain()
-        self.wait(STOP - LEAVE_ROOM - 0.02)
+        self.wait(STOP - FINAL_ANSWER_MARGIN_S - 0.02)
         held.pump()
         before = list(held.answers)
         self.send(crossing, self.message("t2", "2", "fuzzy-match"))
@@ -144,7 +144,7 @@
         conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
         self.server.drain()
         conn.write(bytes(30_000))
-        self.wait(STOP - LEAVE_ROOM + 0.02)
+        self.wait(STOP - FINAL_ANSWER_MARGIN_S + 0.02)
         self.assertGreater(conn.out.size, 0)
         got = 0
         while conn.end is None and not conn.lingers():
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -110,18 +110,18 @@
         table = IdempotencyKeyTable(100)
         for id in range(1, 50):
             table.open((0, f"k{id % 7}"), id)
-            table.keep((0, f"k{id % 7}"), id, 10.0)
+            table.reserve((0, f"k{id % 7}"), id, 10.0)
             table.close((0, f"k{id % 7}"), id, b"x" * 40)
-            self.assertLessEqual(table.size, 100)
+            self.assertLessEqual(table.result_size, 100)
         kept = [table.find((0, f"k{n}"), 5.0) for n in range(7)]
-        self.assertEqual(sorted(e.id for e in kept if e is not None and e.result), [48, 49])
+        self.assertEqual(sorted(e.request_id for e in kept if e is not None and e.result), [48, 49])
         self.assertEqual([table.find((0, f"k{n}"), 11.0) for n in range(7)], [None] * 7)
-        self.assertEqual((len(table), table.size), (0, 0))
+        self.assertEqual((len(table), table.result_size), (0, 0))
 
     # Guards against memory that grows with commits: tries are let go after their life, and with no room to
     # remember a run there is none, as forgetting one early could let it run twice.
     def test_the_guard_is_bounded_and_forgets_nothing_early(self) -> None:
-        self.server.broker.guard.tries.limit = 2
+        self.server.broker.guard.attempts.limit = 2
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit
--- a/tests/test_platform_keys.py
+++ b/tests/test_platform_keys.py
@@ -139,7 +139,7 @@
             wait 10
         """)
         assert self.server.broker is not None
-        self.assertFalse(self.server.broker.guard.effects.full(self.now))
+        self.assertFalse(self.server.broker.guard.effects.is_full(self.now))
         self.assertEqual(len(self.server.broker.guard.effects), 0)
 
 
@@ -223,11 +223,11 @@
     guard = AttemptRegistry(900.0, 2)
     guard.claim(0.0, "long")
     guard.claim(1.0, "short", 5.0)
-    assert guard.full(5.9)
-    assert not guard.full(6.0)
-    assert guard.claimed("long") and not guard.claimed("short")
+    assert guard.is_full(5.9)
+    assert not guard.is_full(6.0)
+    assert guard.is_claimed("long") and not guard.is_claimed("short")
     guard.claim(6.0, "short", 5.0)
     guard.release("short")
     guard.claim(7.0, "short", 10.0)
-    guard.full(12.0)
-    assert guard.claimed("short"), "the end of a claim that was released ends no later one"
+    guard.is_full(12.0)
+    assert guard.is_claimed("short"), "the end of a claim that was released ends no later one"
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -4,7 +4,7 @@
 
 from scenario import SETTINGS, World, configuration, settings
 
-from lapishaven.core.execution_guard import CLOCK_SLACK
+from lapishaven.core.execution_guard import CLOCK_SLACK_S
 
 KEYED = {"effect": "guarded", "window": 3.0}
 WINDOW, DEADLINE, POLL = 3.0, 3.8, 0.1
@@ -94,7 +94,7 @@
         self.play(f"""
             send vm OK c1.1
             expect c1 result 1
-            wait {WINDOW + DEADLINE + CLOCK_SLACK + 0.1}
+            wait {WINDOW + DEADLINE + CLOCK_SLACK_S + 0.1}
             send c2 1 {AGAIN}
             expect vm APPLY c1.1
         """)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -459,7 +459,7 @@
             expect c1 -32600 65
             send c1 101 fuzzy-match
         """)
-        self.assertEqual(list(self.server.broker.by_handle)[-1], self.call("c1", "101"))
+        self.assertEqual(list(self.server.broker.requests_by_attempt)[-1], self.call("c1", "101"))
         self.assertEqual(self.server.broker.open_requests, 1)
 
     # Guards against closing under a request, and against a table full of idle connections.
@@ -698,7 +698,7 @@
         self.peer("c2").sock.sendall(self.message("c2", "1", "fuzzy-match"))
         for _ in range(4):
             loop.round(0, self.server.turn)
-        self.assertIn(self.call("c2", "1"), self.server.broker.by_handle)
+        self.assertIn(self.call("c2", "1"), self.server.broker.requests_by_attempt)
         self.assertLess(self.server.counters.get("platform", "malformed -32700"), 100)
         self.pump()
         self.assertEqual(self.server.counters.get("platform", "malformed -32700"), 2000)
