--- /dev/null
+++ b/lapishaven/broker_host.py
@@ -0,0 +1,129 @@
+"""Builds the broker once the backend is up, and passes the backend's reports on to it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from typing import TYPE_CHECKING
+
+from lapishaven.admission import Outcome, Settings
+from lapishaven.attempt_log import AttemptLog
+from lapishaven.core.broker import Broker
+from lapishaven.core.contracts import Contracts
+from lapishaven.core.execution_guard import EFFECT_RETENTION_S
+from lapishaven.core.ports import AttemptRecorder, DurableResultStore, FleetMember, ModuleListener
+from lapishaven.counters import Counters
+from lapishaven.net.loop import Loop
+from lapishaven.running_config import RunningConfig
+
+if TYPE_CHECKING:
+    from lapishaven.frontends.load_endpoint import LoadEndpoint
+    from lapishaven.pools import Pools
+    from lapishaven.server_assembly import Backends
+
+BYTES_PER_MB = 1024 * 1024
+
+
+class BrokerHost:
+    """The listener of the backends. ``broker`` is ``None`` until the primary backend reports that it is up.
+
+    ``connect`` comes before the loop runs.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        running: RunningConfig,
+        counters: Counters,
+        listener: ModuleListener,
+        fleet: FleetMember | None,
+        attempt_log: AttemptLog | None,
+        result_store: DurableResultStore | None,
+    ) -> None:
+        """``listener`` receives what the controller decides apart from answers."""
+        self.broker: Broker | None = None
+        self.pools: Pools | None = None  # None without pools, and before the backend is up
+        self.result_store = result_store
+        self._loop = loop
+        self._running = running
+        self._counters = counters
+        self._listener = listener
+        self._fleet = fleet
+        self._attempt_log = attempt_log
+
+    def connect(
+        self,
+        backends: Backends,
+        recorder: AttemptRecorder,
+        load_endpoint: LoadEndpoint | None,
+        started: Callable[[], None],
+    ) -> None:
+        """Set the backends, who records attempts, and the load endpoint; ``started`` is called with the broker up."""
+        self._backends = backends
+        self._recorder = recorder
+        self._load_endpoint = load_endpoint
+        self._started = started
+
+    # ---- What the backends report
+    def up(self, cold: bool, up_for: float) -> None:
+        """The backend is up since ``up_for`` seconds, and slow at first if it is ``cold``."""
+        if self.broker is not None:
+            return
+        settings = replace(self._running.config.settings, slow_start=cold)
+        self.broker = self._build_broker(settings)
+        self._remember_runs(self.broker)
+        self._started()
+        if self._load_endpoint is not None:
+            initial_share = settings.slow_start_initial_speed if cold else 1.0
+            remaining_span = settings.slow_start_span - up_for if cold else 0.0
+            self._load_endpoint.up(initial_share, remaining_span)
+
+    def finished(self, handle: str, outcome: Outcome, spent: float, result: bytes) -> None:
+        """A run ended after ``spent`` seconds."""
+        if self._load_endpoint is not None:
+            self._load_endpoint.ended(handle, outcome)
+        if self.broker is not None:
+            self.broker.run_finished(handle, outcome, spent, result)
+
+    def gauges(self, values: dict[str, float]) -> None:
+        """The gauges by name that were requested."""
+        if self.broker is not None:
+            self.broker.load_sampled(values)
+
+    # ---- Building
+    def _build_broker(self, settings: Settings) -> Broker:
+        config = self._running.config
+        contracts = self._running.contracts
+        return Broker(
+            settings,
+            seed=config.seed,
+            backend=self._backends.primary,
+            listener=self._listener,
+            counters=self._counters,
+            contracts=Contracts(contracts, self._fleet) if contracts is not None else None,
+            routes=self._backends.by_name,
+            recorder=self._recorder,
+            memory=config.memory_mb * BYTES_PER_MB,
+            pools=self._build_pools(settings),
+            result_store=self.result_store,
+        )
+
+    def _build_pools(self, settings: Settings) -> Pools | None:
+        if self._running.pools is None:
+            return None
+        from lapishaven.pools import Pools
+
+        self.pools = Pools(self._running.pools, settings, self._loop.now)
+        return self.pools
+
+    def _remember_runs(self, broker: Broker) -> None:
+        """Have no effect started again that an earlier process started, or may have."""
+        started: list[tuple[str, str, float]] = []
+        if self._attempt_log is not None:
+            started += self._attempt_log.started(EFFECT_RETENTION_S)
+        if self.result_store is not None:
+            started += self.result_store.uncertain_effects()
+        for class_name, key, age in started:
+            class_index = self._running.classes.get(class_name)
+            if class_index is not None:
+                broker.remember_run(self._loop.now, class_index, key, age)
--- a/lapishaven/cli/serve.py
+++ b/lapishaven/cli/serve.py
@@ -114,7 +114,7 @@
 ) -> None:
     """Serve until SIGTERM; SIGHUP reads the files again, SIGUSR1 prints the counters."""
     from lapishaven.counters import Counters
-    from lapishaven.server import Server
+    from lapishaven.server import Server, ServerOptions
     from lapishaven.signals import Signals
 
     signals = Signals()  # before the first caller can connect
@@ -137,19 +137,14 @@
         keeper = _keeper(kept)
     fleet = _part(ownership, loaded) if ownership is not None else None
     try:
-        server = Server(
-            loaded.config,
-            loaded.front,
-            loaded.backend,
-            contracts=loaded.contracts,
-            store=store,
+        options = ServerOptions(
             counters=counters,
-            files=lambda: config.load_all(path, uwsgi, contracts, pools, spread),
-            pools=loaded.pools,
-            keeper=keeper,
+            read_files=lambda: config.load_all(path, uwsgi, contracts, pools, spread),
+            attempt_log=store,
+            result_store=keeper,
             fleet=fleet,
-            spread=loaded.spread,
         )
+        server = Server(loaded, options)
     except OSError as error:
         fail(f"cannot listen: {error.strerror or error}")
     if fleet is not None:
--- /dev/null
+++ b/lapishaven/config_reload.py
@@ -0,0 +1,123 @@
+"""Reloads the configuration on SIGHUP. What is open, runs or is connected goes on; a bad file changes nothing."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+
+from lapishaven.admission import Settings
+from lapishaven.broker_host import BrokerHost
+from lapishaven.catalog_reporter import CatalogReporter
+from lapishaven.config import Config, ConfigError, Files, renumbered
+from lapishaven.core.contracts import Contracts
+from lapishaven.core.ports import FleetMember
+from lapishaven.counters import Counters
+from lapishaven.graceful_shutdown import GracefulShutdown
+from lapishaven.net.loop import Loop
+from lapishaven.running_config import RunningConfig
+from lapishaven.server_assembly import INTERPRETER, UWSGI, Backends
+
+RESTART_ONLY = ("name", "listen", "descriptors", "memory_mb")  # fields of ``Config`` that a reload does not change
+
+
+class ConfigReload:
+    """Reads the files again and applies them part by part."""
+
+    def __init__(
+        self,
+        read_files: Callable[[], Files] | None,
+        running: RunningConfig,
+        loop: Loop,
+        core: BrokerHost,
+        backends: Backends,
+        reporter: CatalogReporter,
+        shutdown: GracefulShutdown,
+        fleet: FleetMember | None,
+        counters: Counters,
+        log: Callable[[str], None],
+    ) -> None:
+        """``read_files`` raises ``ConfigError``; ``None`` where the server was started without files."""
+        self._read_files = read_files
+        self._running = running
+        self._loop = loop
+        self._core = core
+        self._backends = backends
+        self._reporter = reporter
+        self._shutdown = shutdown
+        self._fleet = fleet
+        self._counters = counters
+        self._log = log
+
+    def reload(self) -> None:
+        """Read the files again and apply them; nothing changes if one of them is bad."""
+        try:
+            files = self._read()
+            settings = renumbered(self._running.config.settings, files.config.settings)
+        except ConfigError as error:
+            self._counters.add("reloads", "failed")
+            self._log(f"reload: {error}; the old configuration stays")
+            return
+        self._counters.add("reloads", "done")
+        before = self._running.config
+        self._apply_settings(settings, files.config)
+        self._move_backends(files)
+        self._reporter.move(files.config.catalog)
+        self._replace_contracts(files)
+        self._replace_pools(files)
+        self._running.config = replace(
+            before,
+            interpreter=files.config.interpreter,
+            catalog=files.config.catalog,
+            stop_span=files.config.stop_span,
+            settings=settings,
+        )
+        self._shutdown.shorten(files.config.stop_span)
+        self._log_done(before, files.config)
+
+    def _read(self) -> Files:
+        """The checked files. Raises ``ConfigError``."""
+        if self._read_files is None:
+            raise ConfigError("no file to read again")
+        files = self._read_files()
+        if any(contract.route not in self._backends.by_name for contract in files.contracts or []):
+            raise ConfigError("a contract names a backend that is not there before a restart")
+        return files
+
+    def _apply_settings(self, settings: Settings, config: Config) -> None:
+        """Hand the settings, with classes numbered as before, to the core; callers may name just the new classes."""
+        if settings == self._running.config.settings:
+            return
+        if self._core.broker is not None:
+            self._core.broker.reconfigure(settings)
+        served = {spec.name for spec in config.settings.classes}
+        self._running.classes = {spec.name: index for index, spec in enumerate(settings.classes) if spec.name in served}
+        self._log(f"reload: classes now {', '.join(self._running.classes)}")
+
+    def _move_backends(self, files: Files) -> None:
+        """Point the backends to their new addresses."""
+        addresses = {INTERPRETER: files.config.interpreter}
+        if files.backend is not None:
+            addresses[UWSGI] = files.backend.address
+        if files.spread is not None and self._backends.load_balanced is not None:
+            self._backends.load_balanced.take(files.spread.addresses)
+        for name, driver in self._backends.by_name.items():
+            if name in addresses:
+                driver.change_address(addresses[name])
+
+    def _replace_contracts(self, files: Files) -> None:
+        if files.contracts is None or self._running.contracts is None:
+            return
+        self._running.contracts = files.contracts
+        if self._core.broker is not None:
+            self._core.broker.replace_contracts(Contracts(files.contracts, self._fleet))
+
+    def _replace_pools(self, files: Files) -> None:
+        if files.pools is None or self._running.pools is None:
+            return
+        self._running.pools = files.pools
+        if self._core.pools is not None:
+            self._core.pools.renew(self._loop.now, files.pools)
+
+    def _log_done(self, before: Config, after: Config) -> None:
+        ignored = [name for name in RESTART_ONLY if getattr(after, name) != getattr(before, name)]
+        self._log("reload: done" + (f"; only a restart changes {', '.join(ignored)}" if ignored else ""))
--- a/lapishaven/core/request_lifecycle.py
+++ b/lapishaven/core/request_lifecycle.py
@@ -47,7 +47,8 @@
     def send(self, submission: Submission, reply: Reply, answer: Answer) -> None:
         """Count, record and send an answer; called directly for submissions that never enter the table."""
         self._counters.add("answers", answer.kind.value)
-        self._counters.add(outcome_metrics.GROUP[answer.kind], self._settings.class_of(submission).name)
+        request_class = self._settings.current.classes[submission.class_index]
+        self._counters.add(outcome_metrics.GROUP[answer.kind], request_class.name)
         self._recorder.answered(submission, answer.kind)
         reply(answer)
 
--- a/lapishaven/core/submission_intake.py
+++ b/lapishaven/core/submission_intake.py
@@ -8,7 +8,7 @@
 from lapishaven.core.drain_state import DrainState
 from lapishaven.core.durable_execution import DurableExecution
 from lapishaven.core.execution_guard import ExecutionGuard
-from lapishaven.core.idempotency_keys import IdempotencyKeyTable, KeyEntry
+from lapishaven.core.idempotency_keys import EffectKey, IdempotencyKeyTable
 from lapishaven.core.ports import Backend, Reply
 from lapishaven.core.request_lifecycle import NEVER_RAN_RETRY_AFTER_S, RequestLifecycle
 from lapishaven.core.request_table import RequestTable
@@ -67,7 +67,8 @@
         if answer is not None:
             self._lifecycle.send(submission, reply, answer)
             return None
-        original = self._find_original(now, submission)
+        key = self._deduplication_key(submission)
+        original = self._keys.find(key, now) if key is not None else None
         if original is not None and original.body_digest != submission.body_digest:
             # Not a duplicate: it must not get the result of what another caller has requested.
             self._counters.add("requests", "key of another request")
@@ -83,7 +84,13 @@
             self._counters.add("requests", "answered from its kept result")
             self._lifecycle.send(submission, reply, Answer(AnswerKind.SERVED, stored_result))
             return None
-        return self._enter(now, submission, reply, contract, original)
+        request = self._enter(now, submission, reply, contract)
+        if original is not None:
+            request.duplicate_of = original.request_id
+        elif key is not None:
+            self._keys.open(key, request.request_id, submission.body_digest)
+        self._announce(now, request, self._has_own_deadline(submission, contract))
+        return request
 
     # ---- Checks
     def _check_attempt(self, submission: Submission) -> Answer | None:
@@ -97,11 +104,11 @@
             return Answer(AnswerKind.FAILED, reason="this try is known already")
         return None
 
-    def _find_original(self, now: float, submission: Submission) -> KeyEntry | None:
-        """The entry of the request that stands for its idempotency key; ``None`` if there is none."""
-        if not self._settings.is_deduplicated(submission) or submission.idempotency_key is None:
+    def _deduplication_key(self, submission: Submission) -> EffectKey | None:
+        """The key by which duplicates of it are told; ``None`` if it has none, or running it twice does no harm."""
+        if submission.idempotency_key is None or not self._settings.is_deduplicated(submission):
             return None
-        return self._keys.find((submission.class_index, submission.idempotency_key), now)
+        return submission.class_index, submission.idempotency_key
 
     def _charge_contract(self, now: float, submission: Submission) -> Contract | Denied | None:
         """The contract that covers it, whose budget is charged; ``None`` where no contract is needed."""
@@ -121,25 +128,16 @@
         return self._durable.find_result(submission)
 
     # ---- Entry into the table
-    def _enter(
-        self,
-        now: float,
-        submission: Submission,
-        reply: Reply,
-        contract: Contract | None,
-        original: KeyEntry | None,
-    ) -> Request:
-        class_deadline = self._settings.class_of(submission).deadline
-        time_limit = class_deadline
+    def _enter(self, now: float, submission: Submission, reply: Reply, contract: Contract | None) -> Request:
+        """Enter it in the table with the deadline that its class, its contract and its caller give it."""
+        time_limit = self._settings.current.classes[submission.class_index].deadline
         backend = self._default_backend
         if contract is not None:
             time_limit = min(time_limit, contract.deadline)
             backend = self._routes[contract.route]
-        has_own_deadline = time_limit < class_deadline
         if self._settings.current.propagates_deadline and submission.time_left is not None:
             # Never longer than the class's deadline: that much is reserved for it, whatever its caller says.
             time_limit = min(time_limit, submission.time_left)
-            has_own_deadline = True
         arrived_at = now - min(max(submission.age, 0.0), time_limit)
         request = Request(
             request_id=self._table.new_id(),
@@ -152,18 +150,13 @@
         self._table.add(request)
         answer_at = min(max(request.deadline, now), self._drain_state.final_answers_at)
         self._table.schedule_final_answer(answer_at, request)
-        self._link_key(request, original)
-        self._announce(now, request, has_own_deadline)
         return request
 
-    def _link_key(self, request: Request, original: KeyEntry | None) -> None:
-        """Make it a duplicate of its original; or, where there is none, have it stand for its key."""
-        submission = request.submission
-        if original is not None:
-            request.duplicate_of = original.request_id
-        elif self._settings.is_deduplicated(submission) and submission.idempotency_key is not None:
-            key = (submission.class_index, submission.idempotency_key)
-            self._keys.open(key, request.request_id, submission.body_digest)
+    def _has_own_deadline(self, submission: Submission, contract: Contract | None) -> bool:
+        """Whether its contract or its caller decides its deadline, and not its class alone."""
+        if self._settings.current.propagates_deadline and submission.time_left is not None:
+            return True
+        return contract is not None and contract.deadline < self._settings.class_of(submission).deadline
 
     def _announce(self, now: float, request: Request, has_own_deadline: bool) -> None:
         """Queue its arrival for the controller."""
--- a/lapishaven/frontends/__init__.py
+++ b/lapishaven/frontends/__init__.py
@@ -1,4 +1,4 @@
-"""Fronts: each maps one wire to the core's requests, and the core's answers back to that wire."""
+"""Frontends: each maps one protocol to the core's requests, and the core's answers back to that protocol."""
 
 from __future__ import annotations
 
@@ -11,52 +11,64 @@
 from lapishaven.net.connection import Connection
 from lapishaven.net.loop import Loop, Wait
 
-CLOCKS = 60.0  # s that a stated time may be off this clock, far past any deadline; beyond that it is no time
+MAX_CLOCK_DIFFERENCE_S = 60.0  # of a stated time from this host's clock, far beyond any deadline; beyond it, malformed
 
 
 def age(now: float, stated: float | None) -> float | None:
-    """How old a request is by its own word; ``None`` if that is out of range.
+    """Seconds since the time that a request states; 0 if it states none, ``None`` if that time is out of range.
 
-    Guards the module's picture of how late it reads: one request said to have come in 1970 would tell it that
-    everything waits past its aim, and take the server off the list. A clock a little ahead gives a negative
-    age, which the core clamps.
+    Guards the controller's measure of how late requests are read: one that said to have come in 1970 would tell it that
+    everything waits beyond its latency objective, and take the server off the endpoint list. A clock that is a little
+    ahead gives a negative age, which the core takes as 0.
     """
     span = now - stated if stated is not None else 0.0
-    return span if abs(span) <= CLOCKS else None
+    return span if abs(span) <= MAX_CLOCK_DIFFERENCE_S else None
 
 
 class Session(Protocol):
-    """One connection of a front."""
+    """One connection of a frontend."""
 
     conn: Connection
-    since: float | None  # since when the rest of a message is awaited, the first from the start; else None
+    since: float | None  # when the rest of a message began to be awaited, the first from the start; None: not awaited
 
     @property
     def busy(self) -> bool:
-        """Whether something that was read is still to be taken up or answered."""
+        """Whether something that was read is still to be processed or answered."""
 
     def run(self) -> Generator[Wait, Any, None]:
         """Read and serve until the input ends."""
 
     def drain(self) -> None:
-        """Tell the peer that nothing new is to be sent here, where its protocol has words for that."""
+        """Tell the peer that nothing new is to be sent here, where its protocol has a message for that."""
 
     def leave(self, end: ConnectionEnd) -> None:
-        """Take up nothing more, and close once all that is open is answered."""
+        """Process nothing more, and close once all that is open is answered."""
 
 
 class Host(Protocol):
-    """What a front needs of the server round it."""
+    """What a frontend needs of the server around it."""
 
     loop: Loop
     counters: Counters
-    broker: Broker | None
-    classes: dict[str, int]
-    tenants: dict[str, int]  # by name, their places in the settings
+
+    @property
+    def broker(self) -> Broker | None:
+        """The core; ``None`` until the backend is up."""
+
+    @property
+    def classes(self) -> dict[str, int]:
+        """The classes that callers may name, by name their places in the settings."""
+
+    @property
+    def tenants(self) -> dict[str, int]:
+        """The tenants, by name their places in the settings."""
 
     @property
     def draining(self) -> bool:
-        """Whether the notice to leave has come."""
+        """Whether the notice to shut down has come."""
+
+    def check(self, deep: bool, told: Callable[[bool], None]) -> None:
+        """Answer a health check through ``told``, at once or later; a deep one asks the backend too."""
 
-    def check(self, deep: bool, told: Callable[[bool], None]) -> None: ...
-    def ended(self, session: Session, end: ConnectionEnd) -> None: ...
+    def ended(self, session: Session, end: ConnectionEnd) -> None:
+        """The session's connection has ended and its descriptor is free."""
--- a/lapishaven/graceful_shutdown.py
+++ b/lapishaven/graceful_shutdown.py
@@ -1,14 +1,15 @@
-"""The way out: from the notice to leave to the process's end, with all that was read answered before the kill.
+"""Graceful shutdown: from the notice to the end of the process, with all that was read answered before the kill.
 
-At the notice callers are told, and the catalog through the module. The doors stay open for the grace, in which what
-crosses the notice is read and answered like the rest. ``FINAL_ANSWER_MARGIN_S`` before the kill everything is answered, whatever
-it waits for, and the connections are closed in order; the process ends when the last one has, or ``EXIT_ROOM`` before
-the kill.
+At the notice callers are told, and the service registry through the controller. The listeners stay open for the grace,
+in which what crosses the notice is read and answered like the rest. ``FINAL_ANSWER_MARGIN_S`` before the kill
+everything is answered, whatever it waits for, and the connections are closed in order; the process ends when the last
+one has, or ``EXIT_MARGIN_S`` before the kill.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
+from typing import Protocol
 
 from lapishaven.client_connections import ClientConnections
 from lapishaven.core.broker import Broker
@@ -16,67 +17,89 @@
 from lapishaven.net.listener import FULL_WAIT, Listener
 from lapishaven.net.loop import Loop
 
-EXIT_ROOM = 0.03  # s before the kill at which the process ends, whoever has not closed yet
-NOT_UP_SPAN = 1.0  # s at most for the end of a server that never came up, as its callers have nothing open
-LOOK = 0.01  # s between looks whether the last connection has ended
+EXIT_MARGIN_S = 0.03  # before the kill the process ends, even if connections are still open
+NEVER_UP_LIMIT_S = 1.0  # for the end of a server whose backend never came up, as its callers have nothing open
+CLOSED_POLL_INTERVAL_S = 0.01  # between checks whether the last connection has ended
+
+
+class BrokerHolder(Protocol):
+    """Has the core once there is one."""
+
+    @property
+    def broker(self) -> Broker | None:
+        """The core; ``None`` until the backend is up."""
 
 
 class GracefulShutdown:
-    """Carries out one departure on the loop."""
+    """Carries out one shutdown on the loop. Times are seconds on the loop's clock."""
 
-    def __init__(self, loop: Loop, callers: ClientConnections, listeners: Sequence[Listener]) -> None:
-        self.loop, self.callers, self.listeners = loop, callers, listeners
-        self.requested_at: float | None = None
+    def __init__(
+        self, loop: Loop, callers: ClientConnections, listeners: Sequence[Listener], core: BrokerHolder
+    ) -> None:
+        self._loop = loop
+        self._callers = callers
+        self._listeners = listeners
+        self._core = core
+        self._requested_at: float | None = None
         self._kill_at = float("inf")
-        self._broker: Callable[[], Broker | None] = lambda: None
         self._closing = False
 
-    def begin(self, noticed: float, stop_span: float, grace: float, broker: Callable[[], Broker | None]) -> None:
-        """The notice came at ``noticed``, and the kill follows ``stop_span`` after it."""
-        self.requested_at, self._broker = noticed, broker
-        self._kill_at = noticed + stop_span
-        self.callers.drain()
-        there = broker()
-        if there is None:
-            # Nothing can be run, so nothing is gained by waiting.
-            self._kill_at = min(self._kill_at, self.loop.now + NOT_UP_SPAN)
-            return self._leave()
-        there.drain(noticed, self._kill_at)
-        self.loop.at(noticed + grace, self._close_doors)
-        self.loop.at(self._kill_at - FINAL_ANSWER_MARGIN_S, self._leave)
+    @property
+    def requested(self) -> bool:
+        """Whether the notice has come."""
+        return self._requested_at is not None
+
+    def begin(self, noticed_at: float, stop_span: float, grace: float) -> None:
+        """The notice came at ``noticed_at``, and the kill follows ``stop_span`` seconds after it.
+
+        For ``grace`` seconds after the notice, what arrives is still served.
+        """
+        self._requested_at = noticed_at
+        self._kill_at = noticed_at + stop_span
+        self._callers.drain()
+        broker = self._core.broker
+        if broker is None:
+            # Nothing can run, so nothing is gained by waiting.
+            self._kill_at = min(self._kill_at, self._loop.now + NEVER_UP_LIMIT_S)
+            self._finish()
+            return
+        broker.drain(noticed_at, self._kill_at)
+        self._loop.at(noticed_at + grace, self._close_listeners)
+        self._loop.at(self._kill_at - FINAL_ANSWER_MARGIN_S, self._finish)
 
     def shorten(self, stop_span: float) -> None:
-        """A reload after the notice says that the kill comes sooner; that it comes later is not relied upon."""
-        if self.requested_at is None or self.requested_at + stop_span >= self._kill_at or self._closing:
+        """A reload may bring the kill forward; one that puts it off is not relied upon."""
+        if self._requested_at is None or self._closing or self._requested_at + stop_span >= self._kill_at:
             return
-        self._kill_at = self.requested_at + stop_span
-        if (broker := self._broker()) is not None:
-            broker.advance_kill(self._kill_at)
-        self.loop.at(self._kill_at - FINAL_ANSWER_MARGIN_S, self._leave)
+        self._kill_at = self._requested_at + stop_span
+        if self._core.broker is not None:
+            self._core.broker.advance_kill(self._kill_at)
+        self._loop.at(self._kill_at - FINAL_ANSWER_MARGIN_S, self._finish)
 
-    def _close_doors(self) -> None:
-        if not all([listener.close() for listener in self.listeners]):
-            self.loop.at(self.loop.now + FULL_WAIT, self._close_doors)
+    def _close_listeners(self) -> None:
+        """Close each listener once it has accepted all that waited there."""
+        if not all([listener.close() for listener in self._listeners]):
+            self._loop.at(self._loop.now + FULL_WAIT, self._close_listeners)
 
-    def _leave(self) -> None:
-        """Answer all, close all."""
+    def _finish(self) -> None:
+        """Begin to answer and close everything, the first time that it is called."""
         if self._closing:
             return
         self._closing = True
-        self._close_doors()
-        # What the doors and the last reads brought in is taken up in this round's turn, or the next.
-        self.loop.at(self.loop.now, self._close_callers)
+        self._close_listeners()
+        # What the listeners and the last reads brought in is processed in this round's turn, or the next.
+        self._loop.at(self._loop.now, self._close_callers)
 
     def _close_callers(self) -> None:
-        self.callers.leave()
-        if (broker := self._broker()) is not None:
-            broker.answer_all(self.loop.now)
-        self._end_when_closed()
-
-    def _end_when_closed(self) -> None:
-        if not self.callers.sessions or self.loop.now >= self._kill_at - EXIT_ROOM:
-            for listener in self.listeners:
+        self._callers.leave()
+        if self._core.broker is not None:
+            self._core.broker.answer_all(self._loop.now)
+        self._stop_when_closed()
+
+    def _stop_when_closed(self) -> None:
+        if not self._callers.sessions or self._loop.now >= self._kill_at - EXIT_MARGIN_S:
+            for listener in self._listeners:
                 listener.abandon()
-            self.loop.stop()
+            self._loop.stop()
         else:
-            self.loop.at(self.loop.now + LOOK, self._end_when_closed)
+            self._loop.at(self._loop.now + CLOSED_POLL_INTERVAL_S, self._stop_when_closed)
--- /dev/null
+++ b/lapishaven/server_status.py
@@ -0,0 +1,54 @@
+"""What the admin server shows of the server: readiness, metrics, and the processes behind it."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from lapishaven.admin.metrics import render
+from lapishaven.broker_host import BrokerHost
+from lapishaven.core.ports import FleetMember
+from lapishaven.counters import Counters
+from lapishaven.graceful_shutdown import GracefulShutdown
+from lapishaven.running_config import RunningConfig
+from lapishaven.server_assembly import Backends
+
+
+class ServerStatus:
+    """The admin server's host."""
+
+    def __init__(
+        self,
+        running: RunningConfig,
+        core: BrokerHost,
+        backends: Backends,
+        shutdown: GracefulShutdown,
+        fleet: FleetMember | None,
+        counters: Counters,
+    ) -> None:
+        self._running = running
+        self._core = core
+        self._backends = backends
+        self._shutdown = shutdown
+        self._fleet = fleet
+        self._counters = counters
+
+    def ready(self) -> bool:
+        """Whether the backend is up, the broker runs, and no notice to shut down has come."""
+        return self._core.broker is not None and not self._shutdown.requested
+
+    def metrics(self) -> bytes:
+        """The metrics in the Prometheus text format."""
+        broker = self._core.broker
+        return render(
+            self._counters,
+            self._running.classes,
+            open_requests=len(broker.requests) if broker is not None else 0,
+            ready=self.ready(),
+            fleet=self._fleet.state() if self._fleet is not None else None,
+            spread=self.spread_state(),
+        )
+
+    def spread_state(self) -> dict[str, Any] | None:
+        """The state of each process that attempts are balanced over; ``None`` if they are not."""
+        load_balanced = self._backends.load_balanced
+        return load_balanced.state() if load_balanced is not None else None
--- a/lapishaven/signals.py
+++ b/lapishaven/signals.py
@@ -1,4 +1,4 @@
-"""The signals that the program is told by, with the moment at which each came."""
+"""The signals that control the process, each with the moment at which it came."""
 
 from __future__ import annotations
 
@@ -6,43 +6,80 @@
 import time
 from collections.abc import Callable
 from types import FrameType
+from typing import NamedTuple
 
 from lapishaven.net.wake import Wake
 
-HEARD = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
+
+
+class ReceivedSignal(NamedTuple):
+    """A signal and when it came."""
+
+    number: int
+    at: float  # seconds on the clock of ``Signals``
 
 
 class Signals:
-    """Hears them from its making to ``close``.
+    """Receives signals from its construction until ``close``.
 
-    The loop is woken through a pipe. A handler notes the time, since the loop may be in the middle of a long round:
-    the time that is left until the kill counts from the signal, and not from when the loop takes it up.
+    The loop is woken through a pipe (``signal.set_wakeup_fd``). The handler notes the time itself, since the loop may
+    be in the middle of a long round, and the time until the kill counts from the signal.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
-        self._clock, self._came = clock, dict[int, float]()
+        self._clock = clock
+        self._received_at: dict[int, float] = {}  # by signal number, of those not yet taken
         self._wake = Wake()
-        self._old_wakeup = signal.set_wakeup_fd(self._wake.writer, warn_on_full_buffer=False)
-        self._old = {number: signal.signal(number, self._note) for number in HEARD}
+        self._previous_wakeup_fd = signal.set_wakeup_fd(self._wake.writer, warn_on_full_buffer=False)
+        self._previous_handlers = {number: signal.signal(number, self._note) for number in HANDLED_SIGNALS}
 
     def _note(self, number: int, frame: FrameType | None) -> None:
-        self._came.setdefault(number, self._clock())
+        self._received_at.setdefault(number, self._clock())
 
     @property
     def ready(self) -> int:
         """The descriptor that is readable once a signal came."""
         return self._wake.reader
 
-    def take(self) -> list[tuple[int, float]]:
-        """Those that came since the last call, in their order, each with its time."""
-        return [(number, self._came.pop(number, self._clock())) for number in self._wake.drain()]
+    def take(self) -> list[ReceivedSignal]:
+        """The signals since the last call, in their order."""
+        return [ReceivedSignal(number, self._received_at.pop(number, self._clock())) for number in self._wake.drain()]
 
     def close(self) -> None:
-        """Hear no more: what comes now does what it did before."""
-        signal.set_wakeup_fd(self._old_wakeup)
-        for number, handler in self._old.items():
+        """Restore the handlers that were there before."""
+        signal.set_wakeup_fd(self._previous_wakeup_fd)
+        for number, handler in self._previous_handlers.items():
             signal.signal(number, handler if handler is not None else signal.SIG_DFL)
         self._wake.close()
 
 
-__all__ = ["HEARD", "Signals"]
+class SignalDispatcher:
+    """Logs each signal and calls what it asks for: SIGUSR1 the counters, SIGHUP a reload, others the shutdown."""
+
+    def __init__(
+        self,
+        log: Callable[[str], None],
+        log_counters: Callable[[], None],
+        reload: Callable[[], None],
+        drain: Callable[[float], None],
+    ) -> None:
+        """``drain`` is called with the time of the signal."""
+        self._log = log
+        self._log_counters = log_counters
+        self._reload = reload
+        self._drain = drain
+
+    def dispatch(self, received: list[ReceivedSignal]) -> None:
+        """Handle signals in their order."""
+        for number, at in received:
+            self._log(f"signal {number} at {time.time():.3f}")
+            if number == signal.SIGUSR1:
+                self._log_counters()
+            elif number == signal.SIGHUP:
+                self._reload()
+            else:
+                self._drain(at)
+
+
+__all__ = ["HANDLED_SIGNALS", "ReceivedSignal", "SignalDispatcher", "Signals"]
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -36,7 +36,7 @@
 from lapishaven.net.loop import Loop
 from lapishaven.proto import uwsgi
 from lapishaven.proto.lines import Lines
-from lapishaven.server import Server
+from lapishaven.server import Server, ServerOptions
 
 CLASSES = [("fuzzy-match", 1.5, 5.6, "free", 1.0), ("approve-commit", 1.1, 3.8, "single_shot", 3.0)]
 SETTINGS: dict[str, Any] = {
@@ -217,16 +217,15 @@
         front = config.UwsgiFrontendConfig(("127.0.0.1", 0), "/match/", 30.0)
         self.said: list[str] = []
         self.files = text
-        self.server = Server(
-            config.parse(text, environ),
-            front,
-            self.backend,
+        options = ServerOptions(
             loop=Loop(lambda: self.now),
             log=self.said.append,
             dial=self.dial,
-            contracts=self.contracts,
-            store=self.store,
-            files=lambda: config.Files(config.parse(self.files)),
+            read_files=lambda: config.Files(config.parse(self.files)),
+            attempt_log=self.store,
+        )
+        self.server = Server(
+            config.Files(config.parse(text, environ), front, self.backend, contracts=self.contracts), options
         )
         self.peers: dict[str, Peer] = {}
         self.pump()
@@ -236,9 +235,9 @@
             session.conn.abort(ConnectionEnd.SHUTDOWN)
         for listener in self.server.listeners:
             listener.abandon()
-        if self.server.control_door is not None:
-            self.server.control_door.close()
-        for driver in self.server.drivers.values():
+        if self.server.admin is not None:
+            self.server.admin.close()
+        for driver in self.server.backends.by_name.values():
             driver.close()
         self.server.reporter.close()
         self.server.loop.close()
@@ -285,8 +284,8 @@
             ours, theirs = socket.socketpair()
             self.peers[name] = Peer(ours)
             if name[0] == "h":
-                assert self.server.control_door is not None
-                self.server.control_door.listener.adopt(theirs)
+                assert self.server.admin is not None
+                self.server.admin.listener.adopt(theirs)
             else:
                 self.server.listeners[1 if name[0] == "u" else 0].adopt(theirs)
         return self.peers[name]
@@ -312,7 +311,7 @@
 
     def do_send(self, name: str, what: str, *rest: str) -> None:
         if name == "server":
-            self.server.drain() if what == "TERM" else self.server.reload()
+            self.server.drain() if what == "TERM" else self.server.config_reload.reload()
         elif name == "up":
             body = b"done " + rest[0].encode() if rest else b""
             more = (("Retry-After", "1"),) if what == "503" else ()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -82,7 +82,7 @@
 
     # Guards against control callers that use up descriptors: past the limit the oldest makes room.
     def test_more_callers_than_the_limit_close_the_oldest(self) -> None:
-        door = self.server.control_door
+        door = self.server.admin
         assert door is not None
         silent = [socket.create_connection(door.listener.address) for _ in range(LIMIT + 3)]
         self.wait(0.5)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -320,7 +320,7 @@
             expect vm APPLY c1.1
         """)
         with (
-            mock.patch.object(self.server, "finished", side_effect=RuntimeError("planted")),
+            mock.patch.object(self.server.core, "finished", side_effect=RuntimeError("planted")),
             mock.patch("traceback.print_exc"),
         ):
             self.play("send vm ERROR c1.1")
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -18,9 +18,9 @@
 
 from lapishaven.client_connections import CLOSED_AT_ONCE
 from lapishaven.core.drain_state import FINAL_ANSWER_MARGIN_S
-from lapishaven.graceful_shutdown import EXIT_ROOM
+from lapishaven.graceful_shutdown import EXIT_MARGIN_S
 from lapishaven.net.listener import ACCEPTS
-from lapishaven.signals import Signals
+from lapishaven.signals import ReceivedSignal, Signals
 
 STOP = 3.2  # s from the notice to the kill in these configurations
 GRACE = 2.0
@@ -81,7 +81,7 @@
 
     # Guards against unread requests that are reset as a server that never came up ends at once.
     def test_before_the_banner_all_that_was_asked_is_refused_and_closed_in_order(self) -> None:
-        self.server.broker, broker = None, self.server.broker
+        self.server.core.broker, broker = None, self.server.broker
         assert broker is not None
         connected = self.connect()
         self.send(connected, self.message("t1", "1", "fuzzy-match"))
@@ -99,7 +99,7 @@
         self.wait_to_stop(0.5)
 
     def test_before_the_banner_a_silent_peer_does_not_keep_the_process(self) -> None:
-        self.server.broker = None
+        self.server.core.broker = None
         self.connect()
         self.server.drain()
         self.wait_to_stop(1.1)
@@ -134,7 +134,7 @@
         began = self.now
         self.server.drain()
         self.wait_to_stop(STOP)
-        self.assertAlmostEqual(self.now - began, STOP - EXIT_ROOM, delta=0.03)
+        self.assertAlmostEqual(self.now - began, STOP - EXIT_MARGIN_S, delta=0.03)
 
     # Guards against answers held back until the kill: a reader that is slow may be half through its last one.
     def test_a_slow_reader_gets_its_last_answers_whole(self) -> None:
@@ -190,7 +190,7 @@
     """A reload and the notice to leave in one wake-up, either way round."""
 
     def signalled(self, *numbers: int) -> None:
-        self.server._signalled([(number, self.now) for number in numbers])
+        self.server.signal_dispatcher.dispatch([ReceivedSignal(number, self.now) for number in numbers])
         self.pump()
 
     # Guards against a kill that finds requests open: the file just taken says how long there is.
@@ -356,7 +356,7 @@
     signals = Signals(lambda: next(clock))
     try:
         os.kill(os.getpid(), signal.SIGTERM)
-        wait_for(lambda: signals._came, "the handler")
+        wait_for(lambda: signals._received_at, "the handler")
         assert signals.take() == [(signal.SIGTERM, 10.0)]
         assert signals.take() == []
     finally:
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -70,8 +70,9 @@
         self.disk.locked = False
         self.base = Store(self.disk.mount(), Limits(segment=100_000), lambda: 1000.0, thread=False)
         self.keeper = DurableResults(self.base, 900.0, wall=lambda: 1000.0)
-        self.server.keeper, self.server.broker = self.keeper, None
-        self.server.up(False, 1.0)
+        self.server.core.result_store = self.keeper
+        self.server.core.broker = None
+        self.server.core.up(False, 1.0)
 
     def durable(self) -> None:
         while self.base.commit():
@@ -92,7 +93,7 @@
         self.durable()
         self.play("expect u1 200 u1\n send u2 approve-commit id=k retry=1\n expect u2 200 u1")
         self.runs(1)
-        self.server.tell_counters()
+        self.server.counter_report.log_counters()
         told = self.server.counters.groups["storage"]
         self.assertEqual((told["effects"], told["in doubt"], told["commits"]), (1, 0, 2))
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -274,16 +274,16 @@
     # Guards against a link to an address that a second reload took back while the first one was dialled.
     def test_a_second_reload_in_the_middle_of_the_first(self) -> None:
         self.play("expect vm CONNECT 0")
-        dial = self.server.drivers["interpreter"]._dial
+        dial = self.server.backends.by_name["interpreter"]._dial
 
         def slow(loop: Loop, address: tuple[str, int], span: float) -> Generator[Any, Any, Any]:
             sock = yield from dial(loop, address, span)
             if address[1] == 4:
                 self.files = configuration(vm="127.0.0.1:2")
-                self.server.reload()
+                self.server.config_reload.reload()
             return sock
 
-        self.server.drivers["interpreter"]._dial = slow
+        self.server.backends.by_name["interpreter"]._dial = slow
         self.files = configuration(vm="127.0.0.1:4")
         self.dialled.clear()
         self.play("""
@@ -382,7 +382,7 @@
             send c1 forget 1
             expect vm BREAK c1.1
         """)
-        self.server.tell_counters()
+        self.server.counter_report.log_counters()
         self.assertIn('"answers": {"failed": 1}', self.said[-1])
         self.assertRegex(self.said[-1], r'"bytes": {"received": \d{3}, "sent": \d{2,3}}')
 
