--- a/lapishaven/admin/__init__.py
+++ b/lapishaven/admin/__init__.py
@@ -1,5 +1,7 @@
-"""The control address: ``GET /v1/readyz`` and ``GET /v1/metrics`` on a door of its own (``door``), with the
-figures in the Prometheus text format (``metrics``)."""
+"""The admin server: ``GET /v1/readyz`` and ``GET /v1/metrics`` on an address of its own (``server``).
+
+The metrics are in the Prometheus text format (``metrics``).
+"""
 
 from lapishaven.admin.server import AdminServer, Host
 
--- a/lapishaven/admin/server.py
+++ b/lapishaven/admin/server.py
@@ -1,8 +1,8 @@
-"""The control door: HTTP/1.1, one call a connection, on the serving loop but apart from its waits.
+"""The admin server: HTTP/1.1, one request a connection, on the serving loop but apart from its requests.
 
-A caller has ``READ_SPAN`` from the accept to send its request whole, and at most ``LIMIT`` calls are open at once,
-the oldest closed to make room for the next. So callers that connect and say nothing cost a descriptor each for a
-while, and nothing else.
+A client has ``REQUEST_TIMEOUT_S`` from the accept to send its request completely, and at most ``MAX_CONNECTIONS`` are
+open at once, the oldest closed to make room for the next. So clients that connect and send nothing cost a descriptor
+each for a while, and nothing else.
 """
 
 from __future__ import annotations
@@ -20,59 +20,65 @@
 from lapishaven.net.loop import Loop, Wait
 from lapishaven.proto import http
 
-LIMIT = 16  # calls open at once
-READ_SPAN = 2.0  # s from the accept for the request to come whole; callers wait 1 s for the answer
-METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+MAX_CONNECTIONS = 16  # open at once
+REQUEST_TIMEOUT_S = 2.0  # from the accept for the request to arrive completely; clients wait 1 s for the answer
+METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 
 class Host(Protocol):
-    """What the control door asks of the server round it."""
+    """What the admin server asks of the server around it."""
 
     def ready(self) -> bool:
         """Whether this process is ready to serve callers."""
 
     def metrics(self) -> bytes:
-        """The figures in the exposition format."""
+        """The metrics in the Prometheus text format."""
 
     def spread_state(self) -> dict[str, Any] | None:
-        """What is known of the processes behind this one; none where there are none."""
+        """The state of each process that attempts are balanced over; ``None`` if they are not."""
 
 
 class AdminServer:
-    """Listens on ``address`` (raises ``OSError``) and answers each call from ``host``."""
+    """Listens on ``address`` from its construction, and answers each request from ``host``."""
 
     def __init__(self, loop: Loop, address: tuple[str, int], host: Host, counters: Counters) -> None:
-        self.loop, self.host, self.counters = loop, host, counters
-        self.calls: dict[Connection, None] = {}  # open, oldest first
-        self._room = Evictions(loop)
-        self.listener = Listener(loop, address, Budget(LIMIT, 0), self._accepted, self._make_room)
+        """Bind the address. Raises ``OSError``."""
+        self._loop = loop
+        self._host = host
+        self._counters = counters
+        self._connections: dict[Connection, None] = {}  # an ordered set, the oldest first
+        self._evictions = Evictions(loop)
+        self.listener = Listener(loop, address, Budget(MAX_CONNECTIONS, 0), self._accepted, self._make_room)
 
     def _accepted(self, sock: socket.socket) -> None:
-        self.counters.add("control", "calls")
-        conn = Connection(self.loop, sock, lambda end: self._ended(conn, end))
-        self.calls[conn] = None
-        self.loop.spawn(self._serve(conn), lambda error: conn.close(ConnectionEnd.FAULT))
+        self._counters.add("control", "calls")
+        conn = Connection(self._loop, sock, lambda end: self._ended(conn, end))
+        self._connections[conn] = None
+        self._loop.spawn(self._serve(conn), lambda error: conn.close(ConnectionEnd.FAULT))
 
     def _make_room(self) -> bool:
-        if self._room.free():
+        """Begin to close the oldest connection, and return whether a descriptor is free by now."""
+        if self._evictions.free():
             return True
-        oldest = next((conn for conn in self.calls if conn.closing is None), None)
-        if oldest is not None and not len(self._room):
-            self.counters.add("control", "evicted")
+        oldest = next((conn for conn in self._connections if conn.closing is None), None)
+        if oldest is not None and not len(self._evictions):
+            self._counters.add("control", "evicted")
             oldest.close(ConnectionEnd.EVICTED)
-            self._room.add(oldest)
+            self._evictions.add(oldest)
         return not self.listener.budget.full
 
     def _ended(self, conn: Connection, end: ConnectionEnd) -> None:
-        del self.calls[conn]
+        del self._connections[conn]
         self.listener.budget.used -= 1
         self.listener.room_made()
-        self.counters.add("ends", f"control {end.value}")
+        self._counters.add("ends", f"control {end.value}")
 
     def _serve(self, conn: Connection) -> Generator[Wait, Any, None]:
-        calls, until = http.Calls(), self.loop.now + READ_SPAN
-        while (span := until - self.loop.now) > 0:
-            data = yield from conn.read(span)
+        """Read one request and answer it."""
+        calls = http.Calls()
+        read_until = self._loop.now + REQUEST_TIMEOUT_S
+        while (time_left := read_until - self._loop.now) > 0:
+            data = yield from conn.read(time_left)
             if isinstance(data, ConnectionEnd):
                 return conn.close(data)
             try:
@@ -81,26 +87,26 @@
                 conn.write(calls.response(error.status, f"{error}\n".encode()))
                 return conn.close(ConnectionEnd.PROTOCOL_ERROR)
             if call is not None:
-                conn.write(self.answer(calls, *call))
+                conn.write(self._answer(calls, *call))
                 return conn.close(ConnectionEnd.FINISHED)
         conn.close(ConnectionEnd.TIMED_OUT)
 
-    def answer(self, calls: http.Calls, method: str, path: str) -> bytes:
-        """The response to one call."""
-        if path == "/v1/spread" and method == "GET" and (state := self.host.spread_state()) is not None:
+    def _answer(self, calls: http.Calls, method: str, path: str) -> bytes:
+        """The response to one request."""
+        if path == "/v1/spread" and method == "GET" and (state := self._host.spread_state()) is not None:
             return calls.response(200, json.dumps(state).encode() + b"\n", "application/json")
         if path not in ("/v1/readyz", "/v1/metrics"):
             return calls.response(404, b"no such call\n")
         if method != "GET":
             return calls.response(405, b"only GET\n")
         if path == "/v1/readyz":
-            ready = self.host.ready()
+            ready = self._host.ready()
             return calls.response(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
-        return calls.response(200, self.host.metrics(), METRICS_TYPE)
+        return calls.response(200, self._host.metrics(), METRICS_CONTENT_TYPE)
 
     def close(self) -> None:
-        """No more calls; those open are closed at once, as the process ends."""
+        """Close the listener and, as the process ends, all connections at once."""
         self.listener.abandon()
-        for conn in list(self.calls):
+        for conn in list(self._connections):
             conn.flush()
             conn.abort(ConnectionEnd.SHUTDOWN)
--- a/lapishaven/attempt_log.py
+++ b/lapishaven/attempt_log.py
@@ -1,7 +1,7 @@
-"""The store of record: what was started and answered, kept beyond the process.
+"""The attempt log: what was started and answered, kept beyond the process.
 
-The event path only queues; a writer of the store's own puts batches away. A crash may lose the last batch.
-PostgreSQL is not there: only SQLite is, behind the ``Store`` interface.
+The event loop only queues entries; a thread of the log's own writes them in batches (write-behind). A crash may lose
+the last batch.
 """
 
 from __future__ import annotations
@@ -22,56 +22,69 @@
 );
 create index if not exists record_key on record (event, class, key);
 """
-QUEUE = 10_000  # entries that wait for the writer at most; more are counted as dropped, the path never waits
+QUEUE_LIMIT = 10_000  # entries that wait for the writer at most; further ones are dropped, as the loop must not wait
 
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """One line of record: a run that was started, or an answer."""
+    """One row of the log: a run that was started, or proven not to have run, or an answer."""
 
-    event: str
-    handle: str
-    cls: str
-    key: str | None
-    team: str | None
-    service: str | None
-    detail: str
+    event: str  # "started", "unrun" or "answered"
+    handle: str  # the attempt id
+    cls: str  # name of its class
+    key: str | None  # its idempotency key, where it has one
+    team: str | None  # the team that it came from, where its protocol names one
+    service: str | None  # the team's service, likewise
+    detail: str  # the outcome or the kind of answer; empty for a start
 
 
 class AttemptLog(Protocol):
-    """Where entries go."""
+    """Takes the entries."""
 
     def record(self, entry: LogEntry) -> None:
-        """Queue an entry; never waits."""
+        """Queue an entry. Never blocks."""
 
     def started(self, span: float) -> list[tuple[str, str, float]]:
-        """Class, key and age of keyed runs that were started in the last ``span`` seconds, oldest first."""
+        """Class, key and age in seconds of runs with keys that started in the last ``span`` seconds, oldest first."""
 
     def close(self) -> None:
-        """Put away what is queued."""
+        """Write what is queued. Blocks until that is done."""
 
 
 class SqliteAttemptLog:
-    """A store in one SQLite file."""
+    """An attempt log in one SQLite file."""
 
     def __init__(self, path: str, dropped: Callable[[], None], wall: Callable[[], float] = time.time) -> None:
-        self._path, self._dropped, self._wall = path, dropped, wall
-        with closing(sqlite3.connect(path)) as base:
-            base.executescript(SCHEMA)
-        self._queue: queue.Queue[tuple[float, LogEntry] | None] = queue.Queue(QUEUE)
+        """Open or create the file at ``path``. Raises ``sqlite3.Error``.
+
+        ``dropped`` is called for each entry that is lost, from the loop or from the writer's thread; ``wall`` gives
+        the time in Unix seconds.
+        """
+        self._path = path
+        self._dropped = dropped
+        self._wall = wall
+        with closing(sqlite3.connect(path)) as database:
+            database.executescript(SCHEMA)
+        # Entries with their times in Unix seconds; None ends the writer.
+        self._queue: queue.Queue[tuple[float, LogEntry] | None] = queue.Queue(QUEUE_LIMIT)
         self._writer = threading.Thread(target=self._write, name="store", daemon=True)
         self._writer.start()
 
     def record(self, entry: LogEntry) -> None:
+        """Queue an entry; it is dropped if the queue is full. Never blocks."""
         try:
             self._queue.put_nowait((self._wall(), entry))
         except queue.Full:
             self._dropped()
 
     def started(self, span: float) -> list[tuple[str, str, float]]:
+        """Class, key and age in seconds of the runs with keys that started in the last ``span`` seconds, oldest first.
+
+        Runs that were proven not to have run are left out. Blocks while it reads the file.
+        """
         now = self._wall()
-        with closing(sqlite3.connect(self._path)) as base:
-            rows = base.execute(
+        with closing(sqlite3.connect(self._path)) as database:
+            rows = database.execute(
                 "select class, key, max(at) from record"
                 " where event in ('started', 'unrun') and key is not null and at > ?"
                 " group by class, key having sum(iif(event = 'started', 1, -1)) > 0 order by max(at)",
@@ -80,23 +93,35 @@
         return [(cls, key, max(0.0, now - at)) for cls, key, at in rows]
 
     def close(self) -> None:
+        """Write what is queued. Blocks until that is done."""
         self._queue.put(None)
         self._writer.join()
 
     def _write(self) -> None:
-        with closing(sqlite3.connect(self._path)) as base:
-            while True:
-                batch = [self._queue.get()]
-                while not self._queue.empty():
-                    batch.append(self._queue.get())
-                rows = [
-                    (at, e.event, e.handle, e.cls, e.key, e.team, e.service, e.detail) for at, e in filter(None, batch)
-                ]
-                try:
-                    with base:
-                        base.executemany("insert into record values (?, ?, ?, ?, ?, ?, ?, ?)", rows)
-                except sqlite3.Error:
-                    for _ in rows:
-                        self._dropped()
-                if None in batch:
-                    return
+        """Write batches until the queue is closed."""
+        with closing(sqlite3.connect(self._path)) as database:
+            closed = False
+            while not closed:
+                batch = self._next_batch()
+                closed = None in batch
+                self._write_batch(database, [entry for entry in batch if entry is not None])
+
+    def _next_batch(self) -> list[tuple[float, LogEntry] | None]:
+        """Wait for an entry; it and all that are queued by then."""
+        batch = [self._queue.get()]
+        while not self._queue.empty():
+            batch.append(self._queue.get())
+        return batch
+
+    def _write_batch(self, database: sqlite3.Connection, entries: list[tuple[float, LogEntry]]) -> None:
+        """Write entries in one transaction; all are dropped if that fails."""
+        rows = [
+            (at, entry.event, entry.handle, entry.cls, entry.key, entry.team, entry.service, entry.detail)
+            for at, entry in entries
+        ]
+        try:
+            with database:
+                database.executemany("insert into record values (?, ?, ?, ?, ?, ?, ?, ?)", rows)
+        except sqlite3.Error:
+            for _ in rows:
+                self._dropped()
--- a/lapishaven/client_connections.py
+++ b/lapishaven/client_connections.py
@@ -1,4 +1,4 @@
-"""The callers' connections of all fronts: within the descriptors, without the silent and the idle."""
+"""The callers' connections of all frontends: within the descriptor budget, without silent and idle ones."""
 
 from __future__ import annotations
 
@@ -9,89 +9,96 @@
 from lapishaven.net.listener import Budget
 from lapishaven.net.loop import Loop
 
-WHOLE = 2.0  # s for a message to come whole, the first one counted from the accept
-SWEEP = 0.05  # s between looks for idle connections
-CLOSED_AT_ONCE = 16  # a full table begins to close one in so many, so that a burst finds room without a wait for each
+MESSAGE_TIMEOUT_S = 2.0  # for a message to arrive completely, the first one counted from the accept
+SWEEP_INTERVAL_S = 0.05  # between checks for idle and silent connections
+EVICTION_PART = 16  # one connection in so many is closed at once, so that a burst need not wait for room each time
 
 
 class ClientConnections:
-    """Holds every session from its accept until its descriptor is given back."""
+    """Every session from its accept until its descriptor is free again."""
 
     def __init__(self, loop: Loop, budget: Budget, counters: Counters, idle: float) -> None:
-        self.loop, self.budget, self.counters = loop, budget, counters
-        self.idle = idle  # s after which a connection that has nothing open is closed
-        self.sessions: dict[Session, float] = {}  # when each was last looked at, oldest look first
-        self._room = Evictions(loop)
+        """``idle`` is the idle timeout in seconds."""
+        self.idle = idle  # seconds after which a connection with nothing open is closed
+        self.sessions: dict[Session, float] = {}  # when each was last examined, the least recent first
+        self._loop = loop
+        self._budget = budget
+        self._counters = counters
+        self._evictions = Evictions(loop)
         self.sweep()
 
     def add(self, session: Session) -> None:
-        """It was accepted and starts."""
-        self.counters.add("connections", "accepted")
-        self.sessions[session] = self.loop.now
-        self.loop.spawn(session.run(), lambda error: self._failed(session))
+        """Start a session that was just accepted."""
+        self._counters.add("connections", "accepted")
+        self.sessions[session] = self._loop.now
+        self._loop.spawn(session.run(), lambda error: self._failed(session))
 
     def _failed(self, session: Session) -> None:
-        """Its coroutine has ended by a fault of ours: what is open there is answered, and the connection closed."""
-        self.counters.add("faults", "session")
+        """Its coroutine has ended by a fault of this program: close it once what is open there is answered."""
+        self._counters.add("faults", "session")
         session.leave(ConnectionEnd.FAULT)
 
     def ended(self, session: Session, end: ConnectionEnd) -> None:
-        """Its descriptor has been given back."""
+        """Its connection has ended and its descriptor is free."""
         if self.sessions.pop(session, None) is not None:
-            self.budget.used -= 1
-            self.counters.add("ends", f"caller {end.value}")
+            self._budget.used -= 1
+            self._counters.add("ends", f"caller {end.value}")
 
-    # ---- Making room
+    # ---- Eviction
     def make_room(self) -> bool:
-        """Begin to close connections that have long been idle, and say whether a descriptor is free by now.
+        """Begin to evict connections that have long been idle, and return whether a descriptor is free by now.
 
-        Each in turn is let off once for a whole message since the last look, so that connections which say
-        nothing go before callers that come back.
+        The order is that of the clock algorithm (second chance): a connection that was used since it was last examined
+        is passed over once, so that those which never send anything go before callers that come back.
         """
-        if self._room.free():
+        if self._evictions.free():
             return True
-        wanted = max(1, self.budget.room // CLOSED_AT_ONCE) - len(self._room)
+        wanted = max(1, self._budget.room // EVICTION_PART) - len(self._evictions)
         for session in list(self.sessions):
             if wanted <= 0:
                 break
-            said = session.since is None and session.conn.active > self.sessions[session]
+            was_used = session.since is None and session.conn.active > self.sessions[session]
             del self.sessions[session]
             self.sessions[session] = session.conn.active
-            if not said and not session.conn.out.size and self._close_at_rest(session, ConnectionEnd.EVICTED):
-                self._room.add(session.conn)
+            is_evictable = not was_used and not session.conn.out.size
+            if is_evictable and self._close_at_rest(session, ConnectionEnd.EVICTED):
+                self._evictions.add(session.conn)
                 wanted -= 1
-        return not self.budget.full
+        return not self._budget.full
 
     def _close_at_rest(self, session: Session, end: ConnectionEnd) -> bool:
-        """Close it if nothing is open or under way there, also not in the kernel's buffer. What it has not read yet is
-        still sent, if it reads at all."""
+        """Close a connection unless something is open or on its way there, in the kernel's buffer too.
+
+        What its peer has not read yet is still sent, if it reads at all. Returns whether it was closed.
+        """
         conn = session.conn
         if session.busy or conn.closing is not None or conn.end is not None or conn.catch_up():
             return False
         session.leave(end)
         return True
 
-    # ---- Idle and silent ones
+    # ---- Timeouts
     def sweep(self) -> None:
-        """Close those that are idle for long, and those whose message does not come whole."""
-        idle_since, silent_since = self.loop.now - self.idle, self.loop.now - WHOLE
+        """Close idle connections, and those whose message did not arrive completely in time; again at each interval."""
+        idle_since = self._loop.now - self.idle
+        silent_since = self._loop.now - MESSAGE_TIMEOUT_S
         for session in list(self.sessions):
             if session.since is not None:
-                # Silent or half-open: no use of it, while callers may want its place.
+                # Silent or half-open: it is of no use, and other callers may need its descriptor.
                 if session.since <= silent_since:
                     self._close_at_rest(session, ConnectionEnd.TIMED_OUT)
             elif session.conn.active < idle_since:
                 self._close_at_rest(session, ConnectionEnd.IDLE)
-        self.loop.at(self.loop.now + SWEEP, self.sweep)
+        self._loop.at(self._loop.now + SWEEP_INTERVAL_S, self.sweep)
 
-    # ---- The end
+    # ---- Shutdown
     def drain(self) -> None:
-        """Tell all that nothing new is to be sent here."""
+        """Tell all peers that nothing new is to be sent here."""
         for session in self.sessions:
             session.drain()
 
     def leave(self) -> None:
-        """Close all, each once what is open there is answered. What is in the kernel's buffers by now is read first."""
+        """Close all, each once what is open there is answered; what the kernel's buffers hold by now is read first."""
         for session in list(self.sessions):
             session.conn.catch_up()
         for session in list(self.sessions):
--- a/lapishaven/connection_end.py
+++ b/lapishaven/connection_end.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection can end, and what that end means to the decision module."""
+"""Every way in which a connection can end, and the outcome of an attempt that was carried by it."""
 
 from __future__ import annotations
 
@@ -8,26 +8,24 @@
 
 
 class ConnectionEnd(Enum):
-    """One value for each way in which a connection can end."""
+    """How a connection ended. The values are counted, so they are part of the interface."""
 
     PEER_CLOSED = "peer closed"
-    RESET = "reset"
+    RESET = "reset"  # by the peer, or by the network
     PROTOCOL_ERROR = "protocol error"
-    TOO_LARGE = "too large"
-    IDLE = "idle"
-    EVICTED = "evicted"
+    TOO_LARGE = "too large"  # a message, or the bytes that the peer does not read
+    IDLE = "idle"  # unused for longer than the idle timeout
+    EVICTED = "evicted"  # closed to free its descriptor
     TIMED_OUT = "timed out"
-    UNREACHED = "unreached"
-    DRAINED = "drained"
-    FINISHED = "finished"
-    ABANDONED = "abandoned"
-    SHUTDOWN = "shutdown"
-    MOVED = "moved"  # the other side has a new address
+    UNREACHED = "unreached"  # it was never established
+    DRAINED = "drained"  # closed in a graceful shutdown
+    FINISHED = "finished"  # its last exchange was complete
+    ABANDONED = "abandoned"  # this side no longer needs what it waited for
+    SHUTDOWN = "shutdown"  # the process ended
+    MOVED = "moved"  # the peer has a new address
     FAULT = "fault"  # a fault of this program
 
 
-# What the end of a backend's connection proves about the attempt that it carried. Only UNREACHED proves
-# that nothing ran; every other end leaves that open, so an unsafe attempt is never started again after it.
 OUTCOMES: dict[ConnectionEnd, Outcome] = {
     ConnectionEnd.PEER_CLOSED: Outcome.RESET,
     ConnectionEnd.RESET: Outcome.RESET,
@@ -44,8 +42,13 @@
     ConnectionEnd.MOVED: Outcome.RESET,
     ConnectionEnd.FAULT: Outcome.RESET,
 }
+"""What the end of a backend's connection proves about the attempt that it carried.
+
+Only ``UNREACHED`` proves that nothing ran. Every other end leaves that open, so an attempt that is not idempotent is
+never started again after it.
+"""
 
 
 def outcome_of(end: ConnectionEnd) -> Outcome:
-    """The module's outcome for an attempt whose connection ended so."""
+    """The outcome of an attempt whose connection ended so."""
     return OUTCOMES[end]
--- a/lapishaven/counters.py
+++ b/lapishaven/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what the program takes in, sends and answers; printed on request and at exit."""
+"""Counters of what the program reads, sends and answers, logged on request and at exit."""
 
 from __future__ import annotations
 
@@ -10,14 +10,17 @@
     """Groups of named counts; a group appears with its first count."""
 
     def __init__(self) -> None:
-        self.groups: dict[str, Counter[str]] = {}
+        self.groups: dict[str, Counter[str]] = {}  # by name of the group
 
     def add(self, group: str, name: str, amount: int = 1) -> None:
+        """Add to a count, which is 0 before."""
         self.groups.setdefault(group, Counter())[name] += amount
 
     def get(self, group: str, name: str) -> int:
+        """A count; 0 if it was never added to."""
         return self.groups.get(group, Counter())[name]
 
     def line(self) -> str:
-        """All counts as one JSON line, in a steady order."""
-        return "counters " + json.dumps({g: dict(sorted(c.items())) for g, c in sorted(self.groups.items())})
+        """All counts as one line of JSON, sorted by name."""
+        groups = {group: dict(sorted(counts.items())) for group, counts in sorted(self.groups.items())}
+        return "counters " + json.dumps(groups)
--- a/lapishaven/server_assembly.py
+++ b/lapishaven/server_assembly.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from lapishaven.admin.server import LIMIT as ADMIN_CALL_LIMIT
+from lapishaven.admin.server import MAX_CONNECTIONS as MAX_ADMIN_CONNECTIONS
 from lapishaven.backends import BackendDriver, BackendListener
 from lapishaven.backends.interpreter import InterpreterBackend
 from lapishaven.backends.uwsgi import UwsgiBackend
@@ -54,8 +54,8 @@
         attempts = UWSGI_ATTEMPT_DESCRIPTORS
     else:
         attempts = 0
-    admin_calls = ADMIN_CALL_LIMIT if files.config.control else 0
-    reserve = RESERVED_DESCRIPTORS + attempts + admin_calls
+    admin_connections = MAX_ADMIN_CONNECTIONS if files.config.control else 0
+    reserve = RESERVED_DESCRIPTORS + attempts + admin_connections
     part = RESERVE_PART_LOAD_BALANCED if files.spread is not None else RESERVE_PART
     descriptors = files.config.descriptors
     return Budget(descriptors, min(reserve, descriptors // part))
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -9,7 +9,7 @@
 from scenario import World, configuration
 
 from lapishaven import config
-from lapishaven.admin.server import LIMIT
+from lapishaven.admin.server import MAX_CONNECTIONS
 from lapishaven.net.listener import Budget, Listener
 from lapishaven.net.loop import Loop
 
@@ -82,11 +82,13 @@
 
     # Guards against control callers that use up descriptors: past the limit the oldest makes room.
     def test_more_callers_than_the_limit_close_the_oldest(self) -> None:
-        door = self.server.admin
-        assert door is not None
-        silent = [socket.create_connection(door.listener.address) for _ in range(LIMIT + 3)]
+        admin = self.server.admin
+        assert admin is not None
+        silent = [socket.create_connection(admin.listener.address) for _ in range(MAX_CONNECTIONS + 3)]
         self.wait(0.5)
-        self.assertEqual((door.listener.budget.used, self.server.counters.get("control", "evicted")), (LIMIT, 3))
+        self.assertEqual(
+            (admin.listener.budget.used, self.server.counters.get("control", "evicted")), (MAX_CONNECTIONS, 3)
+        )
         for sock in silent:
             sock.close()
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -14,7 +14,7 @@
 
 from lapishaven.admission import Outcome
 from lapishaven.backends.uwsgi import UwsgiBackend
-from lapishaven.client_connections import WHOLE
+from lapishaven.client_connections import MESSAGE_TIMEOUT_S
 from lapishaven.connection_end import ConnectionEnd
 from lapishaven.counters import Counters
 from lapishaven.frontends import platform
@@ -60,7 +60,7 @@
         self.send(caller, line[:50])
         self.until(lambda: self.of(caller).since is not None and not buffered(self.of(caller).conn.sock), "half of it")
         self.send(caller, line[50:])
-        self.now += WHOLE + 0.1
+        self.now += MESSAGE_TIMEOUT_S + 0.1
         self.server.loop.now = self.now
         self.server.callers.sweep()
         self.until(lambda: "t1.1" in self.vm.handles, "its run")
@@ -105,7 +105,7 @@
                 self.send(caller, rest) if rest else None
                 self.until(lambda conn=conn: not buffered(conn.sock), "the rest read")
                 self.assertGreater(conn.out.size, 0)
-                self.wait((WHOLE if rest else self.server.callers.idle) + LINGER + 0.2)
+                self.wait((MESSAGE_TIMEOUT_S if rest else self.server.callers.idle) + LINGER + 0.2)
                 self.assertIsNotNone(conn.end)
                 self.assertEqual((self.server.budget.used, self.server.loop.unsent), (0, 0))
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from scenario import World
 
-from lapishaven.client_connections import CLOSED_AT_ONCE
+from lapishaven.client_connections import EVICTION_PART
 from lapishaven.core.idempotency_keys import IdempotencyKeyTable
 from lapishaven.net.ring_buffer import RingBuffer, RingBufferFull
 from lapishaven.proto import ProtocolError, catalog, interpreter, jsonrpc, uwsgi
@@ -157,7 +157,7 @@
         # are than are needed, and one batch.
         evicted = self.server.counters.get("ends", "caller evicted")
         self.assertGreaterEqual(evicted, 41)
-        self.assertLessEqual(evicted, 41 + room // CLOSED_AT_ONCE)
+        self.assertLessEqual(evicted, 41 + room // EVICTION_PART)
         self.play("send vm OK c1.1\nexpect c1 result 1")
         for sock in many:
             sock.close()
