--- a/lapishaven/admission/tenant_quota.py
+++ b/lapishaven/admission/tenant_quota.py
@@ -15,7 +15,7 @@
 
     def __init__(self, settings: Settings) -> None:
         count = len(settings.tenants)
-        self._arrived = [0] * count  # since the last load sample
+        self.arrived = [0] * count  # since the last load sample
         self._rates = [0.0] * count  # requests a second
         self._weights = [1.0] * count
         self.apply_settings(settings)
@@ -26,9 +26,9 @@
 
     def record(self, tenant_index: int) -> float:
         """Count a request; return the factor for its priority weight, 1 for a tenant without a quota."""
-        if tenant_index >= len(self._arrived):
+        if tenant_index >= len(self.arrived):
             return 1.0
-        self._arrived[tenant_index] += 1
+        self.arrived[tenant_index] += 1
         return self._weights[tenant_index]
 
     def update(self) -> None:
@@ -39,9 +39,9 @@
         settings = self._settings
         for index, tenant in enumerate(settings.tenants):
             rate = self._rates[index]
-            rate += POLL_INTERVAL_S / RATE_WINDOW_S * (self._arrived[index] / POLL_INTERVAL_S - rate)
+            rate += POLL_INTERVAL_S / RATE_WINDOW_S * (self.arrived[index] / POLL_INTERVAL_S - rate)
             self._rates[index] = rate
-            self._arrived[index] = 0
+            self.arrived[index] = 0
             local_quota = tenant.quota / max(1, settings.peer_count)
             inside = min(1.0, local_quota / rate) if rate > 0 else 1.0
             self._weights[index] = inside + settings.over_quota_weight * (1.0 - inside)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -14,7 +14,7 @@
 
 from lapishaven.admission import Outcome
 from lapishaven.backends.uwsgi import UwsgiBackend
-from lapishaven.client_connections import WHOLE
+from lapishaven.client_connections import MESSAGE_TIMEOUT_S
 from lapishaven.connection_end import ConnectionEnd
 from lapishaven.counters import Counters
 from lapishaven.frontends import platform
@@ -60,7 +60,7 @@
         self.send(caller, line[:50])
         self.until(lambda: self.of(caller).since is not None and not buffered(self.of(caller).conn.sock), "half of it")
         self.send(caller, line[50:])
-        self.now += WHOLE + 0.1
+        self.now += MESSAGE_TIMEOUT_S + 0.1
         self.server.loop.now = self.now
         self.server.callers.sweep()
         self.until(lambda: "t1.1" in self.vm.handles, "its run")
@@ -106,7 +106,7 @@
                 self.until(lambda conn=conn: not buffered(conn.sock), "the rest read")
                 self.assertGreater(conn.out.size, 0)
                 sent = conn.sent
-                self.wait((WHOLE if rest else self.server.callers.idle) + LINGER_S + 0.2)
+                self.wait((MESSAGE_TIMEOUT_S if rest else self.server.callers.idle) + LINGER_S + 0.2)
                 while conn.end is None and conn.sent != sent:
                     # The kernel took more bytes, in real time, after the close had begun: that renews the wait.
                     sent = conn.sent
@@ -325,7 +325,7 @@
             expect vm APPLY c1.1
         """)
         with (
-            mock.patch.object(self.server, "finished", side_effect=RuntimeError("planted")),
+            mock.patch.object(self.server.core, "finished", side_effect=RuntimeError("planted")),
             mock.patch("traceback.print_exc"),
         ):
             self.play("send vm ERROR c1.1")
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -16,11 +16,11 @@
 from scenario import Peer, Vm, World, configuration
 from wire import Caller, Tcp, wait_for
 
-from lapishaven.client_connections import CLOSED_AT_ONCE
-from lapishaven.core.broker import LEAVE_ROOM
-from lapishaven.graceful_shutdown import EXIT_ROOM
+from lapishaven.client_connections import EVICTION_PART
+from lapishaven.core.drain_state import FINAL_ANSWER_MARGIN_S
+from lapishaven.graceful_shutdown import EXIT_MARGIN_S
 from lapishaven.net.listener import MAX_ACCEPTS_PER_WAKEUP
-from lapishaven.signals import Signals
+from lapishaven.signals import ReceivedSignal, Signals
 
 STOP = 3.2  # s from the notice to the kill in these configurations
 GRACE = 2.0
@@ -63,8 +63,8 @@
 
     # Guards against a door that shuts on callers as there was no descriptor for them in that moment.
     def test_with_no_descriptor_at_the_end_of_the_grace_the_door_waits_for_one(self) -> None:
-        self.server.budget.room = CLOSED_AT_ONCE
-        busy = [self.connect() for _ in range(CLOSED_AT_ONCE)]
+        self.server.budget.room = EVICTION_PART
+        busy = [self.connect() for _ in range(EVICTION_PART)]
         for n, caller in enumerate(busy, 1):
             self.send(caller, self.message(f"t{n}", "1", "fuzzy-match"))
         self.until(lambda: all(f"t{n}.1" in self.vm.handles for n in range(1, 6)), "runs")
@@ -81,7 +81,7 @@
 
     # Guards against unread requests that are reset as a server that never came up ends at once.
     def test_before_the_banner_all_that_was_asked_is_refused_and_closed_in_order(self) -> None:
-        self.server.broker, broker = None, self.server.broker
+        self.server.core.broker, broker = None, self.server.broker
         assert broker is not None
         connected = self.connect()
         self.send(connected, self.message("t1", "1", "fuzzy-match"))
@@ -99,7 +99,7 @@
         self.wait_to_stop(0.5)
 
     def test_before_the_banner_a_silent_peer_does_not_keep_the_process(self) -> None:
-        self.server.broker = None
+        self.server.core.broker = None
         self.connect()
         self.server.drain()
         self.wait_to_stop(1.1)
@@ -111,7 +111,7 @@
         self.send(held, self.message("t1", "1", "approve-commit"))
         self.until(lambda: "t1.1" in self.vm.handles, "its run")
         self.server.drain()
-        self.wait(STOP - LEAVE_ROOM - 0.02)
+        self.wait(STOP - FINAL_ANSWER_MARGIN_S - 0.02)
         held.pump()
         before = list(held.answers)
         self.send(crossing, self.message("t2", "2", "fuzzy-match"))
@@ -134,7 +134,7 @@
         began = self.now
         self.server.drain()
         self.wait_to_stop(STOP)
-        self.assertAlmostEqual(self.now - began, STOP - EXIT_ROOM, delta=0.03)
+        self.assertAlmostEqual(self.now - began, STOP - EXIT_MARGIN_S, delta=0.03)
 
     # Guards against answers held back until the kill: a reader that is slow may be half through its last one.
     def test_a_slow_reader_gets_its_last_answers_whole(self) -> None:
@@ -144,7 +144,7 @@
         conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
         self.server.drain()
         conn.write(bytes(30_000))
-        self.wait(STOP - LEAVE_ROOM + 0.02)
+        self.wait(STOP - FINAL_ANSWER_MARGIN_S + 0.02)
         self.assertGreater(conn.out.size, 0)
         got = 0
         while conn.end is None and not conn.lingers():
@@ -190,7 +190,7 @@
     """A reload and the notice to leave in one wake-up, either way round."""
 
     def signalled(self, *numbers: int) -> None:
-        self.server._signalled([(number, self.now) for number in numbers])
+        self.server.signal_dispatcher.dispatch([ReceivedSignal(number, self.now) for number in numbers])
         self.pump()
 
     # Guards against a kill that finds requests open: the file just taken says how long there is.
@@ -356,7 +356,7 @@
     signals = Signals(lambda: next(clock))
     try:
         os.kill(os.getpid(), signal.SIGTERM)
-        wait_for(lambda: signals._came, "the handler")
+        wait_for(lambda: signals._received_at, "the handler")
         assert signals.take() == [(signal.SIGTERM, 10.0)]
         assert signals.take() == []
     finally:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -9,7 +9,7 @@
 
 from lapishaven import config
 from lapishaven.backends.interpreter import Command, Ledger
-from lapishaven.client_connections import CLOSED_AT_ONCE
+from lapishaven.client_connections import EVICTION_PART
 from lapishaven.net.loop import Loop
 
 
@@ -274,16 +274,16 @@
     # Guards against a link to an address that a second reload took back while the first one was dialled.
     def test_a_second_reload_in_the_middle_of_the_first(self) -> None:
         self.play("expect vm CONNECT 0")
-        dial = self.server.drivers["interpreter"]._dial
+        dial = self.server.backends.by_name["interpreter"]._dial
 
         def slow(loop: Loop, address: tuple[str, int], span: float) -> Generator[Any, Any, Any]:
             sock = yield from dial(loop, address, span)
             if address[1] == 4:
                 self.files = configuration(vm="127.0.0.1:2")
-                self.server.reload()
+                self.server.config_reload.reload()
             return sock
 
-        self.server.drivers["interpreter"]._dial = slow
+        self.server.backends.by_name["interpreter"]._dial = slow
         self.files = configuration(vm="127.0.0.1:4")
         self.dialled.clear()
         self.play("""
@@ -382,7 +382,7 @@
             send c1 forget 1
             expect vm BREAK c1.1
         """)
-        self.server.tell_counters()
+        self.server.counter_report.log_counters()
         self.assertIn('"answers": {"failed": 1}', self.said[-1])
         self.assertRegex(self.said[-1], r'"bytes": {"received": \d{3}, "sent": \d{2,3}}')
 
@@ -427,7 +427,7 @@
             send c2 raw {"id":1
             send c3 raw {"id":1
         """)
-        self.server.budget.room = CLOSED_AT_ONCE  # so that one at a time is closed
+        self.server.budget.room = EVICTION_PART  # so that one at a time is closed
         self.assertTrue(self.server.callers.make_room())
         self.play(r"""
             expect c2 closed         # though it spoke last, and c1 came first
@@ -459,7 +459,7 @@
             expect c1 -32600 65
             send c1 101 fuzzy-match
         """)
-        self.assertEqual(list(self.server.broker.by_handle)[-1], self.call("c1", "101"))
+        self.assertEqual(list(self.server.broker.requests_by_attempt)[-1], self.call("c1", "101"))
         self.assertEqual(self.server.broker.open_requests, 1)
 
     # Guards against closing under a request, and against a table full of idle connections.
@@ -698,7 +698,7 @@
         self.peer("c2").sock.sendall(self.message("c2", "1", "fuzzy-match"))
         for _ in range(4):
             loop.round(0, self.server.turn)
-        self.assertIn(self.call("c2", "1"), self.server.broker.by_handle)
+        self.assertIn(self.call("c2", "1"), self.server.broker.requests_by_attempt)
         self.assertLess(self.server.counters.get("platform", "malformed -32700"), 100)
         self.pump()
         self.assertEqual(self.server.counters.get("platform", "malformed -32700"), 2000)
