--- a/lapishaven/cli/call.py
+++ b/lapishaven/cli/call.py
@@ -25,9 +25,9 @@
 ) -> None:
     """Call match servers. Exit 0: all served; 3: refused; 4: failed or expired; 5: uncertain (worst one counts)."""
     from lapishaven.client import SettingsError
-    from lapishaven.client.command import Wanted, run
+    from lapishaven.client.command import CallOptions, run
 
-    wanted = Wanted(cls, body, file, deadline, count, parallel, row, as_json, log)
+    wanted = CallOptions(cls, body, file, deadline, count, parallel, row, as_json, log)
     try:
         raise typer.Exit(run(settings, tuple(server or ()), catalog, wanted))
     except SettingsError as error:
--- a/lapishaven/client/actions.py
+++ b/lapishaven/client/actions.py
@@ -4,23 +4,23 @@
 
 from dataclasses import dataclass
 
-from lapishaven.client.model import Attempt, Call, Connection, Peer
+from lapishaven.client.model import Attempt, Call, Connection, Endpoint
 from lapishaven.client.outcomes import Outcome
 
 
 @dataclass(frozen=True, slots=True)
-class Dial:
+class OpenConnection:
     connection: Connection
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendRequest:
     connection: Connection
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
-class Withdraw:
+class CancelRequest:
     """Nobody waits for this try any more: send ``forget``, where the wire has it."""
 
     connection: Connection
@@ -28,28 +28,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
+class CloseConnection:
     connection: Connection
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class CheckHealth:
     """Ask how the server is, on a connection of its own; the answer goes to ``probed``."""
 
-    peer: Peer
+    endpoint: Endpoint
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class SendProbe:
     """Ask how the server is on this connection; the answer goes to ``well``."""
 
     connection: Connection
 
 
 @dataclass(frozen=True, slots=True)
-class Finish:
+class CompleteCall:
     call: Call
     outcome: Outcome
 
 
-Action = Dial | Send | Withdraw | Close | Probe | Ask | Finish
+Action = OpenConnection | SendRequest | CancelRequest | CloseConnection | CheckHealth | SendProbe | CompleteCall
--- a/lapishaven/client/asyncio_client.py
+++ b/lapishaven/client/asyncio_client.py
@@ -11,54 +11,64 @@
 from types import TracebackType
 from typing import Any
 
-from lapishaven.client.model import Attempt, Call, Connection, Peer
-from lapishaven.client.outcomes import Ending, Outcome, Reply, unwrap
-from lapishaven.client.policy import Ask, Close, Dial, Finish, Hook, Policy, Probe, Send, Withdraw
+from lapishaven.client.model import Attempt, Call, Connection, Endpoint
+from lapishaven.client.outcomes import AttemptEnd, AttemptResult, Outcome, unwrap
+from lapishaven.client.policy import (
+    CancelRequest,
+    CheckHealth,
+    CloseConnection,
+    CompleteCall,
+    Hook,
+    OpenConnection,
+    Policy,
+    SendProbe,
+    SendRequest,
+)
 from lapishaven.client.settings import Settings, split_address
-from lapishaven.client.wire import WIRES, Clock, Drains, Ended, JsonRpc, Well, Wire
+from lapishaven.client.wire import WIRES, DrainingNotice, JsonRpc, ProbeAnswered, ResponseReceived, TimestampClock, Wire
 from lapishaven.proto import ProtocolError, jsonrpc
 from lapishaven.proto.catalog import LIST_LIMIT, Reader
 
 BODY_LIMIT = jsonrpc.BODY_LIMIT
 POLL_JITTER = 0.1  # of the time between two looks at the catalog
-Sockets = Callable[[int], socket.socket]
+SocketFactory = Callable[[int], socket.socket]
 
 
 def _plain_socket(family: int) -> socket.socket:
     return socket.socket(family, socket.SOCK_STREAM)
 
 
-class _Link(asyncio.Protocol):
+class _ConnectionProtocol(asyncio.Protocol):
     """One connection."""
 
     def __init__(self, client: Client, connection: Connection, wire: Wire) -> None:
         self.client, self.connection, self.wire = client, connection, wire
         self.transport: asyncio.Transport | None = None
-        self.over = False
+        self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        if not self.over:
-            self.client._received(self, data)
+        if not self.closed:
+            self.client._data_received(self, data)
 
     def eof_received(self) -> bool:
-        if not self.over:
-            self.client._ended(self, clean=True)
+        if not self.closed:
+            self.client._stream_ended(self, clean=True)
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        if not self.over:
-            self.client._ended(self, clean=error is None)
+        if not self.closed:
+            self.client._stream_ended(self, clean=error is None)
 
     def write(self, data: bytes) -> None:
         if self.transport is not None and data and not self.transport.is_closing():
             self.transport.write(data)
 
     def close(self, abort: bool = False) -> None:
-        self.over = True
+        self.closed = True
         if self.transport is not None:
             (self.transport.abort if abort else self.transport.close)()
 
@@ -82,12 +92,12 @@
         random: Random | None = None,
         hook: Hook | None = None,
         wall: Callable[[], float] = time.time,
-        sockets: Sockets = _plain_socket,
+        sockets: SocketFactory = _plain_socket,
     ) -> None:
         self.settings = settings
         self._random = random or Random()
         self._hook, self._wall, self._sockets = hook, wall, sockets
-        self._links: dict[int, _Link] = {}
+        self._connections: dict[int, _ConnectionProtocol] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._dialing: dict[int, asyncio.Task[None]] = {}
         self._futures: dict[int, asyncio.Future[Outcome]] = {}
@@ -95,18 +105,18 @@
         self._timer_at = float("inf")
         self._driving = False
         self._closed = False
-        self._saved_at = float("-inf")
+        self._list_saved_at = float("-inf")
 
     # ---- For the application
     async def __aenter__(self) -> Client:
         self.loop = asyncio.get_running_loop()
-        self.clock = Clock(self._wall, self.loop.time)
+        self.clock = TimestampClock(self._wall, self.loop.time)
         now = self.loop.time()
         self.policy = Policy(self.settings, self._random, now, self._hook, shared=self._wall() - now)
         if self.settings.catalog:
-            self._restore()
-            self._task(self._watch_catalog())
-        self._drive()
+            self._restore_list()
+            self._spawn(self._watch_catalog())
+        self._run_policy()
         return self
 
     async def __aexit__(
@@ -143,13 +153,13 @@
         future: asyncio.Future[Outcome] = self.loop.create_future()
         call = self.policy.submit(now, cls, body, deadline=due, row=row, key=key)
         self._futures[call.number] = future
-        self._drive()
+        self._run_policy()
         try:
             return await future
         except asyncio.CancelledError:
             if self._futures.pop(call.number, None) is not None:
                 self.policy.cancel(self.loop.time(), call)
-                self._drive()
+                self._run_policy()
             raise
 
     @property
@@ -162,26 +172,26 @@
             return
         self._closed = True
         self.policy.close(self.loop.time())
-        self._carry_out()
+        self._execute_actions()
         if self._timer is not None:
             self._timer.cancel()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        for link in list(self._links.values()):
+        for link in list(self._connections.values()):
             link.close()
-        self._links.clear()
+        self._connections.clear()
         await asyncio.sleep(0)  # transports close their sockets in the next round
 
     # ---- Policy to sockets
-    def _drive(self) -> None:
+    def _run_policy(self) -> None:
         """Carry out what the policy wants, and be back when it next has something to do."""
         if self._driving or self._closed:
             return
         self._driving = True
         try:
             self.policy.turn(self.loop.time())
-            self._carry_out()
+            self._execute_actions()
         finally:
             self._driving = False
         when = self.policy.next_at()
@@ -189,37 +199,37 @@
             if self._timer is not None:
                 self._timer.cancel()
             self._timer_at = when
-            self._timer = self.loop.call_at(when, self._fire)
+            self._timer = self.loop.call_at(when, self._timer_due)
 
-    def _fire(self) -> None:
+    def _timer_due(self) -> None:
         self._timer, self._timer_at = None, float("inf")
-        self._drive()
+        self._run_policy()
 
-    def _carry_out(self) -> None:
+    def _execute_actions(self) -> None:
         while actions := self.policy.take():
             for action in actions:
-                if isinstance(action, Send):
+                if isinstance(action, SendRequest):
                     self._send(action.connection, action.attempt)
-                elif isinstance(action, Finish):
+                elif isinstance(action, CompleteCall):
                     self._finish(action.call, action.outcome)
-                elif isinstance(action, Dial):
-                    task = self._task(self._dial(action.connection))
+                elif isinstance(action, OpenConnection):
+                    task = self._spawn(self._dial(action.connection))
                     self._dialing[action.connection.id] = task
-                elif isinstance(action, Withdraw):
-                    link = self._links.get(action.connection.id)
+                elif isinstance(action, CancelRequest):
+                    link = self._connections.get(action.connection.id)
                     if link is not None:
-                        link.write(link.wire.withdraw(action.attempt))
-                elif isinstance(action, Close):
+                        link.write(link.wire.cancel(action.attempt))
+                elif isinstance(action, CloseConnection):
                     self._close(action.connection)
-                elif isinstance(action, Ask):
-                    link = self._links.get(action.connection.id)
+                elif isinstance(action, SendProbe):
+                    link = self._connections.get(action.connection.id)
                     if link is not None and isinstance(link.wire, JsonRpc):
-                        link.write(link.wire.ask())
-                elif isinstance(action, Probe):
-                    self._task(self._probe(action.peer))
+                        link.write(link.wire.probe())
+                elif isinstance(action, CheckHealth):
+                    self._spawn(self._check_health(action.endpoint))
 
     def _send(self, connection: Connection, attempt: Attempt) -> None:
-        link = self._links.get(connection.id)
+        link = self._connections.get(connection.id)
         if link is not None:
             link.write(link.wire.send(attempt))
 
@@ -229,7 +239,7 @@
             future.set_result(outcome)
 
     def _close(self, connection: Connection) -> None:
-        link = self._links.pop(connection.id, None)
+        link = self._connections.pop(connection.id, None)
         if link is not None:
             link.close()
         task = self._dialing.pop(connection.id, None)
@@ -237,46 +247,50 @@
             task.cancel()
 
     # ---- Sockets to policy
-    def _received(self, link: _Link, data: bytes) -> None:
+    def _data_received(self, link: _ConnectionProtocol, data: bytes) -> None:
         now, connection = self.loop.time(), link.connection
         try:
             for event in link.wire.feed(data):
-                self._event(now, link, event)
+                self._handle_event(now, link, event)
         except ProtocolError as error:
             if self.policy.single:
-                for attempt in list(connection.open):
-                    self.policy.replied(now, connection, attempt, Reply(Ending.GARBLED, text=str(error)))
+                for attempt in list(connection.in_flight):
+                    self.policy.replied(
+                        now, connection, attempt, AttemptResult(AttemptEnd.MALFORMED_RESPONSE, text=str(error))
+                    )
             link.close(abort=True)
-            self._links.pop(connection.id, None)
+            self._connections.pop(connection.id, None)
             self.policy.closed(now, connection, clean=False)
-        self._drive()
+        self._run_policy()
 
-    def _event(self, now: float, link: _Link, event: Ended | Drains | Well) -> None:
-        if isinstance(event, Drains):
+    def _handle_event(
+        self, now: float, link: _ConnectionProtocol, event: ResponseReceived | DrainingNotice | ProbeAnswered
+    ) -> None:
+        if isinstance(event, DrainingNotice):
             self.policy.draining(now, link.connection)
             return
-        if isinstance(event, Well):
+        if isinstance(event, ProbeAnswered):
             self.policy.well(now, link.connection)
             return
-        self.policy.replied(now, link.connection, event.attempt, event.reply)
+        self.policy.replied(now, link.connection, event.attempt_id, event.result)
         if self.policy.single:
             link.close()
-            self._links.pop(link.connection.id, None)
+            self._connections.pop(link.connection.id, None)
 
-    def _ended(self, link: _Link, clean: bool) -> None:
+    def _stream_ended(self, link: _ConnectionProtocol, clean: bool) -> None:
         now = self.loop.time()
         try:
-            for event in link.wire.ended() if clean else ():
-                self._event(now, link, event)
+            for event in link.wire.end_of_stream() if clean else ():
+                self._handle_event(now, link, event)
         except ProtocolError:
             clean = False
         link.close()
-        self._links.pop(link.connection.id, None)
+        self._connections.pop(link.connection.id, None)
         self.policy.closed(now, link.connection, clean)
-        self._drive()
+        self._run_policy()
 
     # ---- Tasks
-    def _task(self, work: Any) -> asyncio.Task[None]:
+    def _spawn(self, work: Any) -> asyncio.Task[None]:
         task: asyncio.Task[None] = self.loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -294,35 +308,35 @@
         return sock
 
     async def _dial(self, connection: Connection) -> None:
-        row = connection.peer.member.listed
-        link = _Link(self, connection, WIRES[self.settings.wire](self.settings, self.clock))
+        row = connection.endpoint.member.listed
+        link = _ConnectionProtocol(self, connection, WIRES[self.settings.wire](self.settings, self.clock))
         try:
             sock = await self._connect(row.host, row.port, self.settings.connections.dial_timeout_s)
         except (TimeoutError, OSError):
             self._dialing.pop(connection.id, None)
             self.policy.dial_failed(self.loop.time(), connection)
-            return self._drive()
+            return self._run_policy()
         try:
             await self.loop.create_connection(lambda: link, sock=sock)
         except BaseException:
             sock.close()
             raise
         self._dialing.pop(connection.id, None)
-        self._links[connection.id] = link
+        self._connections[connection.id] = link
         self.policy.connected(self.loop.time(), connection)
-        self._drive()
+        self._run_policy()
 
-    async def _probe(self, peer: Peer) -> None:
+    async def _check_health(self, peer: Endpoint) -> None:
         good, row = False, peer.member.listed
         try:
             async with asyncio.timeout(self.settings.health.probe_timeout_s):
-                good = await self._ask(row.host, row.port)
+                good = await self._endpoint_is_healthy(row.host, row.port)
         except (TimeoutError, OSError, ProtocolError):
             pass
         self.policy.probed(self.loop.time(), peer, good)
-        self._drive()
+        self._run_policy()
 
-    async def _ask(self, host: str, port: int) -> bool:
+    async def _endpoint_is_healthy(self, host: str, port: int) -> bool:
         with await self._connect(host, port, self.settings.health.probe_timeout_s) as sock:
             if self.policy.single:
                 return True  # the wire has no check: that the connection came about is all there is to learn
@@ -349,7 +363,7 @@
                                 sock.close()
                             sock = await self._connect(host, port, rules.timeout_s)
                             reader = Reader(f"{host}:{port}")
-                        await self._poll(sock, reader)
+                        await self._poll_list(sock, reader)
                 except (TimeoutError, OSError, ProtocolError) as error:
                     self.policy.counts["catalog failed"] += 1
                     if self._hook is not None:
@@ -362,22 +376,22 @@
             if sock is not None:
                 sock.close()
 
-    async def _poll(self, sock: socket.socket, reader: Reader) -> None:
+    async def _poll_list(self, sock: socket.socket, reader: Reader) -> None:
         membership = self.policy.membership
-        since = self.settings.catalog_rules.deltas and not membership.wants_whole
-        await self.loop.sock_sendall(sock, reader.ask(membership.tag, since))
+        since = self.settings.catalog_rules.deltas and not membership.needs_full_list
+        await self.loop.sock_sendall(sock, reader.ask(membership.version_tag, since))
         while True:
             done, listing = reader.feed(await self.loop.sock_recv(sock, 65536))
             if done:
                 if listing is not None:
                     verdict = self.policy.listed(self.loop.time(), listing)
-                    self._drive()
+                    self._run_policy()
                     if verdict in ("taken", "held back"):
-                        self._save()
+                        self._save_list()
                 return
 
     # ---- The last good list over a restart
-    def _restore(self) -> None:
+    def _restore_list(self) -> None:
         """Read the list that an earlier process kept. One that is missing, unreadable or garbled is no list:
         the catalog is asked as at any start, and the hook is told why."""
         path = self.settings.catalog_rules.file
@@ -387,7 +401,7 @@
             with open(path, "rb") as file:
                 data = file.read(LIST_LIMIT + 1)
             self.policy.listed_before(self.loop.time(), data)
-            self._drive()
+            self._run_policy()
         except FileNotFoundError:
             pass
         except (OSError, ProtocolError) as error:
@@ -395,16 +409,16 @@
             if self._hook is not None:
                 self._hook(self.loop.time(), "list file unreadable", {"error": str(error)})
 
-    def _save(self) -> None:
+    def _save_list(self) -> None:
         """Write the list held, whole or not at all (a file beside it, then a rename), at most every save_s."""
         rules = self.settings.catalog_rules
-        if not rules.file or self.loop.time() < self._saved_at + rules.save_s:
+        if not rules.file or self.loop.time() < self._list_saved_at + rules.save_s:
             return
-        self._saved_at = self.loop.time()
+        self._list_saved_at = self.loop.time()
         part = f"{rules.file}.part"
         try:
             with open(part, "wb") as file:
-                file.write(self.policy.membership.saved())
+                file.write(self.policy.membership.serialize())
                 file.flush()
                 os.fsync(file.fileno())
             os.replace(part, rules.file)
--- a/lapishaven/client/command.py
+++ b/lapishaven/client/command.py
@@ -15,11 +15,11 @@
 from lapishaven.client.settings import Settings, SettingsError, load
 
 # The exit code of each outcome; of several calls the highest counts.
-CODES: dict[type[Outcome], int] = {Served: 0, Refused: 3, Failed: 4, Expired: 4, Cancelled: 4, Uncertain: 5}
+EXIT_CODES: dict[type[Outcome], int] = {Served: 0, Refused: 3, Failed: 4, Expired: 4, Cancelled: 4, Uncertain: 5}
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class CallOptions:
     """What the command line asks for."""
 
     cls: str
@@ -33,7 +33,7 @@
     log: bool
 
 
-def _settings(path: str, servers: tuple[str, ...], catalog: str | None) -> Settings:
+def _load_settings(path: str, servers: tuple[str, ...], catalog: str | None) -> Settings:
     if servers and catalog:
         raise SettingsError("name either --server or --catalog")
     changes: dict[str, Any] = {}
@@ -42,7 +42,7 @@
     return load(path, **changes)
 
 
-def _body(wanted: Wanted) -> bytes:
+def _read_body(wanted: CallOptions) -> bytes:
     if wanted.body is not None and wanted.file is not None:
         raise SettingsError("name either a body or --file")
     if wanted.body is not None:
@@ -55,9 +55,9 @@
     return b"" if sys.stdin.isatty() else sys.stdin.buffer.read(BODY_LIMIT + 1)
 
 
-def run(path: str, servers: tuple[str, ...], catalog: str | None, wanted: Wanted) -> int:
+def run(path: str, servers: tuple[str, ...], catalog: str | None, wanted: CallOptions) -> int:
     """Make the calls; gives the exit code."""
-    settings, body = _settings(path, servers, catalog), _body(wanted)
+    settings, body = _load_settings(path, servers, catalog), _read_body(wanted)
     if wanted.cls not in settings.classes:
         raise SettingsError(f"no class {wanted.cls!r}; there are {', '.join(settings.classes)}")
     if len(body) > BODY_LIMIT:
@@ -70,10 +70,10 @@
         row = -1
     if row is not None and not 0 <= row < 1 << 64:
         raise SettingsError("--row is no hex number of up to 16 digits")
-    return asyncio.run(_calls(settings, body, row, wanted))
+    return asyncio.run(_make_calls(settings, body, row, wanted))
 
 
-async def _calls(settings: Settings, body: bytes, row: int | None, wanted: Wanted) -> int:
+async def _make_calls(settings: Settings, body: bytes, row: int | None, wanted: CallOptions) -> int:
     gate = asyncio.Semaphore(wanted.parallel)
     hook = None
     if wanted.log:
@@ -92,13 +92,13 @@
         async def one() -> int:
             async with gate:
                 outcome = await client.outcome(wanted.cls, body, deadline=wanted.deadline, row=row)
-            print(_line(outcome, wanted.as_json), flush=True)
-            return CODES[type(outcome)]
+            print(_format_outcome(outcome, wanted.as_json), flush=True)
+            return EXIT_CODES[type(outcome)]
 
         return max(await asyncio.gather(*(one() for _ in range(wanted.count))))
 
 
-def _line(outcome: Outcome, as_json: bool) -> str:
+def _format_outcome(outcome: Outcome, as_json: bool) -> str:
     kind = type(outcome).__name__.lower()
     if as_json:
         fields: dict[str, Any] = {"outcome": kind, "tries": outcome.tries, "seconds": round(outcome.span, 6)}
--- a/lapishaven/client/deadlines.py
+++ b/lapishaven/client/deadlines.py
@@ -5,48 +5,50 @@
 import math
 from dataclasses import dataclass
 
-STEP = 0.05  # of the estimate, by which one more time moves a quantile at the most
-CEILING = 0.5  # of the deadline: an estimate never grows past this, or no try would be made that could correct it
+STEP_SIZE = 0.05  # of the estimate, by which one more time moves a quantile at the most
+MAX_DEADLINE_SHARE = (
+    0.5  # of the deadline: an estimate never grows past this, or no try would be made that could correct it
+)
 
 
 @dataclass(slots=True)
-class Quantile:
+class QuantileEstimator:
     """A streaming quantile by stochastic approximation in the log: two numbers whatever passes through.
 
     Each time above the estimate moves it up by ``STEP * part``, each below down by ``STEP * (1 - part)``, so
     that it rests where ``part`` of the times lie below. It follows a change within some 50 times.
     """
 
-    part: float
+    fraction: float
     value: float
 
     def add(self, span: float) -> None:
         up = span > self.value
-        self.value *= math.exp(STEP * (self.part if up else self.part - 1.0))
+        self.value *= math.exp(STEP_SIZE * (self.fraction if up else self.fraction - 1.0))
 
 
-class Estimates:
+class AttemptTimeEstimates:
     """The usual time of a try, and the slow one after which a second copy is worth while, for each class."""
 
     def __init__(self, starts: dict[str, tuple[float, float]], slow_part: float) -> None:
         """``starts``: by class the first estimate and the deadline, in seconds."""
         self._deadlines = {cls: deadline for cls, (_, deadline) in starts.items()}
-        self._usual = {cls: Quantile(0.5, max(start, 1e-4)) for cls, (start, _) in starts.items()}
-        self._slow = {cls: Quantile(slow_part, max(start, 1e-4) * 3) for cls, (start, _) in starts.items()}
+        self._typical = {cls: QuantileEstimator(0.5, max(start, 1e-4)) for cls, (start, _) in starts.items()}
+        self._slow = {cls: QuantileEstimator(slow_part, max(start, 1e-4) * 3) for cls, (start, _) in starts.items()}
 
     def add(self, cls: str, span: float) -> None:
         """A try was served after ``span`` seconds."""
-        self._usual[cls].add(span)
+        self._typical[cls].add(span)
         self._slow[cls].add(span)
 
-    def usual(self, cls: str) -> float:
+    def typical(self, cls: str) -> float:
         """Seconds that half of the tries take."""
-        return min(self._usual[cls].value, CEILING * self._deadlines[cls])
+        return min(self._typical[cls].value, MAX_DEADLINE_SHARE * self._deadlines[cls])
 
-    def slow(self, cls: str) -> float:
+    def hedge_delay(self, cls: str) -> float:
         """Seconds after which a try is among the slow ones."""
-        return max(self._slow[cls].value, self._usual[cls].value)
+        return max(self._slow[cls].value, self._typical[cls].value)
 
-    def fits(self, cls: str, left: float) -> bool:
+    def fits_in(self, cls: str, left: float) -> bool:
         """Whether a try may start with so many seconds left."""
-        return left > 0 and left >= self.usual(cls)
+        return left > 0 and left >= self.typical(cls)
--- a/lapishaven/client/fleet/aperture.py
+++ b/lapishaven/client/fleet/aperture.py
@@ -19,53 +19,55 @@
 
 from lapishaven.client.fleet.ring import Ring
 
-QUIET = 15.0  # s: servers close a connection that was idle for so long
-MASK = (1 << 64) - 1
+SERVER_IDLE_TIMEOUT_S = 15.0  # s: servers close a connection that was idle for so long
+UINT64_MASK = (1 << 64) - 1
 
 
-def ticket(caller: int, callers: int, identity: int) -> int:
+def placement_number(caller: int, callers: int, identity: int) -> int:
     """The client's number for dealing: its own where the number of processes is known, else drawn."""
-    return caller % callers if callers > 0 else (identity & MASK) >> 32
+    return caller % callers if callers > 0 else (identity & UINT64_MASK) >> 32
 
 
-def width(least: int, calls: float, servers: int) -> int:
+def window_size(least: int, calls_per_s: float, endpoints: int) -> int:
     """Servers to keep connected at ``calls`` a second: ``least`` and one more for each whole two calls a second; fewer
     where a connection would go ``QUIET`` seconds without a call and so be closed as idle before it is of use."""
-    return min(servers, max(1, min(least, math.floor(calls * QUIET))) + math.floor(calls / 2))
+    return min(
+        endpoints, max(1, min(least, math.floor(calls_per_s * SERVER_IDLE_TIMEOUT_S))) + math.floor(calls_per_s / 2)
+    )
 
 
-def _mix(value: int) -> int:
+def _splitmix64(value: int) -> int:
     """splitmix64: one 64-bit number from another, the same everywhere."""
-    value = (value + 0x9E3779B97F4A7C15) & MASK
-    value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & MASK
-    value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & MASK
+    value = (value + 0x9E3779B97F4A7C15) & UINT64_MASK
+    value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & UINT64_MASK
+    value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & UINT64_MASK
     return value ^ (value >> 31)
 
 
 _orders: OrderedDict[tuple[int, int], tuple[int, ...]] = OrderedDict()
-ORDERS_KEPT = 512
+MAX_CACHED_ORDERS = 512
 
 
-def order(round_: int, n: int) -> tuple[int, ...]:
+def shuffled_order(round_: int, size: int) -> tuple[int, ...]:
     """The round's order of ``n`` servers: position ``j`` holds ring index ``order[j]``. A shuffle drawn from the
     round's number alone (Fisher and Yates, with splitmix64), the same in every process; kept at hand."""
-    key = round_, n
+    key = round_, size
     found = _orders.get(key)
     if found is not None:
         _orders.move_to_end(key)
         return found
-    places, state = list(range(n)), round_ * 0x5851F42D4C957F2D & MASK
-    for i in range(n - 1, 0, -1):
-        state = _mix(state)
+    places, state = list(range(size)), round_ * 0x5851F42D4C957F2D & UINT64_MASK
+    for i in range(size - 1, 0, -1):
+        state = _splitmix64(state)
         j = state % (i + 1)
         places[i], places[j] = places[j], places[i]
     found = _orders[key] = tuple(places)
-    while len(_orders) > ORDERS_KEPT:
+    while len(_orders) > MAX_CACHED_ORDERS:
         _orders.popitem(last=False)
     return found
 
 
-class Dealt:
+class Subset:
     """What one client was dealt: the round's order of the ring from the client's own place on. Clients are dealt
     ``least`` servers each, whatever their width, so that a window that grows or shrinks with the traffic keeps its
     first servers and only gains or loses at its end."""
@@ -78,7 +80,7 @@
         n = len(ring)
         least = max(1, min(least, n))
         round_, slot = divmod(number, max(1, n // least))
-        self._places = order(round_, n)
+        self._places = shuffled_order(round_, n)
         self._base = slot * least
         self._window: tuple[str, ...] = ()  # the last one asked for
 
@@ -86,12 +88,12 @@
         n = len(self.ring)
         return self.ring.names[self._places[(self._base + j) % n]]
 
-    def window(self, wide: int) -> tuple[str, ...]:
+    def window(self, size: int) -> tuple[str, ...]:
         """The first ``wide`` servers; fewer where there are no more."""
-        if len(self._window) != min(wide, len(self.ring)):
-            self._window = tuple(self._at(j) for j in range(min(wide, len(self.ring))))
+        if len(self._window) != min(size, len(self.ring)):
+            self._window = tuple(self._at(j) for j in range(min(size, len(self.ring))))
         return self._window
 
-    def others(self, wide: int) -> Iterator[str]:
+    def stand_ins(self, window_size: int) -> Iterator[str]:
         """Those after a window of ``wide``, in the order in which they would stand in."""
-        return (self._at(j) for j in range(wide, len(self.ring)))
+        return (self._at(j) for j in range(window_size, len(self.ring)))
--- a/lapishaven/client/fleet/ring.py
+++ b/lapishaven/client/fleet/ring.py
@@ -12,8 +12,8 @@
 
 from lapishaven.client.hashing import hash64
 
-SALT = 0x72696E67
-KEPT = 8  # rings kept at hand
+RING_SALT = 0x72696E67
+MAX_CACHED_RINGS = 8  # rings kept at hand
 
 
 class Ring:
@@ -22,7 +22,7 @@
     __slots__ = ("names",)
 
     def __init__(self, names: Iterable[str]) -> None:
-        self.names: tuple[str, ...] = tuple(sorted(set(names), key=lambda name: (hash64(name, SALT), name)))
+        self.names: tuple[str, ...] = tuple(sorted(set(names), key=lambda name: (hash64(name, RING_SALT), name)))
 
     def __len__(self) -> int:
         return len(self.names)
@@ -36,7 +36,7 @@
     ring = _rings.get(names)
     if ring is None:
         ring = _rings[names] = Ring(names)
-        while len(_rings) > KEPT:
+        while len(_rings) > MAX_CACHED_RINGS:
             _rings.popitem(last=False)
     else:
         _rings.move_to_end(names)
@@ -46,16 +46,16 @@
 _unions: OrderedDict[tuple[frozenset[str], frozenset[str]], Ring] = OrderedDict()
 
 
-def ring_for(names: frozenset[str], gone: frozenset[str]) -> Ring:
+def ring_with_removed(names: frozenset[str], removed: frozenset[str]) -> Ring:
     """The ring of ``names`` and of those ``gone`` lately, which keep their places for a while. Costs the size of
     ``gone``, not of the list, where another client asked for the same before: the sets' hashes are kept."""
-    if not gone:
+    if not removed:
         return ring_of(names)
-    key = names, gone
+    key = names, removed
     ring = _unions.get(key)
     if ring is None:
-        ring = _unions[key] = ring_of(names | gone)
-        while len(_unions) > KEPT:
+        ring = _unions[key] = ring_of(names | removed)
+        while len(_unions) > MAX_CACHED_RINGS:
             _unions.popitem(last=False)
     else:
         _unions.move_to_end(key)
--- a/lapishaven/client/hooks.py
+++ b/lapishaven/client/hooks.py
@@ -8,8 +8,8 @@
 from lapishaven.client.settings import SettingsError
 
 # Events that one wants to see in a log; the rest is said at debug level.
-NOTABLE = {"left out", "back in", "silent", "list held back", "list empty", "catalog failed", "end uncertain"}
-BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.5, 2.5, 5.0, 10.0)
+WARNING_EVENTS = {"left out", "back in", "silent", "list held back", "list empty", "catalog failed", "end uncertain"}
+LATENCY_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.5, 2.5, 5.0, 10.0)
 
 
 def both(*hooks: Hook) -> Hook:
@@ -32,7 +32,7 @@
         logger = structlog.get_logger("lapishaven.client")
 
     def tell(now: float, event: str, fields: dict[str, Any]) -> None:
-        say = logger.warning if event in NOTABLE else logger.debug
+        say = logger.warning if event in WARNING_EVENTS else logger.debug
         say(event, monotonic=round(now, 6), **fields)
 
     return tell
@@ -51,7 +51,7 @@
         "lapishaven_client_call_seconds",
         "Calls from start to end",
         ["cls", "end"],
-        buckets=BUCKETS,
+        buckets=LATENCY_BUCKETS_S,
         registry=registry,
     )
 
--- a/lapishaven/client/membership.py
+++ b/lapishaven/client/membership.py
@@ -10,11 +10,11 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from lapishaven.client.fleet.endpoint_list import EMPTY, EndpointList, Step, applied, whole
+from lapishaven.client.fleet.endpoint_list import EMPTY, EndpointList, ListUpdate, apply_delta, replace_list
 from lapishaven.client.settings import Catalog
 from lapishaven.proto.catalog import Delta, Listed, Listing, listing, text
 
-TAKEN_KEPT = 64  # versions of which the time they were taken is kept
+MAX_VERSION_TIMES = 64  # versions of which the time they were taken is kept
 
 
 @dataclass(slots=True)
@@ -22,21 +22,21 @@
     """A server that the client goes by; made for the servers that it follows, and kept up to date."""
 
     listed: Listed
-    since: float  # when it came to the list, as this client saw it
-    warm: bool  # it was there before the client, so it is taken to be warm
-    doubted: float | None = None  # since when a list that is not believed leaves it out
-    vouched: float = float("-inf")  # when it last answered anything
+    listed_since: float  # when it came to the list, as this client saw it
+    warmed_up: bool  # it was there before the client, so it is taken to be warm
+    doubted_since: float | None = None  # since when a list that is not believed leaves it out
+    last_seen_at: float = float("-inf")  # when it last answered anything
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class MembershipChange:
     """What one list did. ``verdict``: taken, stale, empty, or held back (``apart``: a delta that does not follow
     on from the version held, so that the whole list is to be asked for)."""
 
     verdict: str
     joined: tuple[str, ...] = ()
     left: tuple[str, ...] = ()
-    altered: tuple[str, ...] = ()  # passing changed
+    changed: tuple[str, ...] = ()  # passing changed
     doubted: tuple[str, ...] = ()
 
 
@@ -53,172 +53,174 @@
         self.roster: EndpointList = EMPTY
         self.epoch: str | None = None
         self.version = -1
-        self.heard: float | None = None  # when the catalog last answered
-        self._held: dict[str, tuple[Listed, float]] = {}  # doubted: the row and since when
-        self._vouched: dict[str, float] = {}
-        self._members: dict[str, Member] = {}  # made for those that are followed
-        self._first = -1  # the serial of the first roster taken
-        self._taken: OrderedDict[int, float] = OrderedDict()  # serial: when it was taken
-        self.wants_whole = True  # the next question asks for the whole list, not what changed since
+        self.last_update_at: float | None = None  # when the catalog last answered
+        self._doubted: dict[str, tuple[Listed, float]] = {}  # doubted: the row and since when
+        self._last_seen_at: dict[str, float] = {}
+        self._tracked: dict[str, Member] = {}  # made for those that are followed
+        self._first_serial = -1  # the serial of the first roster taken
+        self._version_times: OrderedDict[int, float] = OrderedDict()  # serial: when it was taken
+        self.needs_full_list = True  # the next question asks for the whole list, not what changed since
 
     @property
-    def tag(self) -> str | None:
+    def version_tag(self) -> str | None:
         """Names the list that is held, for the catalog."""
         return f"{self.epoch}.{self.version}" if self.epoch is not None else None
 
     # ---- What the client asks
     def row(self, name: str) -> Listed | None:
         row = self.roster.rows.get(name)
-        if row is None and (held := self._held.get(name)) is not None:
+        if row is None and (held := self._doubted.get(name)) is not None:
             return held[0]
         return row
 
     def __contains__(self, name: str) -> bool:
-        return name in self.roster.rows or name in self._held
+        return name in self.roster.rows or name in self._doubted
 
     def __len__(self) -> int:
-        return len(self.roster) + len(self._held)
+        return len(self.roster) + len(self._doubted)
 
     @property
     def names(self) -> frozenset[str]:
-        return self.roster.names | frozenset(self._held) if self._held else self.roster.names
+        return self.roster.names | frozenset(self._doubted) if self._doubted else self.roster.names
 
     @property
     def passing(self) -> int:
-        return self.roster.passing + sum(row.passing for row, _ in self._held.values())
+        return self.roster.passing + sum(row.passing for row, _ in self._doubted.values())
 
     @property
-    def doubting(self) -> bool:
-        return bool(self._held)
+    def has_doubted(self) -> bool:
+        return bool(self._doubted)
 
-    def member(self, name: str) -> Member | None:
+    def track(self, name: str) -> Member | None:
         """The member of that name, made now if it was not followed yet; None if it is not on the list."""
-        member = self._members.get(name)
+        member = self._tracked.get(name)
         if member is not None:
             return member
         row = self.row(name)
         if row is None:
             return None
-        born = self.roster.born.get(name, self._first)
-        since = self._taken.get(born, self.heard if self.heard is not None else 0.0)
-        held = self._held.get(name)
-        member = Member(row, since, born <= self._first, held[1] if held else None, self._vouched.get(name, -1e18))
-        self._members[name] = member
+        born = self.roster.added_at_serial.get(name, self._first_serial)
+        since = self._version_times.get(born, self.last_update_at if self.last_update_at is not None else 0.0)
+        held = self._doubted.get(name)
+        member = Member(
+            row, since, born <= self._first_serial, held[1] if held else None, self._last_seen_at.get(name, -1e18)
+        )
+        self._tracked[name] = member
         return member
 
-    def unfollow(self, name: str) -> None:
+    def untrack(self, name: str) -> None:
         """The client no longer follows it: its member need not be kept up to date."""
-        self._members.pop(name, None)
+        self._tracked.pop(name, None)
 
     # ---- What the catalog says
-    def offer(self, now: float, listing: Listing) -> Change:
+    def apply_list(self, now: float, listing: Listing) -> MembershipChange:
         """Take a list, or as much of it as is believed."""
         first = self.epoch is None
-        self.heard = now
+        self.last_update_at = now
         if not first and listing.epoch == self.epoch and listing.version <= self.version:
-            return Change("stale")
+            return MembershipChange("stale")
         if not listing.servers and len(self):
-            self.wants_whole = True
-            return Change("empty")  # not held, so that the catalog is asked for it in full again
-        self.wants_whole = False
-        return self._take(now, whole(self.roster, listing), first)
+            self.needs_full_list = True
+            return MembershipChange("empty")  # not held, so that the catalog is asked for it in full again
+        self.needs_full_list = False
+        return self._apply(now, replace_list(self.roster, listing), first)
 
-    def offer_delta(self, now: float, delta: Delta) -> Change:
+    def apply_delta(self, now: float, delta: Delta) -> MembershipChange:
         """Take what changed since the version held; ``apart`` where it does not follow on from that one."""
-        self.heard = now
+        self.last_update_at = now
         if self.epoch is not None and delta.epoch == self.epoch and delta.version <= self.version:
-            return Change("stale")
-        step = applied(self.roster, delta)
+            return MembershipChange("stale")
+        step = apply_delta(self.roster, delta)
         if step is None:
-            self.wants_whole = True
-            return Change("apart")
-        if not step.roster.rows and len(self):
-            self.wants_whole = True
-            return Change("empty")
-        return self._take(now, step, False)
+            self.needs_full_list = True
+            return MembershipChange("apart")
+        if not step.endpoint_list.rows and len(self):
+            self.needs_full_list = True
+            return MembershipChange("empty")
+        return self._apply(now, step, False)
 
     # ---- Over a restart of the process
-    def saved(self) -> bytes:
+    def serialize(self) -> bytes:
         """The list held, as the catalog's own text, for a file that outlives the process."""
-        rows = tuple(self.roster.rows.values()) + tuple(row for row, _ in self._held.values())
+        rows = tuple(self.roster.rows.values()) + tuple(row for row, _ in self._doubted.values())
         return text(Listing(self.epoch or "", self.version, rows))
 
-    def restore(self, now: float, data: bytes) -> Change:
+    def restore(self, now: float, data: bytes) -> MembershipChange:
         """Take a list that an earlier process saved, before the catalog has said anything; ``ProtocolError``
         where the text is not one. Its servers are taken to be warm, as they were there before this process."""
         if self.epoch is not None:
-            return Change("stale")
+            return MembershipChange("stale")
         found = listing(data)
-        self.wants_whole = True  # the catalog may have moved on since: ask it for the whole list
-        return self._take(now, whole(self.roster, found), True)
-
-    def _take(self, now: float, step: Step, first: bool) -> Change:
-        before, roster = self.roster, step.roster
-        known = len(before) + len(self._held)
-        self.roster, self.epoch, self.version = roster, roster.epoch, roster.version
-        self._taken[roster.serial] = now
-        while len(self._taken) > TAKEN_KEPT:
-            self._taken.popitem(last=False)
+        self.needs_full_list = True  # the catalog may have moved on since: ask it for the whole list
+        return self._apply(now, replace_list(self.roster, found), True)
+
+    def _apply(self, now: float, step: ListUpdate, first: bool) -> MembershipChange:
+        before, endpoint_list = self.roster, step.endpoint_list
+        known = len(before) + len(self._doubted)
+        self.roster, self.epoch, self.version = endpoint_list, endpoint_list.epoch, endpoint_list.version
+        self._version_times[endpoint_list.serial] = now
+        while len(self._version_times) > MAX_VERSION_TIMES:
+            self._version_times.popitem(last=False)
         if first:
-            self._first = roster.serial
-        gone_now = [name for name in step.left if name not in roster.rows]
-        missing = gone_now + [name for name in self._held if name not in roster.rows]
+            self._first_serial = endpoint_list.serial
+        gone_now = [name for name in step.left if name not in endpoint_list.rows]
+        missing = gone_now + [name for name in self._doubted if name not in endpoint_list.rows]
         held = not first and len(missing) > self.rules.drop_share * known
-        left = [name for name in step.left if name in roster.rows]  # another server under the same name
+        left = [name for name in step.left if name in endpoint_list.rows]  # another server under the same name
         doubted = []
         for name in left:
-            self._members.pop(name, None)
-        for name in list(self._held):
-            if name in roster.rows:
-                del self._held[name]
+            self._tracked.pop(name, None)
+        for name in list(self._doubted):
+            if name in endpoint_list.rows:
+                del self._doubted[name]
         for name in missing:
             if held:
-                if name not in self._held:
-                    self._held[name] = before.rows[name], now
+                if name not in self._doubted:
+                    self._doubted[name] = before.rows[name], now
                 doubted.append(name)
             else:
                 left.append(name)
-                self._held.pop(name, None)
-                self._members.pop(name, None)
-                self._vouched.pop(name, None)
-        for name, member in self._members.items():
+                self._doubted.pop(name, None)
+                self._tracked.pop(name, None)
+                self._last_seen_at.pop(name, None)
+        for name, member in self._tracked.items():
             fresh = self.row(name)
             if fresh is not None:
                 member.listed = fresh
-                member.doubted = self._held[name][1] if name in self._held else None
+                member.doubted_since = self._doubted[name][1] if name in self._doubted else None
         verdict = "held back" if held else "taken"
-        return Change(verdict, step.joined, tuple(left), step.altered, tuple(doubted))
+        return MembershipChange(verdict, step.joined, tuple(left), step.changed, tuple(doubted))
 
     # ---- What the client itself sees
-    def vouch(self, now: float, name: str) -> None:
+    def record_seen(self, now: float, name: str) -> None:
         """The server answered something, so it is there whatever the list says."""
         if name in self:
-            self._vouched[name] = now
-            if (member := self._members.get(name)) is not None:
-                member.vouched = now
+            self._last_seen_at[name] = now
+            if (member := self._tracked.get(name)) is not None:
+                member.last_seen_at = now
 
-    def gone(self, name: str) -> bool:
+    def remove_doubted(self, name: str) -> bool:
         """The server's own doing says that it left: true if it is doubted and so let go."""
-        if name not in self._held:
+        if name not in self._doubted:
             return False
-        del self._held[name]
-        self._members.pop(name, None)
-        self._vouched.pop(name, None)
+        del self._doubted[name]
+        self._tracked.pop(name, None)
+        self._last_seen_at.pop(name, None)
         return True
 
-    def sweep(self, now: float) -> list[str]:
+    def remove_expired(self, now: float) -> list[str]:
         """Let go of what has been doubted for long enough and answered nothing since."""
         late = [
             name
-            for name, (_, since) in self._held.items()
-            if max(since, self._vouched.get(name, -1e18)) + self.rules.confirm_s <= now
+            for name, (_, since) in self._doubted.items()
+            if max(since, self._last_seen_at.get(name, -1e18)) + self.rules.confirm_s <= now
         ]
         for name in late:
-            self.gone(name)
+            self.remove_doubted(name)
         return late
 
 
-def subset(names: list[str], size: int, client: int) -> list[str]:
+def rendezvous_subset(names: list[str], size: int, client: int) -> list[str]:
     """The servers that one process keeps to, by rendezvous hashing: evenly spread over processes, and a
     server that comes or goes changes one place of those that have it and no other."""
     if not size or len(names) <= size:
--- a/lapishaven/client/outcomes.py
+++ b/lapishaven/client/outcomes.py
@@ -6,36 +6,36 @@
 from enum import Enum
 
 
-class Ending(Enum):
+class AttemptEnd(Enum):
     """Every way in which one try can end."""
 
     SERVED = "served"
-    REFUSED = "refused"  # the server's word that this try never ran and never will
+    REJECTED = "refused"  # the server's word that this try never ran and never will
     FAILED = "failed"  # the server's word that it did not succeed; it may have run
     INVALID = "invalid"  # the server could not take it as a request: no such class, or malformed
     LOST = "lost"  # the connection ended first
-    CROSSED = "crossed"  # it met a close that PROTOCOL allows, so the server never read it
-    UNREACHED = "unreached"  # no connection came about, so nothing was sent
-    GARBLED = "garbled"  # the answer could not be read
-    UNTIMED = "untimed"  # the server did not take its time stamp, as one of the two clocks is wrong
+    CLOSE_RACE = "crossed"  # it met a close that PROTOCOL allows, so the server never read it
+    UNREACHABLE = "unreached"  # no connection came about, so nothing was sent
+    MALFORMED_RESPONSE = "garbled"  # the answer could not be read
+    TIMESTAMP_REJECTED = "untimed"  # the server did not take its time stamp, as one of the two clocks is wrong
 
 
 # What proves that a try never ran. Only after these may a call that must not run twice be tried again.
-NEVER_RAN = frozenset({Ending.REFUSED, Ending.UNREACHED, Ending.CROSSED})
+NEVER_RAN = frozenset({AttemptEnd.REJECTED, AttemptEnd.UNREACHABLE, AttemptEnd.CLOSE_RACE})
 # The server's word that it was no request at all: nothing ran, but a repeat would fare no better.
-NOT_TAKEN = frozenset({Ending.INVALID, Ending.UNTIMED})
+INVALID_REQUEST = frozenset({AttemptEnd.INVALID, AttemptEnd.TIMESTAMP_REJECTED})
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class AttemptResult:
     """How one try ended. ``pushback`` is in seconds."""
 
-    ending: Ending
+    end: AttemptEnd
     body: bytes = b""
     text: str = ""
     code: int | None = None
-    pushback: float | None = None
-    stop: bool = False  # no other server should be tried
+    retry_after_s: float | None = None
+    no_retry_elsewhere: bool = False  # no other server should be tried
 
 
 @dataclass(frozen=True, slots=True)
--- a/lapishaven/lab/baselines.py
+++ b/lapishaven/lab/baselines.py
@@ -11,7 +11,7 @@
 import time
 from random import Random
 
-from lapishaven.client.asyncio_client import Sockets
+from lapishaven.client.asyncio_client import SocketFactory
 from lapishaven.client.outcomes import Expired, Failed, Outcome, Refused, Served
 from lapishaven.client.settings import Settings, split_address
 from lapishaven.proto import ProtocolError, jsonrpc
@@ -58,7 +58,7 @@
 
     marks = False
 
-    def __init__(self, settings: Settings, *, random: Random, sockets: Sockets) -> None:
+    def __init__(self, settings: Settings, *, random: Random, sockets: SocketFactory) -> None:
         self.settings, self.random, self._sockets = settings, random, sockets
         self._lines: dict[str, _Line] = {}
         self._rows: tuple[Listed, ...] = ()
--- a/lapishaven/lab/client_simulation.py
+++ b/lapishaven/lab/client_simulation.py
@@ -15,9 +15,18 @@
 from time import perf_counter
 from typing import Any
 
-from lapishaven.client.model import Attempt, Call, Connection, State
-from lapishaven.client.outcomes import Ending, Outcome, Reply, Served, Uncertain
-from lapishaven.client.policy import Ask, Close, Dial, Finish, Policy, Probe, Send, Withdraw
+from lapishaven.client.model import Attempt, Call, CallState, Connection
+from lapishaven.client.outcomes import AttemptEnd, AttemptResult, Outcome, Served, Uncertain
+from lapishaven.client.policy import (
+    CancelRequest,
+    CheckHealth,
+    CloseConnection,
+    CompleteCall,
+    OpenConnection,
+    Policy,
+    SendProbe,
+    SendRequest,
+)
 from lapishaven.client.settings import Settings
 from lapishaven.lab import site
 from lapishaven.lab.script import Step, parse
@@ -149,25 +158,25 @@
         policy = self.policies[n]
         while actions := policy.take():
             for action in actions:
-                if isinstance(action, Send):
+                if isinstance(action, SendRequest):
                     self._sent(n, action.connection, action.attempt)
-                elif isinstance(action, Finish):
+                elif isinstance(action, CompleteCall):
                     self._finished(n, action.call, action.outcome)
-                elif isinstance(action, Dial):
+                elif isinstance(action, OpenConnection):
                     self.connects.append(self.now)
                     self.at(self.now + HOP, self._dialled, n, action.connection)
-                elif isinstance(action, Withdraw):
+                elif isinstance(action, CancelRequest):
                     self.at(self.now + HOP, self._forgotten, action.connection, action.attempt)
-                elif isinstance(action, Close):
-                    server = self.servers.get(action.connection.peer.name)
+                elif isinstance(action, CloseConnection):
+                    server = self.servers.get(action.connection.endpoint.name)
                     if server is not None:
                         server.links.pop(action.connection.id * self.spec.clients + n, None)
-                elif isinstance(action, Ask):
-                    if self.servers[action.connection.peer.name].up:
+                elif isinstance(action, SendProbe):
+                    if self.servers[action.connection.endpoint.name].up:
                         self.at(self.now + 2 * HOP, self._well, n, action.connection)
-                elif isinstance(action, Probe):
-                    up = self.servers[action.peer.name].up
-                    self.at(self.now + HOP, self._probed, n, action.peer, up)
+                elif isinstance(action, CheckHealth):
+                    up = self.servers[action.endpoint.name].up
+                    self.at(self.now + HOP, self._probed, n, action.endpoint, up)
         when = policy.next_at()
         if when is not None and when < self._planned[n]:
             self._planned[n] = when
@@ -213,12 +222,12 @@
         """A call that counts has ended."""
 
     def _finished(self, n: int, call: Call, outcome: Outcome) -> None:
-        if call.started < 0:
+        if call.started_at < 0:
             return
-        kind = next(k for k in self.kinds if k.name == call.cls)
-        self._note(kind, self.now - call.started, isinstance(outcome, Served))
+        kind = next(k for k in self.kinds if k.name == call.class_name)
+        self._note(kind, self.now - call.started_at, isinstance(outcome, Served))
         self.outcomes[type(outcome).__name__.lower()] += 1
-        span = self.now - call.started
+        span = self.now - call.started_at
         got = kind.worth * (1.0 if span <= kind.aim else LATE_WORTH) if isinstance(outcome, Served) else 0.0
         self.worth += got
         self.commit_worth += got * (not kind.safe)
@@ -227,7 +236,7 @@
 
     # ---- Connections and tries
     def _dialled(self, n: int, connection: Connection) -> None:
-        server = self.servers[connection.peer.name]
+        server = self.servers[connection.endpoint.name]
         if server.up:
             self.policies[n].connected(self.now, connection)
             server.links[connection.id * self.spec.clients + n] = n, connection
@@ -241,29 +250,31 @@
         call = attempt.call
         self.tries.append(self.now)
         self.late += self.now > call.deadline
-        self.unmarked += (call.sent > 1) != attempt.rep
-        self.first[attempt.rep] += 1
-        place = next(i for i, k in enumerate(self.kinds) if k.name == call.cls)
+        self.unmarked += (call.attempts_sent > 1) != attempt.is_retry
+        self.first[attempt.is_retry] += 1
+        place = next(i for i, k in enumerate(self.kinds) if k.name == call.class_name)
         work = self.kinds[place].work
         request = Request(attempt, n, place, self.random.uniform(work.least, work.most))
-        self.at(self.now + HOP, self._read, self.servers[connection.peer.name], request)
+        self.at(self.now + HOP, self._read, self.servers[connection.endpoint.name], request)
 
     def _read(self, server: Server, request: Request) -> None:
-        if not server.up or request.attempt.id not in request.attempt.connection.open:
+        if not server.up or request.attempt.id not in request.attempt.connection.in_flight:
             return
         if server.busy < server.cores:
             return self._start(server, request)
         wait = server.waits / (server.cores * server.rate(self.now))
         kind = self.kinds[request.cls]
         if wait + request.work / server.rate(self.now) > kind.aim:
-            reply = Reply(Ending.REFUSED, text="load", pushback=ADVICE, stop=self.random.random() < 0.5)
+            reply = AttemptResult(
+                AttemptEnd.REJECTED, text="load", retry_after_s=ADVICE, no_retry_elsewhere=self.random.random() < 0.5
+            )
             return self.at(self.now + HOP, self._answered, request, reply)
         server.line.append(request)
         server.waits += request.work
 
     def _start(self, server: Server, request: Request) -> None:
         server.busy += 1
-        if not request.attempt.call.safe:
+        if not request.attempt.call.idempotent:
             key = request.client, request.attempt.call.number
             self.runs[key] += 1
             self.twice += self.runs[key] > 1
@@ -274,16 +285,16 @@
         if server.life != life:
             return
         server.busy -= 1
-        self.at(self.now + HOP, self._answered, request, Reply(Ending.SERVED, b""))
+        self.at(self.now + HOP, self._answered, request, AttemptResult(AttemptEnd.SERVED, b""))
         while server.line and server.busy < server.cores:
             next_one = server.line.popleft()
             server.waits -= next_one.work
-            if next_one.attempt.id in next_one.attempt.connection.open:
+            if next_one.attempt.id in next_one.attempt.connection.in_flight:
                 self._start(server, next_one)
 
-    def _answered(self, request: Request, reply: Reply) -> None:
+    def _answered(self, request: Request, reply: AttemptResult) -> None:
         connection = request.attempt.connection
-        if connection.phase.value != "closed":
+        if connection.state.value != "closed":
             self.policies[request.client].replied(self.now, connection, request.attempt.id, reply)
             self._drive(request.client)
 
@@ -400,20 +411,20 @@
 
     def _ensure(self, now: float) -> None:
         for peer in self.peers.values():
-            if not peer.usable and (peer.member.listed.passing or self._panic):
-                if peer.dial_at <= now:
+            if not peer.usable_connections and (peer.member.listed.passing or self._panic):
+                if peer.next_dial_at <= now:
                     self._new(now, peer, "naive")
                 else:
-                    self._plan_dials(peer.dial_at)
+                    self._plan_dials(peer.next_dial_at)
 
-    def _ended(self, now: float, attempt: Attempt, reply: Reply) -> None:
+    def _ended(self, now: float, attempt: Attempt, reply: AttemptResult) -> None:
         call = attempt.call
-        if reply.ending is Ending.SERVED or call.deadline - now < 0.05:
+        if reply.end is AttemptEnd.SERVED or call.deadline - now < 0.05:
             return super()._ended(now, attempt, reply)
         self._release(now, attempt)
-        call.unproven -= attempt.sent is not None and reply.ending is not Ending.LOST
-        call.further += 1
-        call.state = State.PAUSED
+        call.possibly_run -= attempt.sent_at is not None and reply.end is not AttemptEnd.LOST
+        call.retries += 1
+        call.state = CallState.PAUSED
         self._at(now + 0.002, self._resume, call)
 
 
--- a/lapishaven/lab/emulator.py
+++ b/lapishaven/lab/emulator.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from lapishaven.admission import Outcome
-from lapishaven.client.outcomes import Ending, Reply
+from lapishaven.client.outcomes import AttemptEnd, AttemptResult
 from lapishaven.client.settings import Settings as ClientSettings
 from lapishaven.client.settings import Strategy
 from lapishaven.core.broker import Broker
@@ -229,26 +229,26 @@
     def submit(self, request: Request, age: float) -> None:
         attempt, e = request.attempt, self.emulator
         call = attempt.call
-        if attempt.id not in attempt.connection.open:
+        if attempt.id not in attempt.connection.in_flight:
             return
         kind = e.kinds[request.cls]
         sub = Submission(
-            attempt.name,
+            attempt.request_id,
             request.cls,
             b"%d" % request.client,
             30.0,
             call.rank,
             age,
             request.client,
-            attempt.rep,
+            attempt.is_retry,
             is_write=not kind.safe,
         )
-        self.open[attempt.name] = request
+        self.open[attempt.request_id] = request
         request.at = e.now
         due, life = e.now - age + kind.deadline, self.life
 
         def reply(answer: Answer) -> None:
-            self.open.pop(attempt.name, None)
+            self.open.pop(attempt.request_id, None)
             self.late += e.now > due + 0.1
             e.at(e.now + HOP, e.answered_by, self, life, request, answer)
 
@@ -344,8 +344,12 @@
     def answered_by(self, machine: Machine, life: int, request: Request, answer: Answer) -> None:
         if machine.life != life:
             return
-        ending = {AnswerKind.SERVED: Ending.SERVED, AnswerKind.REJECTED: Ending.REFUSED}.get(answer.kind, Ending.FAILED)
-        reply = Reply(ending, b"", answer.reason, pushback=answer.retry_after, stop=answer.no_retry_elsewhere)
+        ending = {AnswerKind.SERVED: AttemptEnd.SERVED, AnswerKind.REJECTED: AttemptEnd.REJECTED}.get(
+            answer.kind, AttemptEnd.FAILED
+        )
+        reply = AttemptResult(
+            ending, b"", answer.reason, retry_after_s=answer.retry_after, no_retry_elsewhere=answer.no_retry_elsewhere
+        )
         self._answered(request, reply)
 
     def _forgotten(self, connection: Any, attempt: Any) -> None:
--- a/tests/client_world.py
+++ b/tests/client_world.py
@@ -11,9 +11,18 @@
 from random import Random
 from typing import Any
 
-from lapishaven.client.model import Attempt, Call, Connection, Peer
-from lapishaven.client.outcomes import Ending, Outcome, Reply
-from lapishaven.client.policy import Ask, Close, Dial, Finish, Policy, Probe, Send, Withdraw
+from lapishaven.client.model import Attempt, Call, Connection, Endpoint
+from lapishaven.client.outcomes import AttemptEnd, AttemptResult, Outcome
+from lapishaven.client.policy import (
+    CancelRequest,
+    CheckHealth,
+    CloseConnection,
+    CompleteCall,
+    OpenConnection,
+    Policy,
+    SendProbe,
+    SendRequest,
+)
 from lapishaven.client.settings import ClassRule, Connections, Health, Retry, Routing, Settings, check
 from lapishaven.proto.catalog import Listed, Listing
 
@@ -47,7 +56,7 @@
         self.dialled: list[Connection] = []  # every dial that was made
         self.sent: list[Attempt] = []
         self.withdrawn: list[Attempt] = []
-        self.probes: list[Peer] = []
+        self.probes: list[Endpoint] = []
         self.outcomes: dict[int, Outcome] = {}
         self.at: dict[str, list[float]] = {"dial": [], "try": []}
         self.dead: set[str] = set()  # servers that refuse connections
@@ -58,22 +67,22 @@
     def act(self) -> None:
         while actions := self.policy.take():
             for action in actions:
-                if isinstance(action, Dial):
+                if isinstance(action, OpenConnection):
                     self.dials.append(action.connection)
                     self.dialled.append(action.connection)
                     self.at["dial"].append(self.now)
-                elif isinstance(action, Send):
+                elif isinstance(action, SendRequest):
                     self.check(action.connection, action.attempt)
-                elif isinstance(action, Withdraw):
+                elif isinstance(action, CancelRequest):
                     self.withdrawn.append(action.attempt)
-                elif isinstance(action, Probe):
-                    self.probes.append(action.peer)
-                elif isinstance(action, Ask):
-                    if action.connection.peer.name not in self.silent:
+                elif isinstance(action, CheckHealth):
+                    self.probes.append(action.endpoint)
+                elif isinstance(action, SendProbe):
+                    if action.connection.endpoint.name not in self.silent:
                         self.policy.well(self.now, action.connection)
-                elif isinstance(action, Close):
+                elif isinstance(action, CloseConnection):
                     self.closed.append(action.connection)
-                elif isinstance(action, Finish):
+                elif isinstance(action, CompleteCall):
                     assert action.call.number not in self.outcomes, "two results for one call"
                     self.outcomes[action.call.number] = action.outcome
 
@@ -81,9 +90,9 @@
         call = attempt.call
         assert self.now < call.deadline, "a try after the deadline"
         earlier = [each for each in self.sent if each.call is call]
-        assert attempt.rep == bool(earlier), "a further try that is not marked, or a first one that is"
-        assert all(each.name != attempt.name for each in earlier), "two tries under one name"
-        assert len(connection.open) <= 32, "more open than the protocol allows"
+        assert attempt.is_retry == bool(earlier), "a further try that is not marked, or a first one that is"
+        assert all(each.request_id != attempt.request_id for each in earlier), "two tries under one name"
+        assert len(connection.in_flight) <= 32, "more open than the protocol allows"
         self.sent.append(attempt)
         self.at["try"].append(self.now)
 
@@ -91,7 +100,7 @@
         """Every dial under way comes about, or is refused where the server is dead."""
         while self.dials:
             connection = self.dials.pop(0)
-            if connection.peer.name in self.dead:
+            if connection.endpoint.name in self.dead:
                 self.policy.dial_failed(self.now, connection)
             else:
                 self.policy.connected(self.now, connection)
@@ -116,9 +125,9 @@
         self.act()
         return call
 
-    def reply(self, attempt: Attempt, ending: Ending = Ending.SERVED, **fields: Any) -> None:
-        body = b"done" if ending is Ending.SERVED else b""
-        self.policy.replied(self.now, attempt.connection, attempt.id, Reply(ending, body, **fields))
+    def reply(self, attempt: Attempt, ending: AttemptEnd = AttemptEnd.SERVED, **fields: Any) -> None:
+        body = b"done" if ending is AttemptEnd.SERVED else b""
+        self.policy.replied(self.now, attempt.connection, attempt.id, AttemptResult(ending, body, **fields))
         self.act()
 
     def cut(self, connection: Connection, clean: bool = True) -> None:
@@ -133,8 +142,8 @@
     def serve_all(self, span: float = 0.0) -> None:
         """Every open try is served."""
         self.now += span
-        for attempt in [a for c in self.policy.open_connections() for a in list(c.open.values())]:
-            if attempt.sent is not None:
+        for attempt in [a for c in self.policy.open_connections() for a in list(c.in_flight.values())]:
+            if attempt.sent_at is not None:
                 self.reply(attempt)
 
     def outcome(self, call: Call) -> Any:
@@ -153,9 +162,9 @@
     "CLASSES",
     "ClientWorld",
     "Connections",
-    "Ending",
+    "AttemptEnd",
     "Health",
-    "Reply",
+    "AttemptResult",
     "Retry",
     "Routing",
     "Settings",
--- a/tests/test_client_fleet.py
+++ b/tests/test_client_fleet.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from client_world import ClientWorld, Connections, Ending, listing, settings
+from client_world import AttemptEnd, ClientWorld, Connections, listing, settings
 
 from lapishaven.client.settings import Catalog, Retry
 from lapishaven.lab.client_simulation import Simulation, Spec
@@ -81,7 +81,7 @@
     assert all(end is not None and end.served for end in ends)
     assert world.policy.membership.names == {"n1", "n2", "n3", "n4"}
     window = world.policy.keeping.window
-    assert len(world.dialled) == len(window) and len({a.peer.name for a in world.sent}) == len(window)
+    assert len(world.dialled) == len(window) and len({a.endpoint.name for a in world.sent}) == len(window)
 
 
 # Guards against dials without end to servers that a stale catalog still lists although they are gone.
@@ -94,7 +94,7 @@
                 world.cut(connection)
     ends = serve_for(world, 60.0, every=0.2)
     assert sum(end.served for end in ends if end is not None) >= 0.9 * len(ends)
-    failed = [c for c in world.dialled if c.peer.name in world.dead]
+    failed = [c for c in world.dialled if c.endpoint.name in world.dead]
     assert len(failed) <= 4 * 4  # each dead one a few times a minute, less and less often
 
 
@@ -104,12 +104,12 @@
     for _ in range(50):
         call = world.call()
         world.go(0.01)
-        for attempt in [a for c in world.policy.open_connections() for a in list(c.open.values())]:
-            if attempt.sent is not None:
-                world.reply(attempt, Ending.REFUSED, pushback=0.1, stop=True)
+        for attempt in [a for c in world.policy.open_connections() for a in list(c.in_flight.values())]:
+            if attempt.sent_at is not None:
+                world.reply(attempt, AttemptEnd.REJECTED, retry_after_s=0.1, no_retry_elsewhere=True)
         world.go(0.14)
         end = world.outcome(call)
-        assert end is not None and not end.served and call.sent <= 1
+        assert end is not None and not end.served and call.attempts_sent <= 1
     assert len(world.dialled) <= 3
 
 
@@ -130,7 +130,7 @@
             for connection in list(world.policy.peers["n1"].connections):
                 world.cut(connection)
         serve_for(world, 1.0, every=0.1)
-    flapping = [c for c in world.dialled if c.peer.name == "n1"]
+    flapping = [c for c in world.dialled if c.endpoint.name == "n1"]
     assert len(flapping) <= 60 / 4
 
 
@@ -146,8 +146,8 @@
         for probe in world.probes:
             world.policy.probed(world.now, probe, probe is not stopped)
         world.probes.clear()
-        for attempt in [a for c in world.policy.open_connections() for a in list(c.open.values())]:
-            if attempt.sent is not None and attempt.peer is not stopped:
+        for attempt in [a for c in world.policy.open_connections() for a in list(c.in_flight.values())]:
+            if attempt.sent_at is not None and attempt.endpoint is not stopped:
                 world.reply(attempt)
         end = world.outcome(call)
         if end is not None:
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -6,9 +6,9 @@
 from random import Random
 
 import pytest
-from client_world import ClientWorld, Connections, Ending, Health, Retry, Routing, listing, settings
+from client_world import AttemptEnd, ClientWorld, Connections, Health, Retry, Routing, listing, settings
 
-from lapishaven.client.health import Standing
+from lapishaven.client.health import EjectionState
 from lapishaven.client.outcomes import NEVER_RAN, Refused, Served, Uncertain
 
 FREE = Retry(share=0.5, floor_per_s=10.0, burst=20.0)  # a budget that does not bind
@@ -25,18 +25,18 @@
 
 
 # Guards against a commit that runs twice: only proof that it never ran allows a further try.
-@pytest.mark.parametrize("ending", [e for e in Ending if e is not Ending.SERVED])
-def test_a_commit_is_repeated_only_on_proof_that_it_never_ran(ending: Ending) -> None:
+@pytest.mark.parametrize("ending", [e for e in AttemptEnd if e is not AttemptEnd.SERVED])
+def test_a_commit_is_repeated_only_on_proof_that_it_never_ran(ending: AttemptEnd) -> None:
     world = ready()
     call = world.call("approve-commit")
     world.reply(world.sent[-1], ending)
     world.go(1.5)
     tries = [attempt for attempt in world.sent if attempt.call is call]
     if ending in NEVER_RAN:
-        assert len(tries) == 2 and tries[1].rep
+        assert len(tries) == 2 and tries[1].is_retry
     else:
         assert len(tries) == 1
-        expected = "Failed" if ending in (Ending.INVALID, Ending.UNTIMED) else "Uncertain"
+        expected = "Failed" if ending in (AttemptEnd.INVALID, AttemptEnd.TIMESTAMP_REJECTED) else "Uncertain"
         assert type(world.outcome(call)).__name__ == expected
 
 
@@ -78,14 +78,14 @@
     kinds = ["fuzzy-match", "approve-commit"] * 16
     calls = [world.call(kind) for kind in kinds * 2]
     victim = world.sent[-1].connection
-    lost = [a.call for a in victim.open.values()]
+    lost = [a.call for a in victim.in_flight.values()]
     assert len(lost) == 32
     world.cut(victim, clean=False)
-    assert all(isinstance(world.outcome(c), Uncertain) for c in lost if not c.safe)
+    assert all(isinstance(world.outcome(c), Uncertain) for c in lost if not c.idempotent)
     for _ in range(8):
         world.go(0.5)
         world.serve_all(0.05)
-    assert {type(world.outcome(c)) for c in calls if c.safe} == {Served}
+    assert {type(world.outcome(c)) for c in calls if c.idempotent} == {Served}
     assert len(world.outcomes) == len(calls) + 1
 
 
@@ -93,12 +93,12 @@
 def test_no_try_starts_that_does_not_fit_its_deadline() -> None:
     world = ready()
     call = world.call(deadline=world.now + 0.1)
-    assert not call.sent and isinstance(world.outcome(call), Refused)
+    assert not call.attempts_sent and isinstance(world.outcome(call), Refused)
     call = world.call(deadline=world.now + 0.5)
     world.now += 0.3
-    world.reply(world.sent[-1], Ending.REFUSED)
+    world.reply(world.sent[-1], AttemptEnd.REJECTED)
     world.go(1.0)
-    assert call.sent == 1 and world.outcome(call).reason == "no time for a further try"
+    assert call.attempts_sent == 1 and world.outcome(call).reason == "no time for a further try"
 
 
 def test_the_deadline_ends_a_call_and_forgets_its_try() -> None:
@@ -136,11 +136,11 @@
     world = ready(retry=Retry(share=0.5, floor_per_s=10.0, burst=20.0, tries=9))
     call = world.call()
     while world.outcome(call) is None:
-        if world.sent[-1].call is call and world.sent[-1].id in world.sent[-1].connection.open:
-            world.reply(world.sent[-1], Ending.REFUSED, pushback=3.0)
+        if world.sent[-1].call is call and world.sent[-1].id in world.sent[-1].connection.in_flight:
+            world.reply(world.sent[-1], AttemptEnd.REJECTED, retry_after_s=3.0)
         world.go(0.01)
     end = world.outcome(call)
-    assert call.sent == 4 and isinstance(end, Refused) and end.span < 1.0
+    assert call.attempts_sent == 4 and isinstance(end, Refused) and end.span < 1.0
     assert end.come_back is not None and 2.0 < end.come_back <= 3.0
     before = len(world.sent)
     assert isinstance(world.outcome(world.call()), Refused)  # at once, with no try
@@ -153,23 +153,23 @@
 def test_pushback_keeps_from_one_server_for_its_whole_span() -> None:
     world = ready(servers=2)
     world.call()
-    world.reply(world.sent[-1], Ending.REFUSED, pushback=2.0)
-    away, start = world.sent[-1].peer, world.now
+    world.reply(world.sent[-1], AttemptEnd.REJECTED, retry_after_s=2.0)
+    away, start = world.sent[-1].endpoint, world.now
     while world.now < start + 3.0:
         world.call()
         if world.now < start + 2.0:
-            assert world.sent[-1].peer is not away
+            assert world.sent[-1].endpoint is not away
         world.go(0.1)
         world.serve_all()
-    assert away in {attempt.peer for attempt in world.sent if attempt.sent and attempt.sent > start + 2.0}
+    assert away in {attempt.endpoint for attempt in world.sent if attempt.sent_at and attempt.sent_at > start + 2.0}
 
 
 def test_stop_is_honoured_for_that_request_alone() -> None:
     world = ready()
     call = world.call()
-    world.reply(world.sent[-1], Ending.REFUSED, stop=True, pushback=0.2)
-    assert world.outcome(call).stop and call.sent == 1
-    assert world.call().sent == 1
+    world.reply(world.sent[-1], AttemptEnd.REJECTED, no_retry_elsewhere=True, retry_after_s=0.2)
+    assert world.outcome(call).stop and call.attempts_sent == 1
+    assert world.call().attempts_sent == 1
 
 
 # Guards against repeats past the budget when everything is refused, and against a floor that is none.
@@ -177,11 +177,11 @@
     world = ready(retry=Retry(), servers=8)
     for _ in range(2000):
         world.call()
-        world.reply(world.sent[-1], Ending.REFUSED)
+        world.reply(world.sent[-1], AttemptEnd.REJECTED)
         world.go(0.005)
-        while (last := world.sent[-1]).id in last.connection.open:
-            world.reply(last, Ending.REFUSED)
-    first = sum(not attempt.rep for attempt in world.sent)
+        while (last := world.sent[-1]).id in last.connection.in_flight:
+            world.reply(last, AttemptEnd.REJECTED)
+    first = sum(not attempt.is_retry for attempt in world.sent)
     assert 1.05 < len(world.sent) / first < 1.1
     assert world.worst_second("try") < 1.2 * 200
 
@@ -200,11 +200,11 @@
         if n == 80:
             world.dead.clear()  # back after 4 s; the backoff of three failed dials may take as long again
     assert world.worst_second("dial") <= 4 + 4
-    assert all(peer.usable for peer in world.policy.peers.values())
+    assert all(peer.usable_connections for peer in world.policy.peers.values())
     back = list(world.policy.peers.values())[:2]
-    assert all(peer.cold_since is not None and peer.cold_since > start + 4 for peer in back)
-    later = [a for a in world.sent if a.sent is not None and a.sent > start + 6]
-    cold = sum(a.peer in back for a in later) / len(later)
+    assert all(peer.slow_start_since is not None and peer.slow_start_since > start + 4 for peer in back)
+    later = [a for a in world.sent if a.sent_at is not None and a.sent_at > start + 6]
+    cold = sum(a.endpoint in back for a in later) / len(later)
     assert 0 < cold < 0.15  # under the fifth that ten equal servers would give two
     assert world.ends()["Refused"] == 0
 
@@ -219,7 +219,7 @@
     for _ in range(9):
         world.call()
         assert world.sent[-1].connection is not connection
-    world.reply(next(iter(connection.open.values())))
+    world.reply(next(iter(connection.in_flight.values())))
     assert world.outcome(call).served and connection in world.closed
 
 
@@ -227,14 +227,14 @@
 def test_a_silent_server_is_asked_and_left_out() -> None:
     world = ready(servers=2)
     calls = [world.call() for _ in range(8)]
-    stopped = world.sent[-1].peer
-    for attempt in [a for a in world.sent if a.peer is not stopped and a.call in calls]:
+    stopped = world.sent[-1].endpoint
+    for attempt in [a for a in world.sent if a.endpoint is not stopped and a.call in calls]:
         world.reply(attempt)
     world.go(2.6)
     assert world.probes == [stopped]
     world.policy.probed(world.now, stopped, False)
     world.act()
-    assert stopped.health.standing is Standing.OUT
+    assert stopped.health.state is EjectionState.EJECTED
     world.go(0.2)
     world.serve_all()
     assert all(world.outcome(call).served for call in calls if call.number in world.outcomes)
@@ -245,13 +245,13 @@
     while not stopped.open:
         world.call()
         world.go(0.05)
-        for attempt in [a for a in world.sent if a.peer is not stopped and a.id in a.connection.open]:
+        for attempt in [a for a in world.sent if a.endpoint is not stopped and a.id in a.connection.in_flight]:
             world.reply(attempt)
     for _ in range(6):
         world.call()
         assert stopped.open == 1
     world.serve_all()
-    assert stopped.health.standing is Standing.IN
+    assert stopped.health.state is EjectionState.HEALTHY
 
 
 # Guards against leaving out everything when everything fails: then the fault is not the servers'.
@@ -259,9 +259,9 @@
     world = ready(servers=6, health=Health(failures=2, probes=False))
     for _ in range(60):
         world.call()
-        world.reply(world.sent[-1], Ending.FAILED)
+        world.reply(world.sent[-1], AttemptEnd.FAILED)
         world.go(0.01)
-        out = [p for p in world.policy.peers.values() if p.health.standing is Standing.OUT]
+        out = [p for p in world.policy.peers.values() if p.health.state is EjectionState.EJECTED]
         assert len(out) <= 2
     assert out
 
@@ -308,7 +308,7 @@
     for _ in range(10):  # so quiet a client keeps to one server
         world.call()
     assert policy.listed(world.now, listing(1, "n1", "n5", epoch="f")) == "taken"  # it restarted: a new epoch
-    assert policy.peers["n5"].cold_since == world.now and policy.peers["n1"].cold_since is None
+    assert policy.peers["n5"].slow_start_since == world.now and policy.peers["n1"].slow_start_since is None
 
 
 # Guards against sending nowhere when most of the list is said not to pass.
@@ -319,14 +319,14 @@
     world.connect()
     for _ in range(20):
         world.call()
-    assert "n1" not in {attempt.peer.name for attempt in world.sent}
+    assert "n1" not in {attempt.endpoint.name for attempt in world.sent}
     world.now = 1.0
     world.policy.listed(1.0, listing(2, "n1", "n2", "n3", critical=("n1", "n2")))
     world.act()
     world.go(0.01)  # dials of what is wanted now are spread, here over a millisecond
     for _ in range(20):
         world.call()
-    assert {attempt.peer.name for attempt in world.sent} == {"n1", "n2", "n3"}
+    assert {attempt.endpoint.name for attempt in world.sent} == {"n1", "n2", "n3"}
 
 
 # Guards against second copies past the budget, of what must not run twice, and against a loser left running.
@@ -334,11 +334,11 @@
     world = ready(retry=Retry(share=0.5, floor_per_s=10.0, burst=20.0, second_copies=True))
     safe, once = world.call(), world.call("approve-commit")
     world.go(2.0)
-    assert (safe.sent, once.sent) == (2, 1)
+    assert (safe.attempts_sent, once.attempts_sent) == (2, 1)
     first, second = (a for a in world.sent if a.call is safe)
-    assert second.rep and second.peer is not first.peer
+    assert second.is_retry and second.endpoint is not first.endpoint
     world.reply(second)
-    assert world.outcome(safe).server == second.peer.name and first in world.withdrawn
+    assert world.outcome(safe).server == second.endpoint.name and first in world.withdrawn
 
 
 # Guards against descriptors held for nothing, and dials for a client that has nothing to say.
@@ -360,8 +360,8 @@
     call, other = world.call("approve-commit"), world.call()
     world.connect()
     assert world.sent[0].connection is not world.sent[1].connection
-    world.dead.add(world.sent[0].peer.name)
-    world.reply(world.sent[0], Ending.REFUSED, pushback=0.5)
+    world.dead.add(world.sent[0].endpoint.name)
+    world.reply(world.sent[0], AttemptEnd.REJECTED, retry_after_s=0.5)
     world.reply(world.sent[1])
     world.go(0.5)
     world.serve_all()
@@ -398,5 +398,5 @@
         for _ in range(20):
             world.call(row=Random(seed).getrandbits(64) if strategy == "affinity" else None)
         for attempt in world.sent:
-            shares[attempt.peer.name] = shares.get(attempt.peer.name, 0) + 1
+            shares[attempt.endpoint.name] = shares.get(attempt.endpoint.name, 0) + 1
     assert len(shares) == 6 and max(shares.values()) < 4 * min(shares.values())
--- a/tests/test_client_silence.py
+++ b/tests/test_client_silence.py
@@ -27,19 +27,19 @@
     there = world()
     calls = [there.call() for _ in range(8)] + [there.call("approve-commit") for _ in range(8)]
     held = {attempt.call.number: attempt for attempt in there.sent if attempt.call in calls}
-    silenced = held[calls[0].number].peer.name
+    silenced = held[calls[0].number].endpoint.name
     there.silent.add(silenced)
-    waits = [call for call in calls if held[call.number].peer.name == silenced]
-    commits = [call for call in waits if not call.safe]
+    waits = [call for call in calls if held[call.number].endpoint.name == silenced]
+    commits = [call for call in waits if not call.idempotent]
     assert commits and len(waits) > len(commits)
     for attempt in held.values():
-        if attempt.peer.name != silenced:
+        if attempt.endpoint.name != silenced:
             there.reply(attempt)
     there.go(0.55)  # asked after 0.3 s, silent 0.15 s later
     for call in waits:
         tries = [attempt for attempt in there.sent if attempt.call is call]
-        assert len(tries) == (2 if call.safe else 1) and all(a.peer.name != silenced for a in tries[1:])
-    assert {a.call.number for a in there.withdrawn} == {call.number for call in waits if call.safe}
+        assert len(tries) == (2 if call.idempotent else 1) and all(a.endpoint.name != silenced for a in tries[1:])
+    assert {a.call.number for a in there.withdrawn} == {call.number for call in waits if call.idempotent}
     there.go(0.7)
     assert all(isinstance(there.outcome(call), Uncertain) for call in commits)
     there.silent.clear()
@@ -65,7 +65,7 @@
             there.cut(connection)
         there.go(1.55)
     assert [type(there.outcome(call)) for call in calls] == [Served] * 40
-    tries = [attempt.peer.name for attempt in there.sent]
+    tries = [attempt.endpoint.name for attempt in there.sent]
     assert min(tries.count(name) for name in ("n1", "n2", "n3")) > 6  # and not always the same one
 
 
--- a/tests/test_connection_manager.py
+++ b/tests/test_connection_manager.py
@@ -6,7 +6,7 @@
 from random import Random
 
 import pytest
-from client_world import ClientWorld, Connections, Ending, listing, settings
+from client_world import AttemptEnd, ClientWorld, Connections, listing, settings
 
 from lapishaven.client.fleet.connection_manager import ConnectionManager
 from lapishaven.client.membership import Membership
@@ -18,16 +18,16 @@
 
 @dataclass
 class Known:
-    usable: int = 1
-    dial_at: float = float("-inf")
+    usable_connections: int = 1
+    next_dial_at: float = float("-inf")
     dial_failures: int = 0
     lost_at: float | None = None
     suspected: float | None = None
-    rested: bool = False
-    left_out: bool = False
+    closed_idle_connection: bool = False
+    ejected: bool = False
     refusing: bool = False
 
-    def strained(self, now: float) -> bool:
+    def recently_rejected(self, now: float) -> bool:
         return self.refusing
 
 
@@ -44,19 +44,19 @@
 
     def hear(self, now: float, *critical: str) -> None:
         self.version += 1
-        change = self.membership.offer(now, listing(self.version, *NAMES, critical=critical))
-        for name in self.keeping.news(now, change.joined, change.left, change.altered):
+        change = self.membership.apply_list(now, listing(self.version, *NAMES, critical=critical))
+        for name in self.keeping.endpoints_changed(now, change.joined, change.left, change.changed):
             if name in self.peers:
                 self.peers[name].lost_at = None
-        self.keeping.follow(now, RATE)
+        self.keeping.update_window(now, RATE)
 
     def lose(self, now: float, *names: str) -> None:
         for name in names:
-            self.peers[name].usable, self.peers[name].lost_at = 0, now
+            self.peers[name].usable_connections, self.peers[name].lost_at = 0, now
 
     def due(self, now: float) -> float:
-        wish = self.keeping.wish(now, RATE, False)
-        assert wish is not None and wish.why == "window"
+        wish = self.keeping.next_dial(now, RATE, False)
+        assert wish is not None and wish.reason == "window"
         return wish.at
 
 
@@ -66,11 +66,11 @@
     first = client.keeping.window[0]
     client.lose(10.0, first)
     client.hear(10.0, first)
-    assert client.keeping.wish(11.0, RATE, False) is None
+    assert client.keeping.next_dial(11.0, RATE, False) is None
     client.hear(15.0)
-    wish = client.keeping.wish(15.0, RATE, False)
-    assert wish is not None and (wish.name, wish.why) == (first, "window") and 15.0 <= wish.at <= 27.0
-    assert client.keeping.wish(16.0, RATE, False) == wish  # it stays with its turn
+    wish = client.keeping.next_dial(15.0, RATE, False)
+    assert wish is not None and (wish.name, wish.reason) == (first, "window") and 15.0 <= wish.at <= 27.0
+    assert client.keeping.next_dial(16.0, RATE, False) == wish  # it stays with its turn
 
 
 # Guards against clients that stand with one server as long as those that have plenty, and the other way round.
@@ -101,25 +101,25 @@
     window = client.keeping.window
     client.lose(10.0, *window)
     client.hear(10.0, *window)
-    wish = client.keeping.wish(10.0, RATE, True)
-    assert wish is not None and wish.name not in window and (wish.at, wish.why) == (10.0, "urgent")
+    wish = client.keeping.next_dial(10.0, RATE, True)
+    assert wish is not None and wish.name not in window and (wish.at, wish.reason) == (10.0, "urgent")
     client.peers[wish.name] = Known()
-    client.keeping.took(10.0, wish)
-    assert client.keeping.keeps(wish.name) and client.keeping.follows(10.0, wish.name)
+    client.keeping.record_dial(10.0, wish)
+    assert client.keeping.keep_connected(wish.name) and client.keeping.is_tracked(10.0, wish.name)
     client.hear(15.0)
     for name in window[:2]:
-        client.peers[name].usable = 1
-    assert client.keeping.spare() == []
-    client.peers[window[2]].usable = 1
-    assert client.keeping.spare() == [wish.name]
+        client.peers[name].usable_connections = 1
+    assert client.keeping.surplus_stand_ins() == []
+    client.peers[window[2]].usable_connections = 1
+    assert client.keeping.surplus_stand_ins() == [wish.name]
 
 
 # Guards against windows that flap with the traffic's chance: wider at once, narrower only well below.
 @pytest.mark.parametrize(("before", "after", "wide"), [(2.1, 1.9, 4), (2.1, 1.2, 3), (1.9, 2.1, 4), (0.8, 0.15, 3)])
 def test_a_window_is_made_narrower_only_when_the_traffic_is_well_below(before: float, after: float, wide: int) -> None:
     client = Client()
-    client.keeping.follow(1.0, before)
-    client.keeping.follow(2.0, after)
+    client.keeping.update_window(1.0, before)
+    client.keeping.update_window(2.0, after)
     assert len(client.keeping.window) == wide
 
 
@@ -135,14 +135,14 @@
         world.go(0.8)
         world.serve_all()
     window = world.policy.keeping.window
-    assert {connection.peer.name for connection in world.policy.open_connections()} == set(window)
+    assert {connection.endpoint.name for connection in world.policy.open_connections()} == set(window)
     for connection in list(world.policy.open_connections()):
         world.policy.draining(world.now, connection)
     world.act()
     call = world.call()
     world.go(0.01)
-    assert world.outcome(call) is None and call.sent == 1
-    attempt = call.open[0]
-    assert attempt.peer.name not in window
-    world.reply(attempt, Ending.SERVED)
+    assert world.outcome(call) is None and call.attempts_sent == 1
+    attempt = call.attempts[0]
+    assert attempt.endpoint.name not in window
+    world.reply(attempt, AttemptEnd.SERVED)
     assert world.outcome(call).served
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,7 +12,7 @@
 from client_world import CLASSES, listing
 
 from lapishaven.client import Client, Settings
-from lapishaven.client.fleet.endpoint_list import EMPTY, applied, whole
+from lapishaven.client.fleet.endpoint_list import EMPTY, apply_delta, replace_list
 from lapishaven.client.membership import Membership
 from lapishaven.client.policy import Policy
 from lapishaven.client.settings import Catalog
@@ -34,13 +34,13 @@
         ["n2"],
     )
     membership = Membership(RULES)
-    assert membership.offer(0.0, one).verdict == "taken" and not membership.wants_whole
-    change = membership.offer_delta(1.0, delta)
-    assert (change.verdict, change.joined, change.left, change.altered) == ("taken", ("n4",), ("n3",), ("n2",))
+    assert membership.apply_list(0.0, one).verdict == "taken" and not membership.needs_full_list
+    change = membership.apply_delta(1.0, delta)
+    assert (change.verdict, change.joined, change.left, change.changed) == ("taken", ("n4",), ("n3",), ("n2",))
     assert membership.names == {"n1", "n2", "n4"} and membership.version == 2
-    assert membership.offer_delta(2.0, delta).verdict == "stale"
+    assert membership.apply_delta(2.0, delta).verdict == "stale"
     gap = Delta("e", 9, 7, (Listed("n9", "10.0.0.9", 1),))
-    assert membership.offer_delta(3.0, gap).verdict == "apart" and membership.wants_whole
+    assert membership.apply_delta(3.0, gap).verdict == "apart" and membership.needs_full_list
     assert membership.names == {"n1", "n2", "n4"}
 
 
@@ -80,11 +80,11 @@
 
 def test_a_step_is_made_once_for_all_that_take_it() -> None:
     one = listing(1, "n1", "n2")
-    assert whole(EMPTY, one) is whole(EMPTY, one)
-    step = whole(EMPTY, one)
+    assert replace_list(EMPTY, one) is replace_list(EMPTY, one)
+    step = replace_list(EMPTY, one)
     delta = delta_between(one, listing(2, "n1"))
-    assert applied(step.roster, delta) is applied(step.roster, delta)
-    assert applied(EMPTY, delta) is None
+    assert apply_delta(step.endpoint_list, delta) is apply_delta(step.endpoint_list, delta)
+    assert apply_delta(EMPTY, delta) is None
 
 
 # Guards against a restart of the client that forgets every server while the catalog is away: the last good list
