--- a/lapishaven/client/asyncio_client.py
+++ b/lapishaven/client/asyncio_client.py
@@ -11,19 +11,19 @@
 from types import TracebackType
 from typing import Any
 
-from lapishaven.client.model import Attempt, Call, Connection, Endpoint
-from lapishaven.client.outcomes import AttemptEnd, AttemptResult, Outcome, unwrap
-from lapishaven.client.policy import (
+from lapishaven.client.actions import (
     CancelRequest,
     CheckHealth,
     CloseConnection,
     CompleteCall,
-    Hook,
     OpenConnection,
-    Policy,
     SendProbe,
     SendRequest,
 )
+from lapishaven.client.engine import Hook
+from lapishaven.client.model import Attempt, Call, Connection, Endpoint
+from lapishaven.client.outcomes import AttemptEnd, AttemptResult, Outcome, unwrap
+from lapishaven.client.policy import Policy
 from lapishaven.client.settings import Settings, split_address
 from lapishaven.client.wire import WIRES, DrainingNotice, JsonRpc, ProbeAnswered, ResponseReceived, TimestampClock, Wire
 from lapishaven.proto import ProtocolError, jsonrpc
@@ -112,7 +112,7 @@
         self.loop = asyncio.get_running_loop()
         self.clock = TimestampClock(self._wall, self.loop.time)
         now = self.loop.time()
-        self.policy = Policy(self.settings, self._random, now, self._hook, shared=self._wall() - now)
+        self.policy = Policy(self.settings, self._random, now, self._hook, clock_offset_s=self._wall() - now)
         if self.settings.catalog:
             self._restore_list()
             self._spawn(self._watch_catalog())
@@ -190,11 +190,11 @@
             return
         self._driving = True
         try:
-            self.policy.turn(self.loop.time())
+            self.policy.run_timers(self.loop.time())
             self._execute_actions()
         finally:
             self._driving = False
-        when = self.policy.next_at()
+        when = self.policy.next_timer_at()
         if when is not None and (self._timer is None or when < self._timer_at):
             if self._timer is not None:
                 self._timer.cancel()
@@ -206,7 +206,7 @@
         self._run_policy()
 
     def _execute_actions(self) -> None:
-        while actions := self.policy.take():
+        while actions := self.policy.take_actions():
             for action in actions:
                 if isinstance(action, SendRequest):
                     self._send(action.connection, action.attempt)
@@ -253,9 +253,9 @@
             for event in link.wire.feed(data):
                 self._handle_event(now, link, event)
         except ProtocolError as error:
-            if self.policy.single:
+            if self.policy.one_request_per_connection:
                 for attempt in list(connection.in_flight):
-                    self.policy.replied(
+                    self.policy.response_received(
                         now, connection, attempt, AttemptResult(AttemptEnd.MALFORMED_RESPONSE, text=str(error))
                     )
             link.close(abort=True)
@@ -270,10 +270,10 @@
             self.policy.draining(now, link.connection)
             return
         if isinstance(event, ProbeAnswered):
-            self.policy.well(now, link.connection)
+            self.policy.probe_answered(now, link.connection)
             return
-        self.policy.replied(now, link.connection, event.attempt_id, event.result)
-        if self.policy.single:
+        self.policy.response_received(now, link.connection, event.attempt_id, event.result)
+        if self.policy.one_request_per_connection:
             link.close()
             self._connections.pop(link.connection.id, None)
 
@@ -333,12 +333,12 @@
                 good = await self._endpoint_is_healthy(row.host, row.port)
         except (TimeoutError, OSError, ProtocolError):
             pass
-        self.policy.probed(self.loop.time(), peer, good)
+        self.policy.health_checked(self.loop.time(), peer, good)
         self._run_policy()
 
     async def _endpoint_is_healthy(self, host: str, port: int) -> bool:
         with await self._connect(host, port, self.settings.health.probe_timeout_s) as sock:
-            if self.policy.single:
+            if self.policy.one_request_per_connection:
                 return True  # the wire has no check: that the connection came about is all there is to learn
             await self.loop.sock_sendall(sock, jsonrpc.is_well(1))
             machine = jsonrpc.Client()
@@ -384,7 +384,7 @@
             done, listing = reader.feed(await self.loop.sock_recv(sock, 65536))
             if done:
                 if listing is not None:
-                    verdict = self.policy.listed(self.loop.time(), listing)
+                    verdict = self.policy.update_endpoints(self.loop.time(), listing)
                     self._run_policy()
                     if verdict in ("taken", "held back"):
                         self._save_list()
@@ -400,7 +400,7 @@
         try:
             with open(path, "rb") as file:
                 data = file.read(LIST_LIMIT + 1)
-            self.policy.listed_before(self.loop.time(), data)
+            self.policy.restore_endpoints(self.loop.time(), data)
             self._run_policy()
         except FileNotFoundError:
             pass
--- /dev/null
+++ b/lapishaven/client/calls/availability.py
@@ -0,0 +1,58 @@
+"""Which endpoints may take a request now, and when the next one may."""
+
+from __future__ import annotations
+
+from lapishaven.client.connections.dial_budget import DialBudget
+from lapishaven.client.connections.endpoint_table import EndpointTable
+from lapishaven.client.model import Endpoint
+from lapishaven.client.settings import Settings
+from lapishaven.client.traffic import Traffic
+
+
+class Availability:
+    """Combines what stands against an endpoint: its listed health, Retry-After, ejection, silence, and capacity."""
+
+    def __init__(self, settings: Settings, table: EndpointTable, traffic: Traffic, dial_budget: DialBudget) -> None:
+        self._settings = settings
+        self._table = table
+        self._traffic = traffic
+        self._dial_budget = dial_budget
+        self._open_limit = settings.connections.open_limit
+
+    def accepts(self, now: float, endpoint: Endpoint) -> bool:
+        """Whether a request may go to an endpoint now."""
+        if not self._table.passes_health_checks(endpoint) or not endpoint.health.accepts_requests(now):
+            return False
+        if endpoint in self._table.failure_detector.suspects:
+            return False
+        if self._table.one_request_per_connection:
+            return endpoint.next_dial_at <= now and endpoint.open < self._open_limit
+        return endpoint.least_loaded_connection(self._open_limit) is not None
+
+    def candidates(self, now: float, excluded_name: str | None = None) -> list[Endpoint]:
+        """The endpoints that accept a request now, without the one of that name."""
+        return [
+            endpoint
+            for endpoint in self._table.endpoints.values()
+            if endpoint.name != excluded_name and self.accepts(now, endpoint)
+        ]
+
+    def next_available_at(self, now: float) -> float:
+        """When some endpoint may take a request, as far as is known; with none known, at the next poll of the list."""
+        table, rate = self._table, self._traffic.first_attempt_rate.per_second(now)
+        any_connected = table.any_connected
+        dial_at = self._dial_budget.available_at(now, rate, not any_connected)
+        times = [
+            max(
+                endpoint.health.available_at(now),
+                now if endpoint.usable_connections else max(endpoint.next_dial_at, dial_at),
+            )
+            for endpoint in table.endpoints.values()
+            if table.passes_health_checks(endpoint) and endpoint.suspected is None
+        ]
+        if table.uses_aperture and not table.one_request_per_connection and not any_connected:
+            # Any endpoint will do for a call that waits with nothing connected, also one that is not tracked yet.
+            planned = table.connection_manager.next_urgent_dial(now)
+            if planned is not None:
+                times.append(max(planned.at, dial_at))
+        return max(now, min(times, default=now + self._settings.catalog_rules.poll_s))
--- a/lapishaven/client/command.py
+++ b/lapishaven/client/command.py
@@ -11,7 +11,7 @@
 
 from lapishaven.client.asyncio_client import BODY_LIMIT, Client
 from lapishaven.client.hooks import logging_hook
-from lapishaven.client.outcomes import Cancelled, Expired, Failed, Outcome, Refused, Served, Uncertain
+from lapishaven.client.outcomes import OUTCOME_NAMES, Cancelled, Expired, Failed, Outcome, Refused, Served, Uncertain
 from lapishaven.client.settings import Settings, SettingsError, load
 
 # The exit code of each outcome; of several calls the highest counts.
@@ -99,7 +99,7 @@
 
 
 def _format_outcome(outcome: Outcome, as_json: bool) -> str:
-    kind = type(outcome).__name__.lower()
+    kind = OUTCOME_NAMES[type(outcome)]
     if as_json:
         fields: dict[str, Any] = {"outcome": kind, "tries": outcome.tries, "seconds": round(outcome.span, 6)}
         if isinstance(outcome, Served):
--- /dev/null
+++ b/lapishaven/client/connection_events.py
@@ -0,0 +1,226 @@
+"""What happens to connections: made, failed, answered, draining, lost."""
+
+from __future__ import annotations
+
+from lapishaven.client.actions import CancelRequest
+from lapishaven.client.calls.attempt_results import AttemptResults
+from lapishaven.client.calls.attempt_scheduler import AttemptScheduler
+from lapishaven.client.calls.outlier_ejection import OutlierEjection
+from lapishaven.client.calls.waiting_calls import WaitingCalls
+from lapishaven.client.connections.connectivity import Connectivity
+from lapishaven.client.endpoint_updates import EndpointUpdates
+from lapishaven.client.engine import Engine
+from lapishaven.client.health import EjectionState
+from lapishaven.client.model import Attempt, Connection, ConnectionState, Endpoint
+from lapishaven.client.outcomes import AttemptEnd, AttemptResult
+
+IDLE_CLOSE_WINDOW_S = 0.3
+"""How soon after its last response a server with many callers closes a connection (seconds).
+
+The close that a killed server leaves comes at any time, so few of the closes that thin clients see look like it."""
+
+
+class ConnectionEvents:
+    """Handles each event on a connection: first the connection and its endpoint, then the attempts on it."""
+
+    def __init__(
+        self,
+        engine: Engine,
+        connectivity: Connectivity,
+        attempts: AttemptScheduler,
+        waiting: WaitingCalls,
+        results: AttemptResults,
+        ejection: OutlierEjection,
+        updates: EndpointUpdates,
+    ) -> None:
+        self._engine = engine
+        self._table = connectivity.table
+        self._dialer = connectivity.dialer
+        self._idle_timeouts = connectivity.idle_timeouts
+        self._prober = connectivity.prober
+        self._attempts = attempts
+        self._waiting = waiting
+        self._results = results
+        self._ejection = ejection
+        self._updates = updates
+        self._rules = engine.settings.connections
+
+    # ---- Dials
+    def connected(self, now: float, connection: Connection) -> None:
+        """A dial succeeded."""
+        if connection.state is not ConnectionState.DIALING:
+            return
+        table, endpoint = self._table, connection.endpoint
+        connection.state = ConnectionState.READY
+        connection.last_received_at = now
+        connection.idle_since = now
+        endpoint.lost_at = None
+        if table.probes_connections:
+            self._prober.probe_new_connection(now, connection)
+        else:
+            endpoint.heard = now
+        table.membership.record_seen(now, endpoint.name)
+        if endpoint.dial_failures:
+            endpoint.slow_start_since = now  # it was away, so it is another process, which warms up
+            endpoint.smoothed_latency = 0.0
+            endpoint.dial_failures = 0
+        if not table.is_tracked(endpoint) and not connection.in_flight:
+            table.close_connection(connection)
+            return
+        self._send_pending(now, connection)
+        self._idle_timeouts.connection_used(now, connection)
+        if table.uses_aperture:
+            self._dialer.ensure_connected(now)  # the next one, one at a time
+        self._waiting.endpoint_connected(now)
+
+    def dial_failed(self, now: float, connection: Connection) -> None:
+        """A dial failed, so nothing was sent on the connection."""
+        if connection.state is not ConnectionState.DIALING:
+            return
+        endpoint = connection.endpoint
+        self._engine.report(now, "dial failed", server=endpoint.name)
+        self._dialer.back_off(now, endpoint)
+        endpoint.lost_at = now  # the client's own evidence, against a list that may be stale
+        if self._table.membership.remove_doubted(endpoint.name):
+            self._table.remove(endpoint.name)
+            self._updates.update_tracked(now)
+        self._lost(now, connection, clean=True)
+
+    def _send_pending(self, now: float, connection: Connection) -> None:
+        """Send what waits on a connection, or probe first where its endpoint has been silent."""
+        endpoint = connection.endpoint
+        if self._prober.must_probe_first(now, endpoint):
+            if connection.in_flight and endpoint.asked is None:
+                self._prober.probe(now, endpoint)
+                self._prober.plan_look()
+            return
+        for attempt in [each for each in connection.in_flight.values() if each.sent_at is None]:
+            if self._attempts.fits(now, attempt.call):
+                self._attempts.send(now, attempt)
+            else:
+                result = AttemptResult(AttemptEnd.UNREACHABLE, text="no time was left after the dial")
+                self._results.attempt_ended(now, attempt, result)
+                self._table.close_connection(connection)
+
+    # ---- Responses
+    def response_received(self, now: float, connection: Connection, attempt_id: int, result: AttemptResult) -> None:
+        """A response arrived. One to an attempt that nobody waits for any more changes nothing."""
+        self._prober.received(now, connection)
+        attempt = connection.in_flight.get(attempt_id)
+        if attempt is None:
+            self._engine.report(now, "late answer", server=connection.endpoint.name)
+            return
+        self._table.membership.record_seen(now, connection.endpoint.name)
+        if self._table.one_request_per_connection and connection in connection.endpoint.connections:
+            connection.state = ConnectionState.CLOSED
+            self._table.forget_connection(connection)
+        self._results.attempt_ended(now, attempt, result)
+        self._idle_timeouts.connection_used(now, connection)
+        self._waiting.place_waiting(now)
+
+    def probe_answered(self, now: float, connection: Connection) -> None:
+        """An endpoint answered a probe on a connection. Whatever it said, it is responsive."""
+        self._prober.received(now, connection)
+        for each in list(connection.endpoint.connections):
+            if each.state is ConnectionState.READY:
+                self._send_pending(now, each)
+        self._waiting.place_waiting(now)
+
+    def health_checked(self, now: float, endpoint: Endpoint, healthy: bool) -> None:
+        """A health check on a connection of its own ended; no answer in time is an unhealthy one."""
+        endpoint.health_check_pending = False
+        self._engine.report(now, "probe good" if healthy else "probe bad", server=endpoint.name)
+        if not self._table.is_tracked(endpoint):
+            return
+        if endpoint.health.state is EjectionState.PROBING:
+            self._ejection.record_health_check(now, endpoint, healthy)
+        elif not healthy:
+            self._ejection.record_unresponsive(now, endpoint)
+            self._close_silent_connections(now, endpoint)
+
+    def _close_silent_connections(self, now: float, endpoint: Endpoint) -> None:
+        """Give up the connections that owe responses and received nothing for ``connections.silence_s``."""
+        for connection in list(endpoint.connections):
+            if not connection.in_flight or now - connection.last_received_at < self._rules.silence_s:
+                continue
+            for attempt in connection.in_flight.values():
+                if attempt.sent_at is not None:
+                    # Else a process that resumes would begin the request before it reads the close.
+                    self._engine.emit(CancelRequest(connection, attempt))
+            self._table.close_connection(connection)
+            self._lost(now, connection, clean=False)
+
+    # ---- Ends of connections
+    def draining(self, now: float, connection: Connection) -> None:
+        """A server shuts down gracefully: nothing new goes there, what is in flight is finished."""
+        self._prober.received(now, connection)
+        if connection.state is not ConnectionState.READY:
+            return
+        endpoint = connection.endpoint
+        self._engine.report(now, "draining", server=endpoint.name)
+        connection.state = ConnectionState.DRAINING
+        if self._table.uses_aperture:
+            # Not dialled before the list shows it again, and then in the client's time slot: no backoff on top.
+            endpoint.lost_at = now if endpoint.lost_at is None else endpoint.lost_at
+            endpoint.next_dial_at = now + self._rules.drain_s
+            endpoint.dial_failures += 1  # so that it starts slowly when it is there again
+        else:
+            self._dialer.back_off(now, endpoint)
+            endpoint.next_dial_at += self._rules.drain_s
+        if self._table.membership.remove_doubted(endpoint.name):
+            self._table.remove(endpoint.name)
+        self._idle_timeouts.connection_used(now, connection)
+        self._dialer.ensure_connected(now)
+
+    def closed(self, now: float, connection: Connection, clean: bool) -> None:
+        """The other side closed the connection; ``clean`` unless it was reset or could not be read."""
+        if connection.state is not ConnectionState.CLOSED:
+            self._lost(now, connection, clean)
+
+    def _lost(self, now: float, connection: Connection, clean: bool) -> None:
+        endpoint = connection.endpoint
+        attempts = list(connection.in_flight.values())
+        self._prober.connection_lost(endpoint)
+        threshold_s = self._rules.crossing_quiet_s
+        unread_ids = {
+            attempt.id for attempt in attempts if connection.close_proves_unread(now, attempt, clean, threshold_s)
+        }
+        soon_idle = now - connection.idle_since <= IDLE_CLOSE_WINDOW_S
+        was_ready = connection.state is ConnectionState.READY
+        endpoint.closed_idle_connection = clean and soon_idle and not attempts and was_ready
+        connection.state = ConnectionState.CLOSED
+        self._dialer.end_start(now)
+        self._table.forget_connection(connection)
+        if self._table.uses_aperture:
+            self._record_loss(now, endpoint)
+        if any(attempt.sent_at is not None and attempt.id not in unread_ids for attempt in attempts):
+            self._ejection.record_failure(now, endpoint)
+        for attempt in attempts:
+            self._results.attempt_ended(now, attempt, _result_of_close(attempt, unread_ids))
+        self._dialer.ensure_connected(now)
+        self._waiting.place_waiting(now)
+
+    def _record_loss(self, now: float, endpoint: Endpoint) -> None:
+        """Put off the next dial until the endpoint list shows that the endpoint is back.
+
+        That holds for a clean close of an idle connection too: a killed process's sockets close just so, and a
+        server's idle timeout is made good after ``connections.away_s``, if the client still has calls.
+        """
+        if endpoint.lost_at is None:
+            endpoint.lost_at = now
+            if not self._engine.settings.catalog and endpoint.next_dial_at <= now:
+                # A fixed list never changes: dial again after the first delay of a backoff, sooner only for a call
+                # that waits with nothing connected.
+                spread_s = self._table.connection_manager.deploy_interval.spread_s(now)
+                longest = max(self._rules.redial_s, spread_s)
+                endpoint.next_dial_at = now + self._engine.random.uniform(0.0, longest)
+        if self._table.membership.remove_doubted(endpoint.name):
+            self._table.remove(endpoint.name)  # the list left it out, and now its connection is lost too
+
+
+def _result_of_close(attempt: Attempt, unread_ids: set[int]) -> AttemptResult:
+    if attempt.sent_at is None:
+        return AttemptResult(AttemptEnd.UNREACHABLE, text="the server could not be reached")
+    if attempt.id in unread_ids:
+        return AttemptResult(AttemptEnd.CLOSE_RACE, text="it met the connection's close")
+    return AttemptResult(AttemptEnd.LOST, text="the connection ended before the answer")
--- a/lapishaven/client/engine.py
+++ b/lapishaven/client/engine.py
@@ -1,4 +1,4 @@
-"""What every part of the policy stands on: time passed in, timers, actions to the driver, events to whoever listens."""
+"""What every part of the policy is built on: timers, the queue of actions for the driver, and event reports."""
 
 from __future__ import annotations
 
@@ -12,38 +12,64 @@
 from lapishaven.client.settings import Settings
 
 Hook = Callable[[float, str, dict[str, Any]], None]
+"""Receives each event as (time in seconds, name, fields)."""
+
+TimerCallback = Callable[[float, Any], None]
+"""Called as ``callback(now, argument)`` when a timer is due."""
 
 
 class Engine:
-    """Every method takes the time in seconds of a clock that never steps back."""
+    """Timers, actions and event counts of one policy. Times are in seconds on a monotonic clock."""
 
     def __init__(self, settings: Settings, random: Random, hook: Hook | None) -> None:
-        self.settings, self.random, self.hook = settings, random, hook
+        self.settings = settings
+        self.random = random
+        self.hook = hook
         self.counts: Counter[str] = Counter()
         self._actions: list[Action] = []
-        self._timers: list[tuple[float, int, Callable[[float, Any], None], Any]] = []
-        self._numbers = 0
+        self._timers: list[tuple[float, int, TimerCallback, Any]] = []
+        self._last_id = 0
+
+    def next_id(self) -> int:
+        """A number that no call, attempt, connection or timer of this client had before."""
+        self._last_id += 1
+        return self._last_id
+
+    def emit(self, action: Action) -> None:
+        """Queue an action for the driver."""
+        self._actions.append(action)
 
-    def take(self) -> list[Action]:
-        """The actions since the last call, in their order."""
-        actions, self._actions = self._actions, []
+    def take_actions(self) -> list[Action]:
+        """Return the actions queued since the last call, in their order."""
+        actions = self._actions
+        self._actions = []
         return actions
 
-    def next_at(self) -> float | None:
-        """When ``turn`` has something to do."""
+    def schedule(self, when: float, callback: TimerCallback, argument: Any = None) -> None:
+        """Call ``callback(now, argument)`` at ``when``. Timers of the same time run in the order they were set."""
+        self._last_id += 1
+        heappush(self._timers, (when, self._last_id, callback, argument))
+
+    def next_timer_at(self) -> float | None:
+        """When ``run_timers`` has something to do; None without timers."""
         return self._timers[0][0] if self._timers else None
 
-    def turn(self, now: float) -> None:
-        """Do what is due."""
+    def run_timers(self, now: float) -> None:
+        """Run every timer that is due."""
         while self._timers and self._timers[0][0] <= now:
-            _, _, then, what = heappop(self._timers)
-            then(now, what)
+            _, _, callback, argument = heappop(self._timers)
+            callback(now, argument)
+
+    def timer_arguments(self) -> list[Any]:
+        """The arguments of all timers that are set."""
+        return [argument for _, _, _, argument in self._timers]
 
-    def _at(self, when: float, then: Callable[[float, Any], None], what: Any = None) -> None:
-        self._numbers += 1
-        heappush(self._timers, (when, self._numbers, then, what))
+    def clear_timers(self) -> None:
+        """Cancel every timer."""
+        self._timers.clear()
 
-    def _tell(self, now: float, event: str, **fields: Any) -> None:
+    def report(self, now: float, event: str, **fields: Any) -> None:
+        """Count an event and pass it to the hook."""
         self.counts[event] += 1
         if self.hook is not None:
             self.hook(now, event, fields)
--- a/lapishaven/client/hooks.py
+++ b/lapishaven/client/hooks.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from lapishaven.client.policy import Hook
+from lapishaven.client.engine import Hook
 from lapishaven.client.settings import SettingsError
 
 # Events that one wants to see in a log; the rest is said at debug level.
--- a/lapishaven/client/membership.py
+++ b/lapishaven/client/membership.py
@@ -50,7 +50,7 @@
 
     def __init__(self, rules: Catalog) -> None:
         self.rules = rules
-        self.roster: EndpointList = EMPTY
+        self.endpoint_list: EndpointList = EMPTY
         self.epoch: str | None = None
         self.version = -1
         self.last_update_at: float | None = None  # when the catalog last answered
@@ -68,24 +68,24 @@
 
     # ---- What the client asks
     def row(self, name: str) -> Listed | None:
-        row = self.roster.rows.get(name)
+        row = self.endpoint_list.rows.get(name)
         if row is None and (held := self._doubted.get(name)) is not None:
             return held[0]
         return row
 
     def __contains__(self, name: str) -> bool:
-        return name in self.roster.rows or name in self._doubted
+        return name in self.endpoint_list.rows or name in self._doubted
 
     def __len__(self) -> int:
-        return len(self.roster) + len(self._doubted)
+        return len(self.endpoint_list) + len(self._doubted)
 
     @property
     def names(self) -> frozenset[str]:
-        return self.roster.names | frozenset(self._doubted) if self._doubted else self.roster.names
+        return self.endpoint_list.names | frozenset(self._doubted) if self._doubted else self.endpoint_list.names
 
     @property
     def passing(self) -> int:
-        return self.roster.passing + sum(row.passing for row, _ in self._doubted.values())
+        return self.endpoint_list.passing + sum(row.passing for row, _ in self._doubted.values())
 
     @property
     def has_doubted(self) -> bool:
@@ -99,7 +99,7 @@
         row = self.row(name)
         if row is None:
             return None
-        born = self.roster.added_at_serial.get(name, self._first_serial)
+        born = self.endpoint_list.added_at_serial.get(name, self._first_serial)
         since = self._version_times.get(born, self.last_update_at if self.last_update_at is not None else 0.0)
         held = self._doubted.get(name)
         member = Member(
@@ -123,14 +123,14 @@
             self.needs_full_list = True
             return MembershipChange("empty")  # not held, so that the catalog is asked for it in full again
         self.needs_full_list = False
-        return self._apply(now, replace_list(self.roster, listing), first)
+        return self._apply(now, replace_list(self.endpoint_list, listing), first)
 
     def apply_delta(self, now: float, delta: Delta) -> MembershipChange:
         """Take what changed since the version held; ``apart`` where it does not follow on from that one."""
         self.last_update_at = now
         if self.epoch is not None and delta.epoch == self.epoch and delta.version <= self.version:
             return MembershipChange("stale")
-        step = apply_delta(self.roster, delta)
+        step = apply_delta(self.endpoint_list, delta)
         if step is None:
             self.needs_full_list = True
             return MembershipChange("apart")
@@ -142,7 +142,7 @@
     # ---- Over a restart of the process
     def serialize(self) -> bytes:
         """The list held, as the catalog's own text, for a file that outlives the process."""
-        rows = tuple(self.roster.rows.values()) + tuple(row for row, _ in self._doubted.values())
+        rows = tuple(self.endpoint_list.rows.values()) + tuple(row for row, _ in self._doubted.values())
         return text(Listing(self.epoch or "", self.version, rows))
 
     def restore(self, now: float, data: bytes) -> MembershipChange:
@@ -152,12 +152,12 @@
             return MembershipChange("stale")
         found = listing(data)
         self.needs_full_list = True  # the catalog may have moved on since: ask it for the whole list
-        return self._apply(now, replace_list(self.roster, found), True)
+        return self._apply(now, replace_list(self.endpoint_list, found), True)
 
     def _apply(self, now: float, step: ListUpdate, first: bool) -> MembershipChange:
-        before, endpoint_list = self.roster, step.endpoint_list
+        before, endpoint_list = self.endpoint_list, step.endpoint_list
         known = len(before) + len(self._doubted)
-        self.roster, self.epoch, self.version = endpoint_list, endpoint_list.epoch, endpoint_list.version
+        self.endpoint_list, self.epoch, self.version = endpoint_list, endpoint_list.epoch, endpoint_list.version
         self._version_times[endpoint_list.serial] = now
         while len(self._version_times) > MAX_VERSION_TIMES:
             self._version_times.popitem(last=False)
--- a/lapishaven/client/outcomes.py
+++ b/lapishaven/client/outcomes.py
@@ -88,11 +88,25 @@
     """It must not run twice and may have run or not. The application has to find out; nobody else can."""
 
 
+OUTCOME_NAMES: dict[type[Outcome], str] = {
+    Served: "served",
+    Refused: "refused",
+    Failed: "failed",
+    Expired: "expired",
+    Cancelled: "cancelled",
+    Uncertain: "uncertain",
+}
+"""The word for each outcome in events, metrics, messages and the output of ``lapishaven call``."""
+
+
 class CallError(Exception):
-    """A call that was not served; ``outcome`` has the whole of it."""
+    """A call that was not served: the base of all errors that ``Client.call`` raises for an outcome.
+
+    ``outcome`` is the outcome itself, with its reason.
+    """
 
     def __init__(self, outcome: Outcome) -> None:
-        super().__init__(f"{type(outcome).__name__.lower()}: {outcome.reason}")
+        super().__init__(f"{OUTCOME_NAMES[type(outcome)]}: {outcome.reason}")
         self.outcome = outcome
 
 
--- a/lapishaven/lab/client_simulation.py
+++ b/lapishaven/lab/client_simulation.py
@@ -15,18 +15,20 @@
 from time import perf_counter
 from typing import Any
 
-from lapishaven.client.model import Attempt, Call, CallState, Connection
-from lapishaven.client.outcomes import AttemptEnd, AttemptResult, Outcome, Served, Uncertain
-from lapishaven.client.policy import (
+from lapishaven.client.actions import (
     CancelRequest,
     CheckHealth,
     CloseConnection,
     CompleteCall,
     OpenConnection,
-    Policy,
     SendProbe,
     SendRequest,
 )
+from lapishaven.client.calls.attempt_results import AttemptResults
+from lapishaven.client.connections.dialer import Dialer
+from lapishaven.client.model import Attempt, Call, CallState, Connection
+from lapishaven.client.outcomes import OUTCOME_NAMES, AttemptEnd, AttemptResult, Outcome, Served, Uncertain
+from lapishaven.client.policy import Policy
 from lapishaven.client.settings import Settings
 from lapishaven.lab import site
 from lapishaven.lab.script import Step, parse
@@ -40,6 +42,9 @@
 DRAIN = 3.2  # s from the notice to leave to the end
 BOOT = 0.4  # s for a successor to come up
 LATE_WORTH = 0.2
+NAIVE_REDIAL_S = 0.1
+NAIVE_RETRY_S = 0.002
+NAIVE_MIN_TIME_S = 0.05  # before the deadline, below which the naive client does not retry
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,7 +122,7 @@
         for n in range(spec.clients):
             own = replace(base, caller=n, callers=spec.clients)
             policy = kind(own, Random(self.random.getrandbits(64)), self.now)
-            policy.listed(self.now, self.listing)
+            policy.update_endpoints(self.now, self.listing)
             self.policies.append(policy)
             self._planned.append(float("inf"))
             # When in each second it polls. A poll that finds nothing new changes nothing, so only others are events.
@@ -156,7 +161,7 @@
     def _drive(self, n: int) -> None:
         """Carry out what a client wants."""
         policy = self.policies[n]
-        while actions := policy.take():
+        while actions := policy.take_actions():
             for action in actions:
                 if isinstance(action, SendRequest):
                     self._sent(n, action.connection, action.attempt)
@@ -177,7 +182,7 @@
                 elif isinstance(action, CheckHealth):
                     up = self.servers[action.endpoint.name].up
                     self.at(self.now + HOP, self._probed, n, action.endpoint, up)
-        when = policy.next_at()
+        when = policy.next_timer_at()
         if when is not None and when < self._planned[n]:
             self._planned[n] = when
             self.at(when, self._turn, n, when)
@@ -185,15 +190,15 @@
     def _turn(self, n: int, when: float) -> None:
         if self._planned[n] == when:
             self._planned[n] = float("inf")
-            self.policies[n].turn(self.now)
+            self.policies[n].run_timers(self.now)
             self._drive(n)
 
     def _well(self, n: int, connection: Connection) -> None:
-        self.policies[n].well(self.now, connection)
+        self.policies[n].probe_answered(self.now, connection)
         self._drive(n)
 
     def _probed(self, n: int, peer: Any, good: bool) -> None:
-        self.policies[n].probed(self.now, peer, good)
+        self.policies[n].health_checked(self.now, peer, good)
         self._drive(n)
 
     # ---- Arrivals and what became of them
@@ -226,7 +231,7 @@
             return
         kind = next(k for k in self.kinds if k.name == call.class_name)
         self._note(kind, self.now - call.started_at, isinstance(outcome, Served))
-        self.outcomes[type(outcome).__name__.lower()] += 1
+        self.outcomes[OUTCOME_NAMES[type(outcome)]] += 1
         span = self.now - call.started_at
         got = kind.worth * (1.0 if span <= kind.aim else LATE_WORTH) if isinstance(outcome, Served) else 0.0
         self.worth += got
@@ -295,7 +300,7 @@
     def _answered(self, request: Request, reply: AttemptResult) -> None:
         connection = request.attempt.connection
         if connection.state.value != "closed":
-            self.policies[request.client].replied(self.now, connection, request.attempt.id, reply)
+            self.policies[request.client].response_received(self.now, connection, request.attempt.id, reply)
             self._drive(request.client)
 
     def _forgotten(self, connection: Connection, attempt: Attempt) -> None:
@@ -364,7 +369,7 @@
         self._polls.discard(n)
         policy = self.policies[n]
         if policy.membership.version != self.listing.version:
-            policy.listed(self.now, self.listing)
+            policy.update_endpoints(self.now, self.listing)
             self._drive(n)
 
     # ---- Figures
@@ -402,30 +407,46 @@
         }
 
 
-class NaivePolicy(Policy):
-    """The same client without its manners: repeats and dials at once, without budget, jitter or ear for advice,
-    and keeps every server connected. Commits are repeated like the rest."""
+class NaiveDialer(Dialer):
+    """Dials every unconnected endpoint at once and again after a fixed delay, without a budget."""
+
+    def redial_delay(self, now: float, failures: int) -> float:
+        """The same short delay after every failed dial."""
+        return NAIVE_REDIAL_S
+
+    def ensure_connected(self, now: float) -> None:
+        """Dial every endpoint that is not connected."""
+        for endpoint in self._table.endpoints.values():
+            listed = endpoint.member.listed.passing or self._table.rendezvous_panic
+            if endpoint.usable_connections or not listed:
+                continue
+            if endpoint.next_dial_at <= now:
+                self._table.open_connection(now, endpoint, "naive")
+            else:
+                self.plan_look(endpoint.next_dial_at)
 
-    def _redial(self, now: float, failures: int) -> float:
-        return 0.1
 
-    def _ensure(self, now: float) -> None:
-        for peer in self.peers.values():
-            if not peer.usable_connections and (peer.member.listed.passing or self._panic):
-                if peer.next_dial_at <= now:
-                    self._new(now, peer, "naive")
-                else:
-                    self._plan_dials(peer.next_dial_at)
+class NaiveResults(AttemptResults):
+    """Retries every attempt that was not served almost at once, commits included, and ignores Retry-After."""
 
-    def _ended(self, now: float, attempt: Attempt, reply: AttemptResult) -> None:
+    def attempt_ended(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
+        """Schedule a retry, unless the attempt was served or the deadline is near."""
         call = attempt.call
-        if reply.end is AttemptEnd.SERVED or call.deadline - now < 0.05:
-            return super()._ended(now, attempt, reply)
-        self._release(now, attempt)
-        call.possibly_run -= attempt.sent_at is not None and reply.end is not AttemptEnd.LOST
+        if result.end is AttemptEnd.SERVED or call.deadline - now < NAIVE_MIN_TIME_S:
+            super().attempt_ended(now, attempt, result)
+            return
+        self._calls.release(now, attempt)
+        call.possibly_run -= attempt.sent_at is not None and result.end is not AttemptEnd.LOST
         call.retries += 1
         call.state = CallState.PAUSED
-        self._at(now + 0.002, self._resume, call)
+        self._engine.schedule(now + NAIVE_RETRY_S, self.resume, call)
+
+
+class NaivePolicy(Policy):
+    """The baseline: the same client with no retry budget, backoff, jitter or dial budget."""
+
+    dialer_type = NaiveDialer
+    results_type = NaiveResults
 
 
 def main(spec: Spec) -> dict[str, Any]:
--- a/lapishaven/lab/trial.py
+++ b/lapishaven/lab/trial.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from lapishaven.client import Client, Settings
-from lapishaven.client.outcomes import Outcome, Uncertain
+from lapishaven.client.outcomes import OUTCOME_NAMES, Outcome, Uncertain
 from lapishaven.lab import site
 from lapishaven.lab.baselines import CLIENTS
 from lapishaven.lab.fleet import RemoteFleet
@@ -171,7 +171,7 @@
         for each in asked
         if each.outcome is not None and each.outcome.served and getattr(each.outcome, "body", b"") != result(each.body)
     )
-    outcomes = Counter(type(each.outcome).__name__.lower() if each.outcome else "none" for each in counted)
+    outcomes = Counter(OUTCOME_NAMES[type(each.outcome)] if each.outcome else "none" for each in counted)
     asked_worth = sum(each.kind.worth for each in counted)
     commit_worth = sum(each.kind.worth for each in counted if not each.kind.safe)
     spans = sorted(each.ended - each.at for each in counted if each.outcome is not None and each.outcome.served)
--- a/tests/client_world.py
+++ b/tests/client_world.py
@@ -11,18 +11,18 @@
 from random import Random
 from typing import Any
 
-from lapishaven.client.model import Attempt, Call, Connection, Endpoint
-from lapishaven.client.outcomes import AttemptEnd, AttemptResult, Outcome
-from lapishaven.client.policy import (
+from lapishaven.client.actions import (
     CancelRequest,
     CheckHealth,
     CloseConnection,
     CompleteCall,
     OpenConnection,
-    Policy,
     SendProbe,
     SendRequest,
 )
+from lapishaven.client.model import Attempt, Call, Connection, Endpoint
+from lapishaven.client.outcomes import AttemptEnd, AttemptResult, Outcome
+from lapishaven.client.policy import Policy
 from lapishaven.client.settings import ClassRule, Connections, Health, Retry, Routing, Settings, check
 from lapishaven.proto.catalog import Listed, Listing
 
@@ -65,7 +65,7 @@
         self.act()
 
     def act(self) -> None:
-        while actions := self.policy.take():
+        while actions := self.policy.take_actions():
             for action in actions:
                 if isinstance(action, OpenConnection):
                     self.dials.append(action.connection)
@@ -79,7 +79,7 @@
                     self.probes.append(action.endpoint)
                 elif isinstance(action, SendProbe):
                     if action.connection.endpoint.name not in self.silent:
-                        self.policy.well(self.now, action.connection)
+                        self.policy.probe_answered(self.now, action.connection)
                 elif isinstance(action, CloseConnection):
                     self.closed.append(action.connection)
                 elif isinstance(action, CompleteCall):
@@ -112,11 +112,11 @@
         while True:
             if connect:
                 self.connect()
-            when = self.policy.next_at()
+            when = self.policy.next_timer_at()
             if when is None or when > until:
                 break
             self.now = max(self.now, when)
-            self.policy.turn(self.now)
+            self.policy.run_timers(self.now)
             self.act()
         self.now = until
 
@@ -127,7 +127,7 @@
 
     def reply(self, attempt: Attempt, ending: AttemptEnd = AttemptEnd.SERVED, **fields: Any) -> None:
         body = b"done" if ending is AttemptEnd.SERVED else b""
-        self.policy.replied(self.now, attempt.connection, attempt.id, AttemptResult(ending, body, **fields))
+        self.policy.response_received(self.now, attempt.connection, attempt.id, AttemptResult(ending, body, **fields))
         self.act()
 
     def cut(self, connection: Connection, clean: bool = True) -> None:
@@ -136,7 +136,7 @@
 
     def kill(self, name: str) -> None:
         self.dead.add(name)
-        for connection in list(self.policy.peers[name].connections):
+        for connection in list(self.policy.endpoints[name].connections):
             self.cut(connection)
 
     def serve_all(self, span: float = 0.0) -> None:
--- a/tests/test_client_fleet.py
+++ b/tests/test_client_fleet.py
@@ -61,7 +61,7 @@
 def world_of_a_catalog(*names: str, **changes: Any) -> ClientWorld:
     changes.setdefault("connections", Connections(least=2, spread_s=0.001, spread_least_s=0.001))
     world = ClientWorld(settings(catalog="10.0.0.9:1", retry=FREE, **changes))
-    world.policy.listed(0.0, listing(1, *names))
+    world.policy.update_endpoints(0.0, listing(1, *names))
     return world
 
 
@@ -80,7 +80,7 @@
     ends = serve_for(world, 300.0, every=0.5)
     assert all(end is not None and end.served for end in ends)
     assert world.policy.membership.names == {"n1", "n2", "n3", "n4"}
-    window = world.policy.keeping.window
+    window = world.policy.table.connection_manager.window
     assert len(world.dialled) == len(window) and len({a.endpoint.name for a in world.sent}) == len(window)
 
 
@@ -88,7 +88,7 @@
 def test_a_catalog_that_lists_servers_which_are_gone() -> None:
     world = world_of_a_catalog("n1", "n2", "n3", "n4", "n5", "n6")
     world.dead = {"n1", "n2", "n3", "n4"}
-    for peer in list(world.policy.peers.values()):
+    for peer in list(world.policy.endpoints.values()):
         for connection in list(peer.connections):
             if peer.name in world.dead:
                 world.cut(connection)
@@ -124,10 +124,10 @@
     world = world_of_a_catalog("n1", "n2", "n3")
     for second in range(60):
         up = second % 2 == 0
-        world.policy.listed(world.now, listing(second + 2, "n1", "n2", "n3", critical=() if up else ("n1",)))
+        world.policy.update_endpoints(world.now, listing(second + 2, "n1", "n2", "n3", critical=() if up else ("n1",)))
         world.act()
         if not up:
-            for connection in list(world.policy.peers["n1"].connections):
+            for connection in list(world.policy.endpoints["n1"].connections):
                 world.cut(connection)
         serve_for(world, 1.0, every=0.1)
     flapping = [c for c in world.dialled if c.endpoint.name == "n1"]
@@ -138,13 +138,15 @@
 def test_a_server_that_accepts_and_never_answers() -> None:
     world = world_of_a_catalog("n1", "n2", "n3", health=replace(settings().health, probe_timeout_s=0.1))
     world.go(0.1)
-    stopped = world.policy.peers["n1"] if "n1" in world.policy.peers else next(iter(world.policy.peers.values()))
+    stopped = (
+        world.policy.endpoints["n1"] if "n1" in world.policy.endpoints else next(iter(world.policy.endpoints.values()))
+    )
     spans = []
     for _ in range(200):
         call = world.call()
         world.go(0.05)
         for probe in world.probes:
-            world.policy.probed(world.now, probe, probe is not stopped)
+            world.policy.health_checked(world.now, probe, probe is not stopped)
         world.probes.clear()
         for attempt in [a for c in world.policy.open_connections() for a in list(c.in_flight.values())]:
             if attempt.sent_at is not None and attempt.endpoint is not stopped:
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -191,7 +191,7 @@
     world = ready(servers=10)
     start = world.now
     world.at["dial"].clear()
-    for name in list(world.policy.peers)[:2]:
+    for name in list(world.policy.endpoints)[:2]:
         world.kill(name)
     for n in range(240):
         world.call()
@@ -200,8 +200,8 @@
         if n == 80:
             world.dead.clear()  # back after 4 s; the backoff of three failed dials may take as long again
     assert world.worst_second("dial") <= 4 + 4
-    assert all(peer.usable_connections for peer in world.policy.peers.values())
-    back = list(world.policy.peers.values())[:2]
+    assert all(peer.usable_connections for peer in world.policy.endpoints.values())
+    back = list(world.policy.endpoints.values())[:2]
     assert all(peer.slow_start_since is not None and peer.slow_start_since > start + 4 for peer in back)
     later = [a for a in world.sent if a.sent_at is not None and a.sent_at > start + 6]
     cold = sum(a.endpoint in back for a in later) / len(later)
@@ -232,7 +232,7 @@
         world.reply(attempt)
     world.go(2.6)
     assert world.probes == [stopped]
-    world.policy.probed(world.now, stopped, False)
+    world.policy.health_checked(world.now, stopped, False)
     world.act()
     assert stopped.health.state is EjectionState.EJECTED
     world.go(0.2)
@@ -241,7 +241,7 @@
     # The way back: a probe, one trial, and then in.
     world.go(2.0)
     assert world.probes[-1] is stopped and len(world.probes) == 2
-    world.policy.probed(world.now, stopped, True)
+    world.policy.health_checked(world.now, stopped, True)
     while not stopped.open:
         world.call()
         world.go(0.05)
@@ -261,7 +261,7 @@
         world.call()
         world.reply(world.sent[-1], AttemptEnd.FAILED)
         world.go(0.01)
-        out = [p for p in world.policy.peers.values() if p.health.state is EjectionState.EJECTED]
+        out = [p for p in world.policy.endpoints.values() if p.health.state is EjectionState.EJECTED]
         assert len(out) <= 2
     assert out
 
@@ -269,7 +269,7 @@
 # Guards against memory that grows with a dead fleet, against a spin, and against calls that never end.
 def test_ten_thousand_calls_on_a_dead_fleet() -> None:
     world = ready(servers=4)
-    world.dead = set(world.policy.peers)
+    world.dead = set(world.policy.endpoints)
     for name in world.dead:
         world.kill(name)
     world.at["dial"].clear()
@@ -288,40 +288,40 @@
 def test_a_catalog_that_is_away_or_lies() -> None:
     world = ClientWorld(settings(catalog="10.0.0.9:1"))
     policy = world.policy
-    assert policy.listed(0.0, listing(1, "n1", "n2", "n3", "n4")) == "taken"
-    assert policy.listed(1.0, listing(2)) == "empty" and len(policy.peers) == 4
-    assert policy.listed(2.0, listing(1, "n1")) == "stale" and len(policy.peers) == 4
-    assert policy.listed(3.0, listing(3, "n1")) == "held back" and len(policy.peers) == 4
+    assert policy.update_endpoints(0.0, listing(1, "n1", "n2", "n3", "n4")) == "taken"
+    assert policy.update_endpoints(1.0, listing(2)) == "empty" and len(policy.endpoints) == 4
+    assert policy.update_endpoints(2.0, listing(1, "n1")) == "stale" and len(policy.endpoints) == 4
+    assert policy.update_endpoints(3.0, listing(3, "n1")) == "held back" and len(policy.endpoints) == 4
     world.now = 3.0
     for _ in range(60):
         world.call()
         world.go(0.05)
         world.serve_all()
     # One of the doubted is found dead by our own dial, so it goes at once; the others after their time.
-    connection = policy.peers["n4"].connections[0]
+    connection = policy.endpoints["n4"].connections[0]
     world.dead = {"n4"}
     world.cut(connection)
     world.go(3.0)
-    assert set(policy.peers) == {"n1", "n2", "n3"}
+    assert set(policy.endpoints) == {"n1", "n2", "n3"}
     world.go(60.0)  # nothing is heard of the catalog for a minute
-    assert set(policy.peers) == {"n1"}
+    assert set(policy.endpoints) == {"n1"}
     for _ in range(10):  # so quiet a client keeps to one server
         world.call()
-    assert policy.listed(world.now, listing(1, "n1", "n5", epoch="f")) == "taken"  # it restarted: a new epoch
-    assert policy.peers["n5"].slow_start_since == world.now and policy.peers["n1"].slow_start_since is None
+    assert policy.update_endpoints(world.now, listing(1, "n1", "n5", epoch="f")) == "taken"  # it restarted: a new epoch
+    assert policy.endpoints["n5"].slow_start_since == world.now and policy.endpoints["n1"].slow_start_since is None
 
 
 # Guards against sending nowhere when most of the list is said not to pass.
 def test_health_on_the_list_is_gone_by_unless_most_of_it_is_bad() -> None:
     world = ClientWorld(settings(catalog="10.0.0.9:1"))
-    world.policy.listed(0.0, listing(1, "n1", "n2", "n3", critical=("n1",)))
+    world.policy.update_endpoints(0.0, listing(1, "n1", "n2", "n3", critical=("n1",)))
     world.call()
     world.connect()
     for _ in range(20):
         world.call()
     assert "n1" not in {attempt.endpoint.name for attempt in world.sent}
     world.now = 1.0
-    world.policy.listed(1.0, listing(2, "n1", "n2", "n3", critical=("n1", "n2")))
+    world.policy.update_endpoints(1.0, listing(2, "n1", "n2", "n3", critical=("n1", "n2")))
     world.act()
     world.go(0.01)  # dials of what is wanted now are spread, here over a millisecond
     for _ in range(20):
@@ -381,11 +381,11 @@
         )
     )
     for _ in range(200):
-        world.call(row=world.policy.random.getrandbits(64))
+        world.call(row=world.policy.engine.random.getrandbits(64))
         world.go(0.05)
         world.serve_all()
-    ring = {name for _, name in world.policy.routing._ring._points}  # type: ignore[attr-defined]
-    assert ring == set(world.policy.keeping.window) == set(world.policy.peers) and len(ring) == 6
+    ring = {name for _, name in world.policy.table.routing._ring._points}  # type: ignore[attr-defined]
+    assert ring == set(world.policy.table.connection_manager.window) == set(world.policy.endpoints) and len(ring) == 6
 
 
 @pytest.mark.parametrize("strategy", ["round-robin", "least-open", "two-choices", "affinity"])
--- a/tests/test_client_silence.py
+++ b/tests/test_client_silence.py
@@ -47,14 +47,14 @@
     there.serve_all()
     there.call()
     there.go(0.5)
-    assert there.policy.peers[silenced].suspected is None
+    assert there.policy.endpoints[silenced].suspected is None
 
 
 def test_one_that_closes_what_rests_is_dialled_for_each_call_and_none_is_refused() -> None:
     """Guards thin clients of servers with many callers, which close resting connections at once: the client took each
     such close for a server that went, waited for news of it, and ran out of dials (6% of the calls were refused)."""
     there = ClientWorld(settings(servers=3, catalog="127.0.0.1:1", retry=FREE))
-    there.policy.listed(0.0, listing(1, "n1", "n2", "n3"))
+    there.policy.update_endpoints(0.0, listing(1, "n1", "n2", "n3"))
     calls = []
     for _ in range(40):
         calls.append(there.call())
@@ -73,7 +73,7 @@
     """Guards the fleet from storms: what is given back for a dial that was answered is not given for one that was
     refused, so dials to the dead stay within the budget."""
     there = ClientWorld(settings(servers=3, catalog="127.0.0.1:1", retry=FREE))
-    there.policy.listed(0.0, listing(1, "n1", "n2", "n3"))
+    there.policy.update_endpoints(0.0, listing(1, "n1", "n2", "n3"))
     there.call()
     there.go(0.05)
     there.serve_all(0.3)
--- a/tests/test_connection_manager.py
+++ b/tests/test_connection_manager.py
@@ -129,12 +129,12 @@
     world = ClientWorld(
         settings(catalog="10.0.0.9:1", connections=Connections(least=2, spread_s=0.001, spread_least_s=0.001))
     )
-    world.policy.listed(0.0, listing(1, *NAMES))
+    world.policy.update_endpoints(0.0, listing(1, *NAMES))
     for _ in range(10):
         world.call()
         world.go(0.8)
         world.serve_all()
-    window = world.policy.keeping.window
+    window = world.policy.table.connection_manager.window
     assert {connection.endpoint.name for connection in world.policy.open_connections()} == set(window)
     for connection in list(world.policy.open_connections()):
         world.policy.draining(world.now, connection)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -69,13 +69,13 @@
     policies = [Policy(replace(settings, caller=n, callers=3000), Random(n), 0.0) for n in range(3000)]
     delta = delta_between(first, second)  # one catalog's answer, as the simulation hands it to each
     for policy in policies:
-        policy.listed(0.0, first)
-        policy.listed(1.0, delta)
+        policy.update_endpoints(0.0, first)
+        policy.update_endpoints(1.0, delta)
     grown = (tracemalloc.get_traced_memory()[0] - before) / len(policies)
     tracemalloc.stop()
-    assert len({id(policy.membership.roster) for policy in policies}) == 1
+    assert len({id(policy.membership.endpoint_list) for policy in policies}) == 1
     assert grown < 16_000  # bytes a client; the list alone is some 200 KB
-    assert all(len(policy.peers) <= 6 for policy in policies)
+    assert all(len(policy.endpoints) <= 6 for policy in policies)
 
 
 def test_a_step_is_made_once_for_all_that_take_it() -> None:
