--- a/lapishaven/client/actions.py
+++ b/lapishaven/client/actions.py
@@ -1,4 +1,4 @@
-"""What the policy wants done; a driver carries it out."""
+"""What the policy wants done. A driver carries the actions out in their order and reports the results."""
 
 from __future__ import annotations
 
@@ -10,18 +10,22 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenConnection:
+    """Dial ``connection.endpoint``; report ``Policy.connected`` or ``Policy.dial_failed``."""
+
     connection: Connection
 
 
 @dataclass(frozen=True, slots=True)
 class SendRequest:
+    """Send the request of an attempt on a connection; report its response by ``Policy.response_received``."""
+
     connection: Connection
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
-    """Nobody waits for this try any more: send ``forget``, where the wire has it."""
+    """Nobody waits for this attempt any more: send ``forget``, where the wire has it."""
 
     connection: Connection
     attempt: Attempt
@@ -29,25 +33,29 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
+    """Close a connection, or give up its dial. There is nothing to report."""
+
     connection: Connection
 
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Ask how the server is, on a connection of its own; the answer goes to ``probed``."""
+    """Check an endpoint's health on a connection of its own; report ``Policy.health_checked``."""
 
     endpoint: Endpoint
 
 
 @dataclass(frozen=True, slots=True)
 class SendProbe:
-    """Ask how the server is on this connection; the answer goes to ``well``."""
+    """Probe an endpoint on an open connection; report any answer by ``Policy.probe_answered``."""
 
     connection: Connection
 
 
 @dataclass(frozen=True, slots=True)
 class CompleteCall:
+    """Give a call's outcome to the application. Comes once for each call."""
+
     call: Call
     outcome: Outcome
 
--- a/lapishaven/client/asyncio_client.py
+++ b/lapishaven/client/asyncio_client.py
@@ -20,6 +20,7 @@
     SendProbe,
     SendRequest,
 )
+from lapishaven.client.endpoint_updates import APPLIED_VERDICTS
 from lapishaven.client.engine import Hook
 from lapishaven.client.model import Attempt, Call, Connection, Endpoint
 from lapishaven.client.outcomes import AttemptEnd, AttemptResult, Outcome, unwrap
@@ -386,7 +387,7 @@
                 if listing is not None:
                     verdict = self.policy.update_endpoints(self.loop.time(), listing)
                     self._run_policy()
-                    if verdict in ("taken", "held back"):
+                    if verdict in APPLIED_VERDICTS:
                         self._save_list()
                 return
 
--- a/lapishaven/client/connection_events.py
+++ b/lapishaven/client/connection_events.py
@@ -181,9 +181,9 @@
         endpoint = connection.endpoint
         attempts = list(connection.in_flight.values())
         self._prober.connection_lost(endpoint)
-        threshold_s = self._rules.crossing_quiet_s
+        idle_threshold_s = self._rules.crossing_quiet_s
         unread_ids = {
-            attempt.id for attempt in attempts if connection.close_proves_unread(now, attempt, clean, threshold_s)
+            attempt.id for attempt in attempts if connection.close_proves_unread(now, attempt, clean, idle_threshold_s)
         }
         soon_idle = now - connection.idle_since <= IDLE_CLOSE_WINDOW_S
         was_ready = connection.state is ConnectionState.READY
--- a/lapishaven/client/endpoint_updates.py
+++ b/lapishaven/client/endpoint_updates.py
@@ -8,10 +8,10 @@
 from lapishaven.client.calls.waiting_calls import WaitingCalls
 from lapishaven.client.connections.connectivity import Connectivity
 from lapishaven.client.engine import Engine
-from lapishaven.client.membership import MembershipChange, rendezvous_subset
+from lapishaven.client.membership import ListVerdict, MembershipChange, rendezvous_subset
 from lapishaven.proto.catalog import Delta, Listing
 
-APPLIED_VERDICTS = ("taken", "held back")
+APPLIED_VERDICTS = (ListVerdict.TAKEN, ListVerdict.HELD_BACK)
 """Verdicts of ``Membership`` after which the tracked endpoints may differ."""
 
 
@@ -25,7 +25,7 @@
         self._waiting = waiting
         self._confirm_s = engine.settings.catalog_rules.confirm_s
 
-    def update(self, now: float, listing: Listing | Delta) -> str:
+    def update(self, now: float, listing: Listing | Delta) -> ListVerdict:
         """Apply a whole list or what changed in it; returns the verdict (``MembershipChange.verdict``)."""
         membership = self._table.membership
         if isinstance(listing, Delta):
@@ -39,14 +39,14 @@
             self._apply(now, change)
         return change.verdict
 
-    def restore(self, now: float, data: bytes) -> str:
+    def restore(self, now: float, data: bytes) -> ListVerdict:
         """Apply a list that an earlier process saved (``Membership.serialize``), at the start.
 
         Raises ``ProtocolError`` where ``data`` is not a list.
         """
         change = self._table.membership.restore(now, data)
         self._engine.report(now, f"list {change.verdict}", joined=change.joined, left=change.left, restored=True)
-        if change.verdict == "taken":
+        if change.verdict is ListVerdict.TAKEN:
             self.update_tracked(now)
         return change.verdict
 
--- a/lapishaven/client/health.py
+++ b/lapishaven/client/health.py
@@ -1,4 +1,8 @@
-"""What each server's answers say of it: advice to stay away, and the ejection of outliers. Pure."""
+"""What attempts and health checks say of each endpoint: Retry-After, and the ejection of outliers. Pure.
+
+The ejection follows Envoy's outlier detection: consecutive failures or a high failure rate eject an endpoint for a
+time that doubles with each ejection, and at most a share of all endpoints is ejected at once.
+"""
 
 from __future__ import annotations
 
@@ -7,63 +11,80 @@
 
 from lapishaven.client import settings
 
-ATTEMPT_WINDOW = 20  # tries over which the share of failures counts
+ATTEMPT_WINDOW = 20  # attempts over which the failure rate is computed
+ATTEMPT_WINDOW_MASK = (1 << ATTEMPT_WINDOW) - 1
+MAX_EJECTION_DOUBLINGS = 16
 
 
 class EjectionState(Enum):
+    """Whether an endpoint takes requests, as far as outlier detection goes."""
+
     HEALTHY = "in"
-    EJECTED = "out"  # left out until a time
-    PROBING = "probing"  # that time came; it was asked how it is
-    TRIAL = "trial"  # one request at a time, until one succeeds
+    EJECTED = "out"  # takes nothing until ``EndpointHealth.ejected_until``
+    PROBING = "probing"  # that time came; a health check is under way
+    TRIAL = "trial"  # takes one request at a time, until one succeeds
 
 
 @dataclass(slots=True)
 class EndpointHealth:
-    """One server. A refusal is an answer like any other: it keeps the server away for its span, no longer."""
+    """The health of one endpoint. Times are in seconds on the policy's clock.
+
+    ``retry_after_until``: the endpoint asked for nothing to be sent before this.
+    ``ejected_until``: when an ejection ends.
+    ``ejections``: ejections since the endpoint was last healthy for a whole window of attempts.
+    ``consecutive_failures``: failures since the last success.
+    ``recent_failures``: the last attempts as bits, the newest lowest, 1 for a failure.
+    ``recent_attempts``: how many of these bits are in use.
+    ``trial_in_flight``: the one request of the state ``TRIAL`` is in flight.
+    """
 
     state: EjectionState = EjectionState.HEALTHY
-    retry_after_until: float = float("-inf")  # advice: nothing goes there before this
-    ejected_until: float = 0.0  # of OUT
-    ejections: int = 0  # ejections since it last stood well
-    consecutive_failures: int = 0  # failures in a row
-    recent_failures: int = 0  # the last tries as bits, 1 for a failure
-    recent_attempts: int = 0  # how many of them there are
+    retry_after_until: float = float("-inf")
+    ejected_until: float = 0.0
+    ejections: int = 0
+    consecutive_failures: int = 0
+    recent_failures: int = 0
+    recent_attempts: int = 0
     trial_in_flight: bool = False
 
     def accepts_requests(self, now: float) -> bool:
-        """Whether a request may go there."""
+        """Whether a request may go to the endpoint."""
         if self.retry_after_until > now:
             return False
-        return self.state is EjectionState.HEALTHY or (self.state is EjectionState.TRIAL and not self.trial_in_flight)
+        if self.state is EjectionState.TRIAL:
+            return not self.trial_in_flight
+        return self.state is EjectionState.HEALTHY
 
     def available_at(self, now: float) -> float:
-        """When a request may go there, as far as is known."""
+        """When a request may go to the endpoint, as far as is known."""
         return max(self.retry_after_until, self.ejected_until if self.state is EjectionState.EJECTED else now, now)
 
 
 class OutlierDetector:
-    """Leaves out what fails more than the others, never more than a share of all servers.
+    """Ejects endpoints that fail more than the others, never more than a share of all.
 
-    Past the cap a failing server stays selectable: where most fail, the fault is not theirs, and to send
-    everything to the few that are left would bring these down.
+    Past that share a failing endpoint stays selectable: where most fail, the cause lies elsewhere, and to send
+    every request to the few that are left would overload them. ``ejected`` has the names of ejected endpoints, those
+    that are probed or on trial included.
     """
 
     def __init__(self, rules: settings.Health) -> None:
         self.rules = rules
         self.ejected: set[str] = set()
 
-    def may_eject(self, servers: int) -> bool:
-        """Whether one more of so many servers may be left out. Of two or more one always may."""
-        return servers > 1 and len(self.ejected) + 1 <= max(1.0, self.rules.out_share * servers)
+    def may_eject(self, endpoints: int) -> bool:
+        """Whether one more of so many endpoints may be ejected. One of two or more always may."""
+        return endpoints > 1 and len(self.ejected) + 1 <= max(1.0, self.rules.out_share * endpoints)
 
     def record_success(self, name: str, health: EndpointHealth) -> bool:
-        """Note a served try; true if the server comes back in with it."""
+        """Note a served attempt; returns True if it ends the endpoint's trial."""
         health.consecutive_failures = 0
-        self._record(health, 0)
+        self._record(health, failed=False)
         if health.state is EjectionState.TRIAL:
-            health.state, health.trial_in_flight = EjectionState.HEALTHY, False
+            health.state = EjectionState.HEALTHY
+            health.trial_in_flight = False
             health.ejections = max(0, health.ejections - 1)
-            health.recent_failures = health.recent_attempts = 0
+            self._clear_window(health)
             self.ejected.discard(name)
             return True
         if health.ejections and health.recent_attempts >= ATTEMPT_WINDOW and not health.recent_failures:
@@ -71,60 +92,71 @@
         return False
 
     def record_rejection(self, health: EndpointHealth) -> None:
-        """It refused or failed in an orderly way: no success, but alive."""
+        """Note an attempt that ended without success and without a fault of the endpoint."""
         health.trial_in_flight = False
 
-    def record_failure(self, now: float, name: str, health: EndpointHealth, servers: int) -> bool:
-        """Note a failed try; true if the server is left out from now on."""
+    def record_failure(self, now: float, name: str, health: EndpointHealth, endpoints: int) -> bool:
+        """Note a failed attempt; returns True if the endpoint is ejected from now on."""
         health.consecutive_failures += 1
-        self._record(health, 1)
+        self._record(health, failed=True)
         if health.state is EjectionState.TRIAL or health.state is EjectionState.PROBING:
             self._eject(now, name, health)
             return True
-        share = health.recent_failures.bit_count() / health.recent_attempts
-        bad = health.consecutive_failures >= self.rules.failures or (
-            health.recent_attempts >= ATTEMPT_WINDOW and share >= self.rules.error_share
-        )
-        if health.state is EjectionState.HEALTHY and bad and self.may_eject(servers):
+        if health.state is EjectionState.HEALTHY and self._is_outlier(health) and self.may_eject(endpoints):
             self._eject(now, name, health)
             return True
         return False
 
-    def record_unresponsive(self, now: float, name: str, health: EndpointHealth, servers: int) -> bool:
-        """It said nothing, not even to a probe: that weighs as much as a row of failures."""
+    def _is_outlier(self, health: EndpointHealth) -> bool:
+        if health.consecutive_failures >= self.rules.failures:
+            return True
+        failure_rate = health.recent_failures.bit_count() / health.recent_attempts
+        return health.recent_attempts >= ATTEMPT_WINDOW and failure_rate >= self.rules.error_share
+
+    def record_unresponsive(self, now: float, name: str, health: EndpointHealth, endpoints: int) -> bool:
+        """Note a failed health check, which weighs as much as ``rules.failures``; returns True if it is ejected."""
         health.consecutive_failures = self.rules.failures
-        if health.state is not EjectionState.EJECTED and (name in self.ejected or self.may_eject(servers)):
+        if health.state is not EjectionState.EJECTED and (name in self.ejected or self.may_eject(endpoints)):
             self._eject(now, name, health)
             return True
         return False
 
     def end_ejection(self, now: float, health: EndpointHealth) -> bool:
-        """Whether its time out is over; it is then to be probed, or tried at once where there are no probes."""
+        """End an ejection whose time is over, with a health check or, without those, a trial at once."""
         if health.state is not EjectionState.EJECTED or health.ejected_until > now:
             return False
         health.state = EjectionState.PROBING if self.rules.probes else EjectionState.TRIAL
         health.trial_in_flight = False
         return True
 
-    def record_probe(self, now: float, name: str, health: EndpointHealth, good: bool) -> None:
-        """The answer to a probe on the way back."""
+    def record_probe(self, now: float, name: str, health: EndpointHealth, healthy: bool) -> None:
+        """Note the result of the health check after an ejection: a trial, or a further ejection."""
         if health.state is not EjectionState.PROBING:
             return
-        if good:
-            health.state, health.trial_in_flight = EjectionState.TRIAL, False
+        if healthy:
+            health.state = EjectionState.TRIAL
+            health.trial_in_flight = False
         else:
             self._eject(now, name, health)
 
     def forget(self, name: str) -> None:
+        """The endpoint is no longer tracked."""
         self.ejected.discard(name)
 
     def _eject(self, now: float, name: str, health: EndpointHealth) -> None:
-        span = min(self.rules.out_s * 2 ** min(health.ejections, 16), self.rules.out_max_s)
-        health.state, health.ejected_until, health.trial_in_flight = EjectionState.EJECTED, now + span, False
+        doublings = min(health.ejections, MAX_EJECTION_DOUBLINGS)
+        health.state = EjectionState.EJECTED
+        health.ejected_until = now + min(self.rules.out_s * 2**doublings, self.rules.out_max_s)
+        health.trial_in_flight = False
         health.ejections += 1
-        health.consecutive_failures = health.recent_failures = health.recent_attempts = 0
+        health.consecutive_failures = 0
+        self._clear_window(health)
         self.ejected.add(name)
 
-    def _record(self, health: EndpointHealth, bad: int) -> None:
-        health.recent_failures = (health.recent_failures << 1 | bad) & ((1 << ATTEMPT_WINDOW) - 1)
+    def _record(self, health: EndpointHealth, failed: bool) -> None:
+        health.recent_failures = (health.recent_failures << 1 | failed) & ATTEMPT_WINDOW_MASK
         health.recent_attempts = min(health.recent_attempts + 1, ATTEMPT_WINDOW)
+
+    def _clear_window(self, health: EndpointHealth) -> None:
+        health.recent_failures = 0
+        health.recent_attempts = 0
--- a/lapishaven/client/policy.py
+++ b/lapishaven/client/policy.py
@@ -38,7 +38,7 @@
 from lapishaven.client.connections.probing import Prober
 from lapishaven.client.endpoint_updates import EndpointUpdates
 from lapishaven.client.engine import Engine, Hook
-from lapishaven.client.membership import Membership
+from lapishaven.client.membership import ListVerdict, Membership
 from lapishaven.client.model import Call, Connection, Endpoint
 from lapishaven.client.outcomes import AttemptResult
 from lapishaven.client.settings import Settings, split_address
@@ -192,11 +192,11 @@
         self._waiting.clear()
 
     # ---- Endpoint lists
-    def update_endpoints(self, now: float, listing: Listing | Delta) -> str:
+    def update_endpoints(self, now: float, listing: Listing | Delta) -> ListVerdict:
         """Apply an endpoint list, or what changed in it; returns the verdict (``MembershipChange.verdict``)."""
         return self._updates.update(now, listing)
 
-    def restore_endpoints(self, now: float, data: bytes) -> str:
+    def restore_endpoints(self, now: float, data: bytes) -> ListVerdict:
         """Apply a list that an earlier process saved; raises ``ProtocolError`` where ``data`` is not a list."""
         return self._updates.restore(now, data)
 
