--- a/lapishaven/client/connections/dialer.py
+++ b/lapishaven/client/connections/dialer.py
@@ -79,7 +79,7 @@
         endpoint = self._table.track(planned.name)
         if endpoint is None:
             return
-        self._table.open_connection(now, endpoint, planned.reason)
+        self._table.open_connection(now, endpoint, planned.reason.value)
         manager.record_dial(now, planned)
         if planned.name not in manager.window:
             self._table.notify_routing()
--- a/lapishaven/client/fleet/__init__.py
+++ b/lapishaven/client/fleet/__init__.py
@@ -1,16 +1,22 @@
-"""What a client knows of the fleet and how it keeps to it: the ring, its window on it, the pace of changes."""
+"""Connections of a client in a large fleet: endpoint lists, subsets, the connection manager, the dial schedule.
+
+- ``endpoint_list``: immutable versions of the service registry's list;
+- ``ring`` and ``aperture``: the subset of the endpoints that one client keeps connected;
+- ``dial_schedule``: the time slots in which clients dial, and the interval between a deploy's batches;
+- ``connection_manager``: puts these together into the next dial.
+"""
 
 from lapishaven.client.fleet.aperture import Subset, placement_number, window_size
 from lapishaven.client.fleet.dial_schedule import DeployInterval, DialSlots
 from lapishaven.client.fleet.ring import Ring, ring_of, ring_with_removed
 
 __all__ = [
-    "Subset",
     "DeployInterval",
-    "Ring",
     "DialSlots",
-    "ring_with_removed",
-    "ring_of",
+    "Ring",
+    "Subset",
     "placement_number",
+    "ring_of",
+    "ring_with_removed",
     "window_size",
 ]
--- a/lapishaven/client/fleet/connection_manager.py
+++ b/lapishaven/client/fleet/connection_manager.py
@@ -1,263 +1,321 @@
-"""Which servers a client keeps connected and when it dials them: the aperture's decisions over time. Pure.
-
-The window is the client's own few servers (``aperture``). A server of it that is away is waited for, not replaced,
-and when it is back it is dialled in the client's own turn (``pace.Turns``), so that the dials of a whole fleet come
-evenly, whatever happened to how many servers at once. Turns come the sooner the more the client stands to lose: twice
-as often while at most one server is left that takes its calls and may go next, half as often once it has two or more,
-one of them replaced in the deploy under way, which will hardly go again. A call that waits with nothing connected
-dials at once, and then any server that is there; so does a client's turn where none of its own servers is there. What
-so stands in is let go when the window is whole again.
+"""Chooses which endpoints a client keeps connected, and the next dial (deterministic subsetting). Pure.
+
+The window is the client's own few endpoints (``aperture``). An endpoint of the window that is away is waited for,
+not replaced; when the endpoint list shows it again, it is dialled in the client's own time slot
+(``dial_schedule.DialSlots``), so that the dials of a whole fleet come evenly, however many endpoints were lost at once.
+The slots come the sooner, the more the client would lose with its next connection. A call that waits with nothing
+connected dials at once, any endpoint that is there; so does the client's slot where no endpoint of its window is there.
+Such a stand-in is dropped when the whole window is connected again.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
-from itertools import islice
+from enum import StrEnum
 from random import Random
 from typing import Protocol
 
 from lapishaven.client.fleet import aperture
-from lapishaven.client.fleet.dial_schedule import DeployInterval, DialSlots
+from lapishaven.client.fleet.dial_schedule import MIN_DIALS_PER_S, DeployInterval, DialSlots
 from lapishaven.client.fleet.ring import Ring, ring_with_removed
 from lapishaven.client.membership import Membership
 from lapishaven.client.settings import Connections
 
-REMOVED_ENDPOINT_TTL_S = 120.0  # s for which a server that left the list keeps its place on the ring
-SHRINK_FACTOR = 1.5  # times the traffic that a window fits before it is made narrower
-START_DIAL_SHARE = 0.3  # dials at the start, as a share of first tries
-FEW_ENDPOINTS = (
-    1  # servers that take its calls at which a client's turns come twice as often, unless one was just replaced
-)
+REMOVED_ENDPOINT_TTL_S = 120.0  # for which an endpoint that left the list keeps its place on the ring
+SHRINK_FACTOR = 1.5  # times the traffic that a smaller window must fit: hysteresis
+START_DIAL_SHARE = 0.3  # dials at the start, as a share of first attempts
+FEW_ENDPOINTS = 1  # usable endpoints at which a client's slots come twice as often
+MAX_AWAY_DOUBLINGS = 3  # of ``Connections.away_s``, one for each failed dial
 
 
 class KnownEndpoint(Protocol):
-    """What keeping goes by of a server that the client follows."""
+    """What the connection manager reads of a tracked endpoint (``model.Endpoint``)."""
 
-    next_dial_at: float  # not dialled before this
+    next_dial_at: float
     dial_failures: int
-    lost_at: float | None  # when it was found away
-    suspected: float | None  # since when it says nothing
-    closed_idle_connection: bool  # it closed its last connection in good order, soon after the last answer on it
+    lost_at: float | None
+    suspected: float | None
+    closed_idle_connection: bool
 
     @property
     def usable_connections(self) -> int:
-        """Connections that are there or on their way."""
+        """Connections that are established or being dialled."""
 
     def recently_rejected(self, now: float) -> bool:
-        """Whether it turned something away lately."""
+        """Whether it rejected an attempt lately."""
 
     @property
     def ejected(self) -> bool:
-        """Whether it is out as an outlier."""
+        """Whether it is ejected as an outlier."""
+
+
+class DialReason(StrEnum):
+    """Why an endpoint is dialled. The values are words in the event ``dial``."""
+
+    START = "start"  # the client makes its first connections
+    WINDOW = "window"  # an endpoint of the window is back
+    STAND_IN = "stand-in"  # no endpoint of the window is there
+    URGENT = "urgent"  # a call waits and nothing is connected
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedDial:
-    """The next dial: which server, when, and why (``start``, ``window``, ``stand-in``, ``urgent``)."""
+    """The next dial: the endpoint's name, the time, and why."""
 
     name: str
     at: float
-    reason: str
+    reason: DialReason
 
 
 class ConnectionManager:
-    """One client's. ``peers`` is the policy's own table of servers followed; nothing here changes it."""
+    """The decisions of one client. Rates are in first attempts per second.
+
+    ``endpoints``: the tracked endpoints (``EndpointTable.endpoints``); nothing here changes them.
+    ``window``: the endpoints to keep connected; ``stand_ins``: others, while the window is not whole.
+    ``starting``: the first connections are still being made.
+    ``panic``: most of the endpoint list fails its health checks, so that the list's health is ignored.
+    """
 
     def __init__(
         self,
         rules: Connections,
         membership: Membership,
-        peers: Mapping[str, KnownEndpoint],
-        number: int,
+        endpoints: Mapping[str, KnownEndpoint],
+        client_number: int,
         random: Random,
-        catalog: bool,
-        shared: float = 0.0,
+        has_catalog: bool,
+        clock_offset_s: float = 0.0,
     ) -> None:
-        self.rules, self.membership, self.endpoints, self.random = rules, membership, peers, random
-        self.client_number, self.has_catalog = number, catalog
+        """``has_catalog``: the endpoint list is watched, not fixed. ``clock_offset_s``: see ``DialSlots``."""
+        self.rules = rules
+        self.membership = membership
+        self.endpoints = endpoints
+        self.client_number = client_number
+        self.random = random
+        self.has_catalog = has_catalog
         self.deploy_interval = DeployInterval(rules.spread_s, rules.spread_least_s, rules.spread_most_s)
-        self.dial_slots = DialSlots(number, rules.turn_share, shared)
+        self.dial_slots = DialSlots(client_number, rules.turn_share, clock_offset_s)
         self.window: tuple[str, ...] = ()
         self.stand_ins: set[str] = set()
         self.starting = True
-        self.panic = False  # most of the list does not pass, so the list is not gone by
+        self.panic = False
+        self._ring: Ring | None = None  # of the known names; None after they changed
         self._subset = aperture.Subset(Ring(()), 0, 1)
-        self._removed: dict[str, float] = {}  # names that left the list lately, kept on the ring
-        self._ring: Ring | None = None  # of the names known now, made anew when they change
-        self._start_began_at: float | None = None  # when the start began
-        self._start_offsets: dict[str, float] = {}  # at the start: each server's place, 0 to under 1, in its span
+        self._removed: dict[str, float] = {}  # when each left the list, for those that keep their place on the ring
+        self._start_began_at: float | None = None
+        self._start_offsets: dict[str, float] = {}  # at the start: where in the spread each endpoint is dialled, 0 to 1
 
-    # ---- What the list says
+    # ---- Endpoint lists
     def endpoints_changed(
         self, now: float, joined: Iterable[str], left: Iterable[str], changed: Iterable[str]
     ) -> list[str]:
-        """Servers leaving and coming back; gives those that are back."""
+        """Note what a list changed; returns the names of endpoints that are back."""
         for name in left:
             self._removed[name] = now
             self.deploy_interval.record_departure(now, name)
         self._ring = None
-        # Of those that joined only the ones known before need a look: the first list of all costs nothing here.
-        known = [
-            name
-            for name in joined
-            if name in self._removed or name in self.endpoints or self.deploy_interval.is_away(name)
-        ]
+        # Of those that joined only endpoints that were known before matter: a first list costs nothing here.
+        rejoined = [name for name in joined if self._was_known(name)]
         back = []
-        for name in [*known, *changed]:
+        for name in [*rejoined, *changed]:
             self._removed.pop(name, None)
             row = self.membership.row(name)
             if row is not None and not row.passing:
-                self.deploy_interval.record_departure(
-                    now, name
-                )  # the list's own health is gone by where most are bad (panic)
+                self.deploy_interval.record_departure(now, name)
             else:
                 self.deploy_interval.record_return(name)
                 back.append(name)
         return back
 
+    def _was_known(self, name: str) -> bool:
+        return name in self._removed or name in self.endpoints or self.deploy_interval.is_away(name)
+
     # ---- The window
     def update_window(self, now: float, rate: float) -> None:
-        """Bring the window up to date with the list and the traffic (first tries a second)."""
-        for name, since in list(self._removed.items()):
-            if now - since > REMOVED_ENDPOINT_TTL_S or name in self.membership:
+        """Bring the window up to date with the list and the traffic."""
+        self._update_ring(now)
+        self.window = self._subset.window(self._window_size(rate))
+        self.stand_ins = {name for name in self.stand_ins if self._still_stands_in(name)}
+
+    def _update_ring(self, now: float) -> None:
+        for name, removed_at in list(self._removed.items()):
+            if now - removed_at > REMOVED_ENDPOINT_TTL_S or name in self.membership:
                 del self._removed[name]
                 self._ring = None
         if self._ring is None:
             self._ring = ring_with_removed(self.membership.names, frozenset(self._removed))
             self.panic = self.membership.passing * 2 < len(self.membership)
             self._subset = aperture.Subset(self._ring, self.client_number, self.rules.least)
+
+    def _window_size(self, rate: float) -> int:
+        """Grows with the traffic at once; shrinks only when the traffic is well below the window's."""
+        least, known = self.rules.least, len(self._subset.ring)
         if self.starting:  # the traffic is not known yet
-            rate = max(rate, self.rules.least / aperture.SERVER_IDLE_TIMEOUT_S)
-        wide = aperture.window_size(self.rules.least, rate, len(self._ring))
-        if wide < len(self.window):  # made narrower only when the traffic is well below
-            wide = min(len(self.window), aperture.window_size(self.rules.least, rate * SHRINK_FACTOR, len(self._ring)))
-        self.window = self._subset.window(wide)
-        self.stand_ins = {
-            name
-            for name in self.stand_ins
-            if name not in self.window
-            and name in self.membership
-            and name in self.endpoints
-            and self.endpoints[name].usable_connections
-        }
+            rate = max(rate, least / aperture.SERVER_IDLE_TIMEOUT_S)
+        size = aperture.window_size(least, rate, known)
+        if size < len(self.window):
+            return min(len(self.window), aperture.window_size(least, rate * SHRINK_FACTOR, known))
+        return size
+
+    def _still_stands_in(self, name: str) -> bool:
+        if name in self.window or name not in self.membership:
+            return False
+        endpoint = self.endpoints.get(name)
+        return endpoint is not None and endpoint.usable_connections > 0
 
     def is_tracked(self, now: float, name: str) -> bool:
-        """Whether the client still goes by it: its own, what stands in, and what it is not to dial again yet."""
+        """Whether to go on tracking an endpoint: one to keep connected, or one that must not be dialled yet."""
         if name not in self.membership:
             return False
-        peer = self.endpoints[name]
-        return name in self.window or name in self.stand_ins or peer.next_dial_at > now or not self.may_dial(now, name)
+        if self.keep_connected(name) or self.endpoints[name].next_dial_at > now:
+            return True
+        return not self.may_dial(now, name)
 
     def keep_connected(self, name: str) -> bool:
-        """Whether its connection is to stay though nothing is open on it."""
+        """Whether an idle connection to the endpoint stays open."""
         return name in self.window or name in self.stand_ins
 
+    def surplus_stand_ins(self) -> list[str]:
+        """The stand-ins that are not needed any more, as the whole window is connected."""
+        if not self.window or not all(self._has_connection(name) for name in self.window):
+            return []
+        return sorted(self.stand_ins)
+
+    # ---- The state of one endpoint
+    def _has_connection(self, name: str) -> bool:
+        endpoint = self.endpoints.get(name)
+        return endpoint is not None and endpoint.usable_connections > 0
+
+    def _is_usable(self, name: str) -> bool:
+        endpoint = self.endpoints.get(name)
+        return endpoint is not None and endpoint.usable_connections > 0 and endpoint.suspected is None
+
+    def _closed_idle_connection(self, name: str) -> bool:
+        endpoint = self.endpoints.get(name)
+        return endpoint is not None and endpoint.closed_idle_connection
+
     def may_dial(self, now: float, name: str, urgent: bool = False) -> bool:
-        """Whether it may be dialled as far as is known. ``urgent``: a call waits, so one that closed what rested is
-        tried before the news that it is there: a server with many callers closes resting connections at once."""
+        """Whether the endpoint is there, as far as is known.
+
+        ``urgent``: a call waits, so an endpoint that closed an idle connection is dialled before the list shows it
+        again: a server with many clients closes idle connections at once.
+        """
         row = self.membership.row(name)
         if row is None or not (row.passing or self.panic):
             return False
-        peer = self.endpoints.get(name)
-        if peer is None:
+        endpoint = self.endpoints.get(name)
+        if endpoint is None:
             return True
-        if peer.ejected or peer.suspected is not None or self.deploy_interval.is_flapping(now, name):
+        if endpoint.ejected or endpoint.suspected is not None or self.deploy_interval.is_flapping(now, name):
             return False
-        if peer.lost_at is None or not self.has_catalog or urgent and peer.closed_idle_connection:
-            return True  # with a fixed list no news will come: the dial's own backoff says when
-        # Without news the list may be stale: each failed dial doubles the wait, up to eight times away_s.
-        away: float = self.rules.away_s * 2 ** min(peer.dial_failures, 3)
-        return now - peer.lost_at >= away
+        if endpoint.lost_at is None or not self.has_catalog:
+            return True  # a fixed list will not show it again: the backoff of dials says when
+        if urgent and endpoint.closed_idle_connection:
+            return True
+        # The list may be stale: each failed dial doubles the time to wait for it.
+        away_s: float = self.rules.away_s * 2 ** min(endpoint.dial_failures, MAX_AWAY_DOUBLINGS)
+        return now - endpoint.lost_at >= away_s
 
-    def surplus_stand_ins(self) -> list[str]:
-        """What stood in and need not any more."""
-        whole = all((peer := self.endpoints.get(name)) is not None and peer.usable_connections for name in self.window)
-        return sorted(self.stand_ins) if whole and self.window else []
+    def _earliest_dial_at(self, now: float, name: str, urgent: bool = False) -> float:
+        endpoint = self.endpoints.get(name)
+        if endpoint is None:
+            return now
+        if urgent and not endpoint.dial_failures:
+            return now  # the delay after a lost connection gives way to a call that waits
+        return max(now, endpoint.next_dial_at)
+
+    def _unconnected(self, now: float, urgent: bool = False) -> list[str]:
+        """The endpoints of the window that are there and not connected."""
+        return [name for name in self.window if not self._is_usable(name) and self.may_dial(now, name, urgent)]
+
+    def _stand_in_candidates(self, now: float) -> Iterator[str]:
+        for name in self._subset.stand_ins(len(self.window)):
+            if not self._is_usable(name) and self.may_dial(now, name):
+                yield name
 
     # ---- Dials
     def next_dial(self, now: float, rate: float, urgent: bool) -> PlannedDial | None:
         """The next dial, if any is wanted. ``urgent``: a call waits and nothing is connected."""
         if urgent:
             return self.next_urgent_dial(now)
-        live = [name for name in (*self.window, *self.stand_ins) if self._is_usable(name)]
-        lacking = self._unconnected(now)
+        connected = [name for name in (*self.window, *self.stand_ins) if self._is_usable(name)]
+        unconnected = self._unconnected(now)
         if self.starting:
-            return self._next_start_dial(now, rate, lacking)
-        missing = len(self.window) - len(live)
-        if not live and not lacking:
-            lacking = list(islice(self._stand_in_candidates(now), 1))  # none of its own is there: any other stands in
-        if not lacking:
+            return self._next_start_dial(now, rate, unconnected)
+        if not connected and not unconnected:
+            stand_in = next(self._stand_in_candidates(now), None)
+            unconnected = [stand_in] if stand_in is not None else []
+        if not unconnected:
             self.dial_slots.clear()
             return None
-        easy = [name for name in live if not self.endpoints[name].recently_rejected(now)]
-        safe = any(self.deploy_interval.recently_replaced(now, name) for name in easy)
-        few = len(easy) <= FEW_ENDPOINTS
-        need = 1 if not missing or safe and not few else -1 if few and not safe else 0
-        turn = self.dial_slots.next_at(now, rate, max(1, missing), self.deploy_interval.spread_s(now), need)
-        return self._soonest(turn, lacking)
+        missing = len(self.window) - len(connected)
+        spread_s = self.deploy_interval.spread_s(now)
+        urgency = self._cycle_doublings(now, connected, missing)
+        slot_at = self.dial_slots.next_at(now, rate, max(1, missing), spread_s, urgency)
+        return self._soonest(slot_at, unconnected)
+
+    def _cycle_doublings(self, now: float, connected: list[str], missing: int) -> int:
+        """How often to double the cycle of dial slots: -1, 0 or 1, by what the client stands to lose.
+
+        A client with few endpoints that accept its calls dials twice as often, unless one of them was restarted in
+        the deploy under way, which will hardly leave again. One with more than few, such an endpoint among them, or
+        with its whole window connected, dials half as often.
+        """
+        accepting = [name for name in connected if not self.endpoints[name].recently_rejected(now)]
+        few = len(accepting) <= FEW_ENDPOINTS
+        has_restarted = any(self.deploy_interval.recently_replaced(now, name) for name in accepting)
+        if not missing or (has_restarted and not few):
+            return 1
+        if few and not has_restarted:
+            return -1
+        return 0
 
     def next_urgent_dial(self, now: float) -> PlannedDial | None:
-        """The dial for a call that waits with nothing connected: its own servers first, else any that is there."""
+        """The dial for a call that waits with nothing connected: the window first, then any other endpoint."""
         names = self._unconnected(now, urgent=True)
-        if any((peer := self.endpoints.get(name)) is not None and peer.closed_idle_connection for name in names):
-            self.random.shuffle(names)  # else a client with a dial for each call would always turn to the same server
+        if any(self._closed_idle_connection(name) for name in names):
+            self.random.shuffle(names)  # a client that dials for each call must not always choose the same endpoint
         return self._soonest(now, names, urgent=True)
 
-    def record_dial(self, now: float, wish: PlannedDial) -> None:
-        """The dial was made."""
-        self._start_offsets.pop(wish.name, None)
-        self.dial_slots.record_dial(now)
-        if wish.name not in self.window:
-            self.stand_ins.add(wish.name)
-
-    def _unconnected(self, now: float, urgent: bool = False) -> list[str]:
-        """The servers of the window that are there and not connected."""
-        return [name for name in self.window if not self._is_usable(name) and self.may_dial(now, name, urgent)]
-
-    def _is_usable(self, name: str) -> bool:
-        peer = self.endpoints.get(name)
-        return peer is not None and peer.usable_connections > 0 and peer.suspected is None
-
-    def _stand_in_candidates(self, now: float) -> Iterator[str]:
-        for name in self._subset.stand_ins(len(self.window)):
-            if not self._is_usable(name) and self.may_dial(now, name):
-                yield name
-
-    def _earliest_dial_at(self, now: float, name: str, urgent: bool = False) -> float:
-        peer = self.endpoints.get(name)
-        if peer is None or urgent and not peer.dial_failures:
-            return now  # the pause after a lost connection gives way to a call that waits
-        return max(now, peer.next_dial_at)
-
     def _soonest(self, at: float, names: list[str], urgent: bool = False) -> PlannedDial | None:
-        """The one of ``names`` that may be dialled first, from ``at`` on; where it is urgent and none may be then, any
-        other server that may."""
+        """The endpoint that may be dialled first, from ``at`` on; any other if it is urgent and none may be then."""
         times = {name: self._earliest_dial_at(at, name, urgent) for name in names}
         best = min(times, key=times.__getitem__, default=None)
         if urgent and (best is None or times[best] > at):
-            other = next(
-                (n for n in self._stand_in_candidates(at) if self._earliest_dial_at(at, n, urgent) <= at), None
-            )
-            if other is not None:
-                return PlannedDial(other, at, "urgent")
+            for name in self._stand_in_candidates(at):
+                if self._earliest_dial_at(at, name, urgent) <= at:
+                    return PlannedDial(name, at, DialReason.URGENT)
         if best is None:
             return None
-        return PlannedDial(best, times[best], "urgent" if urgent else "window" if best in self.window else "stand-in")
+        if urgent:
+            return PlannedDial(best, times[best], DialReason.URGENT)
+        return PlannedDial(best, times[best], DialReason.WINDOW if best in self.window else DialReason.STAND_IN)
+
+    def _next_start_dial(self, now: float, rate: float, unconnected: list[str]) -> PlannedDial | None:
+        """At the start, dial the window at random times within the spread, or faster where the traffic allows it.
 
-    def _next_start_dial(self, now: float, rate: float, lacking: list[str]) -> PlannedDial | None:
-        """The first server is dialled for the first call; the rest of the window over the spread, so that a fleet
-        of clients that start in the same second does not dial all its windows in it, or as fast as the traffic
-        bears where that is sooner."""
+        So the clients of a fleet that start in the same second do not dial all their windows in it.
+        """
         if self._start_began_at is None:
             self._start_began_at = now
-        spread = min(self.deploy_interval.spread_s(now), len(self.window) / max(START_DIAL_SHARE * rate, 1e-3))
-        for name in lacking:
+        fastest_s = len(self.window) / max(START_DIAL_SHARE * rate, MIN_DIALS_PER_S)
+        spread_s = min(self.deploy_interval.spread_s(now), fastest_s)
+        for name in unconnected:
             if name not in self._start_offsets:
                 self._start_offsets[name] = self.random.random()
-        drawn = {name: max(now, self._start_began_at + spread * self._start_offsets[name]) for name in lacking}
-        wishes = [(self._earliest_dial_at(at, name), name) for name, at in drawn.items()]
-        if not wishes:
+        dials = []
+        for name in unconnected:
+            at = max(now, self._start_began_at + spread_s * self._start_offsets[name])
+            dials.append((self._earliest_dial_at(at, name), name))
+        if not dials:
             return None
-        at, name = min(wishes)
-        return PlannedDial(name, at, "start")
+        dial_at, name = min(dials)
+        return PlannedDial(name, dial_at, DialReason.START)
+
+    def record_dial(self, now: float, dial: PlannedDial) -> None:
+        """A planned dial was made."""
+        self._start_offsets.pop(dial.name, None)
+        self.dial_slots.record_dial(now)
+        if dial.name not in self.window:
+            self.stand_ins.add(dial.name)
--- a/lapishaven/client/fleet/endpoint_list.py
+++ b/lapishaven/client/fleet/endpoint_list.py
@@ -1,10 +1,9 @@
-"""Rosters: the catalog's list at one version, immutable, and the steps between versions. Pure.
+"""Immutable versions of the service registry's list, and the updates between them. Pure.
 
-A client process holds one roster and the little that is its own (what it doubts, when it took what). A roster is
-never changed, only followed by another; the step from one to the next (a whole list, or a delta of what joined,
-left and changed since a version) is made once and kept at hand, so that the thousands of clients of one
-simulation that take the same versions in the same order share one roster at each, as real processes would each
-hold theirs. Nothing here costs a client more than the size of what changed, but the first whole list.
+A client process holds one list and the little that is its own (``membership``). A list is never changed, only
+followed by another. The update from one to the next is computed once and cached, so that the thousands of clients of
+one simulation that apply the same versions in the same order share each list, as real processes would each hold
+theirs. After the first full list an update costs a client no more than the size of what changed.
 """
 
 from __future__ import annotations
@@ -15,19 +14,28 @@
 
 from lapishaven.proto.catalog import Delta, Listed, Listing
 
-MAX_CACHED_UPDATES = 256  # steps kept at hand
+MAX_CACHED_UPDATES = 256
 
 
 class EndpointList:
-    """The list at one version. ``serial`` counts the steps of the chain of rosters, over epochs too; ``born``
-    gives for each name the serial at which it came to the list."""
+    """The list at one version.
+
+    ``rows``: the rows by the endpoints' names.
+    ``serial``: counts the updates since the empty list, over epochs too.
+    ``added_at_serial``: for each name the serial at which it joined the list.
+    ``passing``: how many endpoints pass their health checks.
+    """
 
     __slots__ = ("added_at_serial", "epoch", "names", "passing", "rows", "serial", "version")
 
     def __init__(
-        self, epoch: str, version: int, rows: dict[str, Listed], born: dict[str, int], serial: int = 0
+        self, epoch: str, version: int, rows: dict[str, Listed], added_at_serial: dict[str, int], serial: int = 0
     ) -> None:
-        self.epoch, self.version, self.rows, self.added_at_serial, self.serial = epoch, version, rows, born, serial
+        self.epoch = epoch
+        self.version = version
+        self.rows = rows
+        self.added_at_serial = added_at_serial
+        self.serial = serial
         self.names = frozenset(rows)
         self.passing = sum(row.passing for row in rows.values())
 
@@ -40,8 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """From one roster to the next: what joined, left (gone from the list) and altered (a new address, or passing
-    turned); an address that changed under a name counts as left and joined."""
+    """From one list to the next. A new address under the same name counts as left and joined.
+
+    ``endpoint_list``: the next list.
+    ``changed``: passing the health checks turned on or off.
+    """
 
     endpoint_list: EndpointList
     joined: tuple[str, ...]
@@ -53,44 +64,51 @@
 
 
 def _cached(before: EndpointList, source: object, make: Callable[[], ListUpdate]) -> ListUpdate:
-    """The step from ``before`` by ``source`` (a list or a delta), made once. The entry holds both, so that their
-    ids, which are its key, cannot be taken by other objects while it is kept."""
+    """The update from ``before`` by ``source`` (a list or a delta), computed once.
+
+    An entry holds both objects, so that their ids, which are its key, cannot be reused while it is cached.
+    """
     key = id(before), id(source)
     entry = _updates.get(key)
     if entry is not None and entry[0] is before and entry[1] is source:
         _updates.move_to_end(key)
         return entry[2]
-    step = make()
-    _updates[key] = before, source, step
+    update = make()
+    _updates[key] = before, source, update
     while len(_updates) > MAX_CACHED_UPDATES:
         _updates.popitem(last=False)
-    return step
+    return update
 
 
 def _make_update(
-    before: EndpointList, epoch: str, version: int, rows: dict[str, Listed], changed: Iterable[str]
+    before: EndpointList, epoch: str, version: int, rows: dict[str, Listed], candidates: Iterable[str]
 ) -> ListUpdate:
-    joined, left, altered = [], [], []
+    """The update to ``rows``; only the names in ``candidates`` may differ."""
+    joined: list[str] = []
+    left: list[str] = []
+    changed: list[str] = []
     serial = before.serial + 1
-    born = dict(before.added_at_serial)
-    for name in changed:
-        row, old = rows.get(name), before.rows.get(name)
+    added_at_serial = dict(before.added_at_serial)
+    for name in candidates:
+        row = rows.get(name)
+        old = before.rows.get(name)
         if row is None:
             if old is not None:
                 left.append(name)
-                born.pop(name, None)
+                added_at_serial.pop(name, None)
         elif old is None or (old.host, old.port) != (row.host, row.port):
             if old is not None:
                 left.append(name)
             joined.append(name)
-            born[name] = serial
+            added_at_serial[name] = serial
         elif old.passing != row.passing:
-            altered.append(name)
-    return ListUpdate(EndpointList(epoch, version, rows, born, serial), tuple(joined), tuple(left), tuple(altered))
+            changed.append(name)
+    after = EndpointList(epoch, version, rows, added_at_serial, serial)
+    return ListUpdate(after, tuple(joined), tuple(left), tuple(changed))
 
 
 def replace_list(before: EndpointList, listing: Listing) -> ListUpdate:
-    """The step to a whole list."""
+    """The update from ``before`` to a full list."""
 
     def make() -> ListUpdate:
         rows = {row.name: row for row in listing.servers}
@@ -100,7 +118,7 @@
 
 
 def apply_delta(before: EndpointList, delta: Delta) -> ListUpdate | None:
-    """The step that a delta makes from ``before``; None where it does not follow on from it."""
+    """The update that a delta makes to ``before``; None where the delta starts from another version."""
     if delta.epoch != before.epoch or delta.since != before.version or delta.version <= before.version:
         return None
 
--- a/lapishaven/client/fleet/ring.py
+++ b/lapishaven/client/fleet/ring.py
@@ -1,8 +1,8 @@
-"""The ring: the servers that a client knows of, in one fixed order. Pure.
+"""The ring: the known endpoints in one fixed order. Pure.
 
-The order is by a hash of the name, so that neighbours on the ring are no neighbours in any other sense (a rack, a
-batch of a deploy). The same set of names gives the same ring in every process; a process keeps a few rings at
-hand, so that thousands of clients of one simulation that see the same list share one.
+The order is by a hash of the name, so that neighbours on the ring have nothing else in common (a rack, a batch of a
+deploy). The same names give the same ring in every process. A few rings are cached, so that the thousands of clients
+of a simulation that see the same list share one.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from lapishaven.client.hashing import hash64
 
 RING_SALT = 0x72696E67
-MAX_CACHED_RINGS = 8  # rings kept at hand
+MAX_CACHED_RINGS = 8
 
 
 class Ring:
@@ -32,7 +32,7 @@
 
 
 def ring_of(names: frozenset[str]) -> Ring:
-    """The ring of these names, from those at hand where it is there."""
+    """The ring of these names. Cached."""
     ring = _rings.get(names)
     if ring is None:
         ring = _rings[names] = Ring(names)
@@ -47,8 +47,11 @@
 
 
 def ring_with_removed(names: frozenset[str], removed: frozenset[str]) -> Ring:
-    """The ring of ``names`` and of those ``gone`` lately, which keep their places for a while. Costs the size of
-    ``gone``, not of the list, where another client asked for the same before: the sets' hashes are kept."""
+    """The ring of ``names`` and of the recently ``removed`` ones, which keep their places for a while. Cached.
+
+    Where another client asked for the same before, the cost is that of hashing ``removed``, not the whole list, as a
+    frozenset remembers its hash.
+    """
     if not removed:
         return ring_of(names)
     key = names, removed
