--- a/lapishaven/cli/call.py
+++ b/lapishaven/cli/call.py
@@ -27,8 +27,8 @@
     from lapishaven.client import SettingsError
     from lapishaven.client.command import CallOptions, run
 
-    wanted = CallOptions(cls, body, file, deadline, count, parallel, row, as_json, log)
+    options = CallOptions(cls, body, file, deadline, count, parallel, row, as_json, log)
     try:
-        raise typer.Exit(run(settings, tuple(server or ()), catalog, wanted))
+        raise typer.Exit(run(settings, tuple(server or ()), catalog, options))
     except SettingsError as error:
         fail(str(error))
--- a/lapishaven/client/__init__.py
+++ b/lapishaven/client/__init__.py
@@ -1,7 +1,7 @@
-"""A client that behaves: deadlines, marked repeats, refusals and advice honoured, no reconnect storms.
+"""A client library for match servers: deadlines, marked retries, Retry-After, and no retry or reconnect storms.
 
-Importable without the server. ``Client`` is for asyncio, ``BlockingClient`` for threads; ``Policy`` is the
-pure core under both, for drivers of one's own.
+Importable without the server. ``Client`` is for asyncio, ``BlockingClient`` for threads; ``Policy`` is the pure core
+under both, for other drivers.
 """
 
 from lapishaven.client.asyncio_client import Client
--- a/lapishaven/client/blocking_client.py
+++ b/lapishaven/client/blocking_client.py
@@ -1,4 +1,4 @@
-"""A blocking facade that threads can share: the asyncio client on a thread of its own."""
+"""A blocking client that threads can share: the asyncio client on a thread of its own."""
 
 from __future__ import annotations
 
@@ -13,19 +13,23 @@
 
 
 class BlockingClient:
-    """``with BlockingClient(settings) as client: client.call("fuzzy-match", b"...")``, from any thread.
+    """Calls match servers from any thread::
 
-    All threads share one set of connections and one budget of repeats, as these are the process's. Takes the
-    same keyword arguments as ``Client``; the hook runs on the client's thread and must not block it.
+        with BlockingClient(settings) as client:
+            body = client.call("fuzzy-match", b"...")
+
+    All threads share one set of connections and one retry budget, as these belong to the process. Takes the same
+    keyword arguments as ``Client``; the hook runs on the client's thread and must not block it.
     """
 
     def __init__(self, settings: Settings, **options: Any) -> None:
-        self._settings, self._options = settings, options
+        self._settings = settings
+        self._options = options
         self._loop: asyncio.AbstractEventLoop | None = None
         self._client: Client | None = None
         self._stop: asyncio.Event | None = None
         self._ready = threading.Event()
-        self._failed: BaseException | None = None
+        self._startup_error: BaseException | None = None
         self._thread: threading.Thread | None = None
 
     def __enter__(self) -> BlockingClient:
@@ -34,9 +38,9 @@
         self._thread = threading.Thread(target=self._run, name="lapishaven-client", daemon=True)
         self._thread.start()
         self._ready.wait()
-        if self._failed is not None:
+        if self._startup_error is not None:
             self._thread.join()
-            raise self._failed
+            raise self._startup_error
         return self
 
     def __exit__(
@@ -47,12 +51,13 @@
     def _run(self) -> None:
         try:
             asyncio.run(self._serve())
-        except BaseException as error:  # told to the thread that waits in __enter__
-            self._failed = error
+        except BaseException as error:  # raised by the thread that waits in __enter__
+            self._startup_error = error
             self._ready.set()
 
     async def _serve(self) -> None:
-        self._loop, self._stop = asyncio.get_running_loop(), asyncio.Event()
+        self._loop = asyncio.get_running_loop()
+        self._stop = asyncio.Event()
         async with Client(self._settings, **self._options) as self._client:
             self._ready.set()
             await self._stop.wait()
@@ -66,13 +71,13 @@
     def outcome(
         self, cls: str, body: bytes, *, deadline: float | None = None, row: int | None = None, key: str = ""
     ) -> Outcome:
-        """As ``Client.outcome``. An interrupt of the waiting thread (Ctrl-C) takes the call back."""
+        """As ``Client.outcome``. An interrupt of the waiting thread (Ctrl-C) cancels the call."""
         if self._client is None or self._loop is None or self._thread is None or not self._thread.is_alive():
             raise RuntimeError("the client is not open")
         if threading.current_thread() is self._thread:
             raise RuntimeError("called from the client's own thread, which would wait for itself")
-        work = self._client.outcome(cls, body, deadline=deadline, row=row, key=key)
-        future = asyncio.run_coroutine_threadsafe(work, self._loop)
+        coroutine = self._client.outcome(cls, body, deadline=deadline, row=row, key=key)
+        future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
         try:
             return future.result()
         except BaseException:
@@ -80,7 +85,7 @@
             raise
 
     def close(self) -> None:
-        """Take back every open call and wait until the thread has ended."""
+        """Cancel every open call and wait until the thread has ended."""
         if self._thread is None or self._loop is None or self._stop is None:
             return
         if self._thread.is_alive():
--- a/lapishaven/client/command.py
+++ b/lapishaven/client/command.py
@@ -10,19 +10,28 @@
 from typing import Any
 
 from lapishaven.client.asyncio_client import BODY_LIMIT, Client
+from lapishaven.client.engine import Hook
 from lapishaven.client.hooks import logging_hook
 from lapishaven.client.outcomes import OUTCOME_NAMES, Cancelled, Expired, Failed, Outcome, Refused, Served, Uncertain
 from lapishaven.client.settings import Settings, SettingsError, load
 
-# The exit code of each outcome; of several calls the highest counts.
+# The exit code of each outcome; of several calls the highest is returned.
 EXIT_CODES: dict[type[Outcome], int] = {Served: 0, Refused: 3, Failed: 4, Expired: 4, Cancelled: 4, Uncertain: 5}
 
 
+ROW_BITS = 64
+
+
 @dataclass(frozen=True, slots=True)
 class CallOptions:
-    """What the command line asks for."""
+    """What the command line asks for.
+
+    ``class_name``: the class of work. ``deadline`` is in seconds, ``row`` in hex digits.
+    ``count``: calls to make, ``parallel`` of them at a time at most.
+    ``as_json``: print outcomes as JSON. ``log``: print every event to standard error.
+    """
 
-    cls: str
+    class_name: str
     body: str | None
     file: str | None
     deadline: float | None
@@ -42,60 +51,68 @@
     return load(path, **changes)
 
 
-def _read_body(wanted: CallOptions) -> bytes:
-    if wanted.body is not None and wanted.file is not None:
+def _read_body(options: CallOptions) -> bytes:
+    if options.body is not None and options.file is not None:
         raise SettingsError("name either a body or --file")
-    if wanted.body is not None:
-        return wanted.body.encode()
-    if wanted.file is not None:
+    if options.body is not None:
+        return options.body.encode()
+    if options.file is not None:
         try:
-            return Path(wanted.file).read_bytes()
+            return Path(options.file).read_bytes()
         except OSError as error:
-            raise SettingsError(f"cannot read {wanted.file}: {error.strerror}") from None
+            raise SettingsError(f"cannot read {options.file}: {error.strerror}") from None
     return b"" if sys.stdin.isatty() else sys.stdin.buffer.read(BODY_LIMIT + 1)
 
 
-def run(path: str, servers: tuple[str, ...], catalog: str | None, wanted: CallOptions) -> int:
-    """Make the calls; gives the exit code."""
-    settings, body = _load_settings(path, servers, catalog), _read_body(wanted)
-    if wanted.cls not in settings.classes:
-        raise SettingsError(f"no class {wanted.cls!r}; there are {', '.join(settings.classes)}")
+def run(path: str, servers: tuple[str, ...], catalog: str | None, options: CallOptions) -> int:
+    """Make the calls and print their outcomes; returns the exit code. Raises ``SettingsError`` on bad options."""
+    settings = _load_settings(path, servers, catalog)
+    body = _read_body(options)
+    if options.class_name not in settings.classes:
+        raise SettingsError(f"no class {options.class_name!r}; there are {', '.join(settings.classes)}")
     if len(body) > BODY_LIMIT:
         raise SettingsError(f"the body is over {BODY_LIMIT} bytes")
-    if wanted.deadline is not None and not wanted.deadline > 0:
+    if options.deadline is not None and not options.deadline > 0:
         raise SettingsError("--deadline is not above 0")
+    row = _parse_row(options.row) if options.row is not None else None
+    return asyncio.run(_make_calls(settings, body, row, options))
+
+
+def _parse_row(digits: str) -> int:
     try:
-        row = int(wanted.row, 16) if wanted.row is not None else None
+        row = int(digits, 16)
     except ValueError:
         row = -1
-    if row is not None and not 0 <= row < 1 << 64:
+    if not 0 <= row < 1 << ROW_BITS:
         raise SettingsError("--row is no hex number of up to 16 digits")
-    return asyncio.run(_make_calls(settings, body, row, wanted))
+    return row
 
 
-async def _make_calls(settings: Settings, body: bytes, row: int | None, wanted: CallOptions) -> int:
-    gate = asyncio.Semaphore(wanted.parallel)
-    hook = None
-    if wanted.log:
-        import logging
+async def _make_calls(settings: Settings, body: bytes, row: int | None, options: CallOptions) -> int:
+    slots = asyncio.Semaphore(options.parallel)
+    async with Client(settings, hook=_json_lines_hook() if options.log else None) as client:
 
-        import structlog
+        async def make_call() -> int:
+            async with slots:
+                outcome = await client.outcome(options.class_name, body, deadline=options.deadline, row=row)
+            print(_format_outcome(outcome, options.as_json), flush=True)
+            return EXIT_CODES[type(outcome)]
 
-        structlog.configure(
-            processors=[structlog.processors.add_log_level, structlog.processors.JSONRenderer()],
-            wrapper_class=structlog.make_filtering_bound_logger(logging.DEBUG),
-            logger_factory=structlog.PrintLoggerFactory(file=sys.stderr),
-        )
-        hook = logging_hook()
-    async with Client(settings, hook=hook) as client:
+        return max(await asyncio.gather(*(make_call() for _ in range(options.count))))
 
-        async def one() -> int:
-            async with gate:
-                outcome = await client.outcome(wanted.cls, body, deadline=wanted.deadline, row=row)
-            print(_format_outcome(outcome, wanted.as_json), flush=True)
-            return EXIT_CODES[type(outcome)]
 
-        return max(await asyncio.gather(*(one() for _ in range(wanted.count))))
+def _json_lines_hook() -> Hook:
+    """Logs every event as a line of JSON to standard error."""
+    import logging
+
+    import structlog
+
+    structlog.configure(
+        processors=[structlog.processors.add_log_level, structlog.processors.JSONRenderer()],
+        wrapper_class=structlog.make_filtering_bound_logger(logging.DEBUG),
+        logger_factory=structlog.PrintLoggerFactory(file=sys.stderr),
+    )
+    return logging_hook()
 
 
 def _format_outcome(outcome: Outcome, as_json: bool) -> str:
--- a/lapishaven/client/hooks.py
+++ b/lapishaven/client/hooks.py
@@ -1,4 +1,4 @@
-"""Hooks for the life of a call: structured log events, and metrics by the Prometheus conventions."""
+"""Hooks for the events of a client: structured logs, and metrics by the conventions of Prometheus."""
 
 from __future__ import annotations
 
@@ -7,23 +7,27 @@
 from lapishaven.client.engine import Hook
 from lapishaven.client.settings import SettingsError
 
-# Events that one wants to see in a log; the rest is said at debug level.
+# Events that are logged as warnings; the others are logged at debug level.
 WARNING_EVENTS = {"left out", "back in", "silent", "list held back", "list empty", "catalog failed", "end uncertain"}
+END_EVENT_PREFIX = "end "  # followed by the outcome's name
 LATENCY_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.5, 2.5, 5.0, 10.0)
 
 
 def both(*hooks: Hook) -> Hook:
-    """One hook that tells each of several."""
+    """One hook that passes each event to several."""
 
-    def tell(now: float, event: str, fields: dict[str, Any]) -> None:
+    def report(now: float, event: str, fields: dict[str, Any]) -> None:
         for hook in hooks:
             hook(now, event, fields)
 
-    return tell
+    return report
 
 
 def logging_hook(logger: Any = None) -> Hook:
-    """Events to a structlog logger: one event, one line; bodies and keys are never among the fields."""
+    """Log each event as one line to a structlog logger (by default ``lapishaven.client``).
+
+    Bodies and keys of calls are never among the fields. Raises ``SettingsError`` if structlog is not installed.
+    """
     if logger is None:
         try:
             import structlog
@@ -31,16 +35,19 @@
             raise SettingsError("logging needs structlog: install lapishaven[client]") from None
         logger = structlog.get_logger("lapishaven.client")
 
-    def tell(now: float, event: str, fields: dict[str, Any]) -> None:
-        say = logger.warning if event in WARNING_EVENTS else logger.debug
-        say(event, monotonic=round(now, 6), **fields)
+    def report(now: float, event: str, fields: dict[str, Any]) -> None:
+        log = logger.warning if event in WARNING_EVENTS else logger.debug
+        log(event, monotonic=round(now, 6), **fields)
 
-    return tell
+    return report
 
 
 def metrics_hook(registry: Any = None) -> Hook:
-    """Events to prometheus-client: ``lapishaven_client_events_total`` by event, and calls' seconds by class
-    and end in ``lapishaven_client_call_seconds``."""
+    """Count events in prometheus-client: ``lapishaven_client_events_total`` by event, and the seconds of calls by
+    class and end in ``lapishaven_client_call_seconds``.
+
+    Raises ``SettingsError`` if prometheus-client is not installed.
+    """
     try:
         from prometheus_client import REGISTRY, Counter, Histogram
     except ImportError:
@@ -55,9 +62,9 @@
         registry=registry,
     )
 
-    def tell(now: float, event: str, fields: dict[str, Any]) -> None:
+    def report(now: float, event: str, fields: dict[str, Any]) -> None:
         events.labels(event).inc()
-        if event.startswith("end "):
-            calls.labels(fields["cls"], event[4:]).observe(fields["span"])
+        if event.startswith(END_EVENT_PREFIX):
+            calls.labels(fields["cls"], event.removeprefix(END_EVENT_PREFIX)).observe(fields["span"])
 
-    return tell
+    return report
--- a/lapishaven/client/wire.py
+++ b/lapishaven/client/wire.py
@@ -1,4 +1,7 @@
-"""The client's two wires as state machines, one object a connection: fed bytes, they give ends of tries."""
+"""The client's two wires as state machines without I/O, one object for each connection.
+
+A wire turns attempts into bytes, and the bytes received into events.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +13,20 @@
 from lapishaven.client.settings import Settings
 from lapishaven.proto import ProtocolError, jsonrpc, uwsgi
 
-TIMESTAMP_SUSPENSION_S = 60.0  # s for which requests bear no time stamp after a server turned one down
-INVALID_REQUEST_CODES = (jsonrpc.PARSE_ERROR, jsonrpc.INVALID_REQUEST, jsonrpc.NO_METHOD, jsonrpc.INVALID_PARAMS)
+TIMESTAMP_SUSPENSION_S = 60.0  # for which requests have no timestamp after a server rejected one
+MAX_ERROR_TEXT = 200  # bytes of an HTTP error's body that become the reason
+MAX_RETRY_AFTER_DIGITS = 9
+INVALID_REQUEST_CODES = (
+    jsonrpc.PARSE_ERROR,
+    jsonrpc.INVALID_REQUEST,
+    jsonrpc.NO_METHOD,
+    jsonrpc.INVALID_PARAMS,
+)
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseReceived:
-    """A try has its answer."""
+    """The response to an attempt, named by ``Attempt.id``."""
 
     attempt_id: int
     result: AttemptResult
@@ -24,42 +34,47 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainingNotice:
-    """The server leaves."""
+    """The server announced its graceful shutdown."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeAnswered:
-    """The answer to a question how the server is: it is there, whatever it says."""
+    """The answer to a probe. Whatever it says, the server is responsive."""
 
 
 class TimestampClock:
-    """The wall clock, as far as the servers take it. It may jump; nothing but the time stamp goes by it."""
+    """The wall clock that requests are stamped by, as long as the servers accept it. It may jump."""
 
-    def __init__(self, wall: Callable[[], float], steady: Callable[[], float]) -> None:
-        self._wall, self._steady = wall, steady
+    def __init__(self, wall: Callable[[], float], monotonic: Callable[[], float]) -> None:
+        self._wall = wall
+        self._monotonic = monotonic
         self._suspended_until = float("-inf")
 
     def stamp(self) -> float | None:
-        """Unix seconds, or ``None`` while the servers do not take ours."""
-        return self._wall() if self._steady() >= self._suspended_until else None
+        """Unix seconds, or None while the servers do not accept them."""
+        return self._wall() if self._monotonic() >= self._suspended_until else None
 
     def suspend(self) -> None:
-        self._suspended_until = self._steady() + TIMESTAMP_SUSPENSION_S
+        """A server rejected a timestamp: send none for ``TIMESTAMP_SUSPENSION_S``."""
+        self._suspended_until = self._monotonic() + TIMESTAMP_SUSPENSION_S
 
 
 class JsonRpc:
-    """The platform's protocol: many requests on a connection, answers in any order."""
+    """The platform's protocol: many requests on a connection, responses in any order."""
 
     def __init__(self, settings: Settings, clock: TimestampClock) -> None:
-        self._settings, self._clock = settings, clock
+        self._settings = settings
+        self._clock = clock
         self._machine = jsonrpc.Client()
         self._last_id = 0
-        self._in_flight: dict[int, tuple[int, bool]] = {}  # id here -> the try, and whether it bears a time
-        self._probe_ids: set[int] = set()  # questions how it is
+        self._in_flight: dict[int, tuple[int, bool]] = {}  # message id: attempt id, and whether it has a timestamp
+        self._probe_ids: set[int] = set()
 
     def send(self, attempt: Attempt) -> bytes:
+        """The request of an attempt."""
         self._last_id += 1
-        call, stamp = attempt.call, self._clock.stamp()
+        call = attempt.call
+        stamp = self._clock.stamp()
         self._in_flight[self._last_id] = attempt.id, stamp is not None
         return jsonrpc.request(
             self._last_id,
@@ -75,62 +90,69 @@
         )
 
     def cancel(self, attempt: Attempt) -> bytes:
+        """Tell the server that nobody waits for an attempt."""
         return jsonrpc.forget(attempt.request_id)
 
     def probe(self) -> bytes:
-        """A question how the server is."""
+        """A probe, answered by ``ProbeAnswered``."""
         self._last_id += 1
         self._probe_ids.add(self._last_id)
         return jsonrpc.is_well(self._last_id)
 
     def feed(self, data: bytes) -> Iterator[ResponseReceived | DrainingNotice | ProbeAnswered]:
-        """Ends of tries; ``ProtocolError`` where the connection cannot be trusted any more."""
+        """Events from received bytes; raises ``ProtocolError`` where the connection cannot be trusted any more."""
         for message in self._machine.feed(data):
             if isinstance(message, jsonrpc.Draining):
                 yield DrainingNotice()
-                continue
-            if message.id in self._probe_ids:
+            elif message.id in self._probe_ids:
                 self._probe_ids.discard(message.id)
                 yield ProbeAnswered()
-                continue
-            found = self._in_flight.pop(message.id, None) if message.id is not None else None
-            if found is None:
-                if message.id is not None and 0 < message.id <= self._last_id:
-                    continue  # a second answer to one request: the first one holds
-                raise ProtocolError(f"an answer to no request: {message.id}")
-            attempt, stamped = found
-            if isinstance(message, jsonrpc.Result):
-                yield ResponseReceived(attempt, AttemptResult(AttemptEnd.SERVED, message.body))
             else:
-                yield ResponseReceived(attempt, self._error(message, stamped))
+                response = self._response(message)
+                if response is not None:
+                    yield response
+
+    def _response(self, message: jsonrpc.Result | jsonrpc.Error) -> ResponseReceived | None:
+        found = self._in_flight.pop(message.id, None) if message.id is not None else None
+        if found is None:
+            if message.id is not None and 0 < message.id <= self._last_id:
+                return None  # a second response to one request: the first one holds
+            raise ProtocolError(f"an answer to no request: {message.id}")
+        attempt_id, stamped = found
+        if isinstance(message, jsonrpc.Result):
+            return ResponseReceived(attempt_id, AttemptResult(AttemptEnd.SERVED, message.body))
+        return ResponseReceived(attempt_id, self._error(message, stamped))
 
     def _error(self, error: jsonrpc.Error, stamped: bool) -> AttemptResult:
-        ending = AttemptEnd.FAILED
+        end = AttemptEnd.FAILED
         if error.code == jsonrpc.REFUSED:
-            ending = AttemptEnd.REJECTED
+            end = AttemptEnd.REJECTED
         elif error.code == jsonrpc.INVALID_PARAMS and stamped and "recv" in error.text:
             self._clock.suspend()
-            ending = AttemptEnd.TIMESTAMP_REJECTED
+            end = AttemptEnd.TIMESTAMP_REJECTED
         elif error.code in INVALID_REQUEST_CODES:
-            ending = AttemptEnd.INVALID
-        return AttemptResult(ending, b"", error.text, error.code, error.pushback, error.stop)
+            end = AttemptEnd.INVALID
+        return AttemptResult(end, b"", error.text, error.code, error.pushback, error.stop)
 
     def end_of_stream(self) -> Iterator[ResponseReceived]:
-        """The other side closed: an answer cut in half is no answer."""
+        """The other side closed: a response that was cut off is none."""
         return iter(())
 
 
 class Uwsgi:
-    """uwsgi: one request a connection, an HTTP response back, then the close."""
+    """uwsgi: one request on a connection, an HTTP response, then the close."""
 
     def __init__(self, settings: Settings, clock: TimestampClock) -> None:
-        self._settings, self._clock = settings, clock
+        self._settings = settings
+        self._clock = clock
         self._machine = uwsgi.Client()
-        self._attempt: int | None = None
+        self._attempt_id: int | None = None
 
     def send(self, attempt: Attempt) -> bytes:
-        call, settings, stamp = attempt.call, self._settings, self._clock.stamp()
-        self._attempt = attempt.id
+        """The request of an attempt."""
+        call, settings = attempt.call, self._settings
+        stamp = self._clock.stamp()
+        self._attempt_id = attempt.id
         variables = {
             "REQUEST_METHOD": "POST",
             "PATH_INFO": settings.path + call.class_name,
@@ -146,43 +168,50 @@
         return uwsgi.packet(variables, call.body)
 
     def cancel(self, attempt: Attempt) -> bytes:
-        return b""  # the close says it
+        """Nothing: the close of the connection tells the server."""
+        return b""
 
     def feed(self, data: bytes) -> Iterator[ResponseReceived | DrainingNotice]:
+        """Events from received bytes; raises ``ProtocolError`` where they are no HTTP response."""
         yield from self._events(data)
 
     def end_of_stream(self) -> Iterator[ResponseReceived]:
+        """The other side closed, which may end the response."""
         yield from self._events(b"")
 
     def _events(self, data: bytes) -> Iterator[ResponseReceived]:
-        if self._attempt is None:
+        if self._attempt_id is None:
             return
         response = self._machine.feed(data)
         if response is not None:
-            attempt, self._attempt = self._attempt, None
-            yield ResponseReceived(attempt, self._reply(response))
+            attempt_id = self._attempt_id
+            self._attempt_id = None
+            yield ResponseReceived(attempt_id, self._result(response))
 
-    def _reply(self, response: uwsgi.Response) -> AttemptResult:
-        status, text = response.status, response.body[:200].decode("latin-1")
+    def _result(self, response: uwsgi.Response) -> AttemptResult:
+        status = response.status
+        text = response.body[:MAX_ERROR_TEXT].decode("latin-1")
         if status == 200:
             return AttemptResult(AttemptEnd.SERVED, response.body)
         if status == 503:
-            wait = _retry_after_seconds(response.headers)
-            # Without an advice it may be another program's word, which promises nothing.
-            ending = AttemptEnd.FAILED if wait is None else AttemptEnd.REJECTED
-            return AttemptResult(ending, b"", text, status, wait, response.headers.get("x-stop") == "1")
+            retry_after_s = _retry_after_seconds(response.headers)
+            # Without Retry-After another program may have answered, which says nothing of whether the request ran.
+            end = AttemptEnd.FAILED if retry_after_s is None else AttemptEnd.REJECTED
+            stop = response.headers.get("x-stop") == "1"
+            return AttemptResult(end, b"", text, status, retry_after_s, stop)
         if status == 400 and "HTTP_X_REQUEST_START" in text:
             self._clock.suspend()
             return AttemptResult(AttemptEnd.TIMESTAMP_REJECTED, b"", text, status)
-        return AttemptResult(AttemptEnd.INVALID if 400 <= status < 500 else AttemptEnd.FAILED, b"", text, status)
+        end = AttemptEnd.INVALID if 400 <= status < 500 else AttemptEnd.FAILED
+        return AttemptResult(end, b"", text, status)
 
 
 def _retry_after_seconds(headers: dict[str, str]) -> float | None:
-    """The advice to stay away, in seconds; the exact header before the whole seconds."""
-    for name, scale in (("x-pushback-ms", 1000.0), ("retry-after", 1.0)):
-        word = headers.get(name, "")
-        if word.isascii() and word.isdigit():
-            return min(int(word[:9]) / scale, jsonrpc.ADVICE_LIMIT)
+    """Retry-After in seconds; the exact header takes precedence over the one in whole seconds."""
+    for name, units_per_s in (("x-pushback-ms", 1000.0), ("retry-after", 1.0)):
+        value = headers.get(name, "")
+        if value.isascii() and value.isdigit():
+            return min(int(value[:MAX_RETRY_AFTER_DIGITS]) / units_per_s, jsonrpc.ADVICE_LIMIT)
     return None
 
 
