--- a/lapishaven/client/policy.py
+++ b/lapishaven/client/policy.py
@@ -17,6 +17,7 @@
 from collections import Counter
 from collections.abc import Iterator
 from random import Random
+from typing import Any
 
 from lapishaven.client.actions import Action
 from lapishaven.client.calls.attempt_results import AttemptResults
@@ -139,6 +140,10 @@
         """Whether a connection carries one request only (uwsgi)."""
         return self.table.one_request_per_connection
 
+    def report(self, now: float, event: str, **fields: Any) -> None:
+        """Count an event of the driver and pass it to the hook."""
+        self.engine.report(now, event, **fields)
+
     def open_connections(self) -> Iterator[Connection]:
         """Every connection to a tracked endpoint, those being dialled included."""
         return self.table.open_connections()
