--- a/lapishaven/lab/emulator.py
+++ b/lapishaven/lab/emulator.py
@@ -16,6 +16,7 @@
 from typing import Any
 
 from lapishaven.admission import Outcome
+from lapishaven.client.model import Attempt, Connection
 from lapishaven.client.outcomes import AttemptEnd, AttemptResult
 from lapishaven.client.settings import Settings as ClientSettings
 from lapishaven.client.settings import Strategy
@@ -352,9 +353,9 @@
         )
         self._answered(request, reply)
 
-    def _forgotten(self, connection: Any, attempt: Any) -> None:
-        machine: Machine = self.servers[connection.peer.name]  # type: ignore[assignment]
-        request = machine.open.pop(attempt.name, None) if machine.up else None
+    def _forgotten(self, connection: Connection, attempt: Attempt) -> None:
+        machine: Machine = self.servers[connection.endpoint.name]  # type: ignore[assignment]
+        request = machine.open.pop(attempt.request_id, None) if machine.up else None
         if request is not None and request.entry is not None:
             machine.broker.gone(request.entry)
             machine.turn()
