--- a/lapishaven/lab/baselines.py
+++ b/lapishaven/lab/baselines.py
@@ -1,8 +1,8 @@
-"""The clients that people write: to measure ours against, on the same fleet and seed.
+"""Clients as people often write them: baselines to measure the client against, on the same fleet and seed.
 
-``Naive`` repeats at once and without end, on the next server of the list, and dials again at once. ``Backoff``
-pauses 50, 100, 200 ms between up to four tries and doubles its pause before it dials, with no jitter, no budget
-and no ear for advice. Neither knows what must not run twice.
+``Naive`` retries at once and without limit, on the next server of the list, and dials again at once. ``Backoff`` waits
+50, 100 and 200 ms between up to four attempts, with no jitter and no budget, and ignores Retry-After. Neither knows
+which calls must not run twice.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from lapishaven.proto import ProtocolError, jsonrpc
 from lapishaven.proto.catalog import Listed, Listing, Reader
 
-POLL = 1.0  # s between two looks at the catalog
-DIAL_LIMIT = 1.0  # s for a connection to come about
+POLL = 1.0  # s between two polls of the endpoint list
+DIAL_LIMIT = 1.0  # s for one dial
 
 
-class _Line:
-    """One connection with any number of requests on it."""
+class _Connection:
+    """One connection with any number of requests in flight."""
 
     def __init__(self) -> None:
         self.reader: asyncio.StreamReader | None = None
@@ -54,13 +54,16 @@
 
 
 class Baseline:
-    """What both have in common: round robin over the list, one connection a server."""
+    """What both have in common: round robin over the endpoint list, one connection to each server.
+
+    ``marks``: retries are marked as such on the wire.
+    """
 
     marks = False
 
     def __init__(self, settings: Settings, *, random: Random, sockets: SocketFactory) -> None:
         self.settings, self.random, self._sockets = settings, random, sockets
-        self._lines: dict[str, _Line] = {}
+        self._connections: dict[str, _Connection] = {}
         self._rows: tuple[Listed, ...] = ()
         self._next = random.randrange(1 << 16)
         self._known = asyncio.Event()
@@ -99,6 +102,7 @@
             await asyncio.sleep(POLL)
 
     async def outcome(self, cls: str, body: bytes) -> Outcome:
+        """Make one call, as ``Client.outcome``."""
         loop = asyncio.get_running_loop()
         start, rule, tries = loop.time(), self.settings.classes[cls], 0
         due = start + rule.deadline_s
@@ -131,17 +135,17 @@
             raise ConnectionError("no server is listed")
         self._next += 1
         row = self._rows[self._next % len(self._rows)]
-        line = self._lines.setdefault(row.name, _Line())
-        await self._open(line, row)
-        if line.writer is None:
+        connection = self._connections.setdefault(row.name, _Connection())
+        await self._open(connection, row)
+        if connection.writer is None:
             raise ConnectionResetError("the connection ended")
-        line.last += 1
+        connection.last += 1
         future: asyncio.Future[jsonrpc.Result | jsonrpc.Error] = asyncio.get_running_loop().create_future()
-        line.open[line.last] = future
+        connection.open[connection.last] = future
         rule = self.settings.classes[cls]
-        line.writer.write(
+        connection.writer.write(
             jsonrpc.request(
-                line.last,
+                connection.last,
                 cls,
                 f"{self.random.getrandbits(64):016x}",
                 body,
@@ -154,8 +158,8 @@
         )
         return await future
 
-    async def _open(self, line: _Line, row: Listed) -> None:
-        if line.writer is not None:
+    async def _open(self, connection: _Connection, row: Listed) -> None:
+        if connection.writer is not None:
             return
         sock = self._sockets(2)
         sock.setblocking(False)
@@ -165,15 +169,15 @@
             sock.close()
             self.unreached(row.name)
             raise
-        if line.writer is not None:  # another call was quicker
+        if connection.writer is not None:  # another call was quicker
             sock.close()
             return
-        line.reader, line.writer = await asyncio.open_connection(sock=sock)
-        line.last = 0
-        line.task = self._spawn(line.read())
+        connection.reader, connection.writer = await asyncio.open_connection(sock=sock)
+        connection.last = 0
+        connection.task = self._spawn(connection.read())
 
     def pause(self, tries: int) -> float | None:
-        """Seconds before the next try; none is left at ``None``."""
+        """Seconds before the next attempt, after so many ones; None if there is to be none."""
         raise NotImplementedError
 
     def unreached(self, name: str) -> None:
@@ -181,16 +185,25 @@
 
 
 class Naive(Baseline):
+    """Retries at once and without limit."""
+
     def pause(self, tries: int) -> float | None:
-        return 0.0 if tries < 1 else 0.001  # at once; a millisecond keeps the loop alive for the others
+        """Nearly none: a millisecond lets other tasks run."""
+        return 0.0 if tries < 1 else 0.001
 
 
 class Backoff(Baseline):
+    """Retries with an exponential backoff without jitter."""
+
     marks = True
     TRIES = 4
+    FIRST_PAUSE_S = 0.05
 
     def pause(self, tries: int) -> float | None:
-        return None if tries >= self.TRIES else 0.05 * 2 ** (tries - 1) if tries else 0.0
+        """Doubles with each attempt."""
+        if tries >= self.TRIES:
+            return None
+        return self.FIRST_PAUSE_S * 2 ** (tries - 1) if tries else 0.0
 
 
 CLIENTS: dict[str, type[Baseline]] = {"naive": Naive, "backoff": Backoff}
--- a/lapishaven/lab/client_simulation.py
+++ b/lapishaven/lab/client_simulation.py
@@ -1,8 +1,10 @@
-"""The client's policy at large size, in simulated time: thousands of clients, a thousand servers, one process.
+"""The client's policy in simulated time: thousands of clients and a thousand servers in one process.
 
-The policy is the one that real clients run; the servers are a plain model (cores that work off a line in its
-order, a refusal with advice where the line is too long for the aim). So it tells how storms grow with the fleet,
-not how well a match server decides.
+The policy is the one that real clients run; the servers are a plain model (cores that work off a queue in order, and a
+rejection with Retry-After where the queue is too long for the latency objective). So it tells how retry and reconnect
+storms grow with the fleet, not how well a match server decides.
+
+``python -m lapishaven.lab.client_simulation JSON`` runs one ``Spec`` and prints its figures as JSON.
 """
 
 from __future__ import annotations
@@ -16,6 +18,7 @@
 from typing import Any
 
 from lapishaven.client.actions import (
+    Action,
     CancelRequest,
     CheckHealth,
     CloseConnection,
@@ -26,7 +29,7 @@
 )
 from lapishaven.client.calls.attempt_results import AttemptResults
 from lapishaven.client.connections.dialer import Dialer
-from lapishaven.client.model import Attempt, Call, CallState, Connection
+from lapishaven.client.model import Attempt, Call, CallState, Connection, Endpoint
 from lapishaven.client.outcomes import OUTCOME_NAMES, AttemptEnd, AttemptResult, Outcome, Served, Uncertain
 from lapishaven.client.policy import Policy
 from lapishaven.client.settings import Settings
@@ -36,10 +39,10 @@
 from lapishaven.proto.catalog import Listed, Listing
 
 HOP = 0.0005  # s one way
-ADVICE = 0.2  # s of advice in a refusal
+ADVICE = 0.2  # s: Retry-After of a rejection
 CATALOG_LAG = 1.5  # s
 EXPIRY = 3.0  # s until the list leaves out a server that died
-DRAIN = 3.2  # s from the notice to leave to the end
+DRAIN = 3.2  # s from the announcement of a graceful shutdown to its end
 BOOT = 0.4  # s for a successor to come up
 LATE_WORTH = 0.2
 NAIVE_REDIAL_S = 0.1
@@ -49,6 +52,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Spec:
+    """What to simulate.
+
+    ``seconds``: of load that count. ``load``: as a share of the servers' capacity. ``script``: faults, as for
+    ``lapishaven lab fleet --script``. ``naive``: the baseline ``NaivePolicy`` in place of ``Policy``.
+    ``settle``: seconds before what counts, as clients make their connections over some seconds.
+    ``together``: all clients start, with a call, in the same second.
+    ``subsetting``: as ``settings.Routing.subsetting``.
+    """
+
     servers: int = 10
     clients: int = 100
     seconds: float = 20.0
@@ -56,24 +68,35 @@
     script: str = ""
     seed: int = 1
     naive: bool = False
-    settle: float = 12.0  # s before what counts: clients make their windows over some seconds from their first call
-    together: bool = False  # every client starts, with a call, in the same second: the first one
-    subsetting: str = "aperture"  # "rendezvous": today's client before the aperture, the baseline
+    settle: float = 12.0
+    together: bool = False
+    subsetting: str = "aperture"
 
 
 @dataclass(slots=True)
 class Request:
+    """An attempt on its server.
+
+    ``client``: the client's index. ``cls``: the index of its class of work. ``work``: in seconds of a standard core.
+    ``entry``: the emulator's request table entry. ``at``: when the emulator's server had read it.
+    """
+
     attempt: Attempt
     client: int
     cls: int
     work: float
-    entry: Any = None  # the emulator's request table entry
-    at: float = 0.0  # when the emulator's server had read it
+    entry: Any = None
+    at: float = 0.0
 
 
 @dataclass(slots=True)
 class Server:
-    """One server of the model."""
+    """One server of the model.
+
+    ``cold_since``: when it started; None if it is warmed up. ``factor``: of a fault that slows it down.
+    ``life``: its incarnation. ``busy``: cores at work. ``line``: the queue; ``waits``: the work in it, in seconds of
+    a standard core. ``links``: connections, as (client's index, connection). ``gone_at``: when it last stopped.
+    """
 
     name: str
     cores: int
@@ -85,12 +108,13 @@
     life: int = 0
     busy: int = 0
     line: deque[Request] = field(default_factory=deque)
-    waits: float = 0.0  # work in the line, in standard cores' seconds
+    waits: float = 0.0
     links: dict[int, tuple[int, Connection]] = field(default_factory=dict)
     running: set[int] = field(default_factory=set)
     gone_at: float = 0.0
 
     def rate(self, now: float) -> float:
+        """Its speed now, in standard cores, for each of its cores."""
         warm = 1.0
         if self.cold_since is not None:
             warm = min(1.0, 0.24 + 0.76 * (now - self.cold_since) / 17.0)
@@ -105,6 +129,15 @@
         self.kinds: tuple[site.Kind, ...] = getattr(self, "kinds", site.KINDS)
         self.now = -spec.settle
         self.events = 0
+        self._handlers: dict[type[Action], Callable[[int, Any], None]] = {
+            SendRequest: self._send_request,
+            CompleteCall: self._complete_call,
+            OpenConnection: self._open_connection,
+            CancelRequest: self._cancel_request,
+            CloseConnection: self._close_connection,
+            SendProbe: self._send_probe,
+            CheckHealth: self._check_health,
+        }
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._order = 0
         boxes = [site.box(self.random) for _ in range(spec.servers)]
@@ -139,10 +172,12 @@
 
     # ---- The event loop
     def at(self, when: float, then: Callable[..., None], *what: Any) -> None:
+        """Call ``then(*what)`` at a simulated time."""
         self._order += 1
         heappush(self._heap, (when, self._order, then, what))
 
     def run(self) -> dict[str, Any]:
+        """Run to the end and return the figures."""
         begun = perf_counter()
         self.at(self.now, self._arrive, 0)
         for step in self.steps:
@@ -159,46 +194,54 @@
         return self._figures(perf_counter() - begun)
 
     def _drive(self, n: int) -> None:
-        """Carry out what a client wants."""
+        """Execute what a client's policy wants, and plan its next timer."""
         policy = self.policies[n]
         while actions := policy.take_actions():
             for action in actions:
-                if isinstance(action, SendRequest):
-                    self._sent(n, action.connection, action.attempt)
-                elif isinstance(action, CompleteCall):
-                    self._finished(n, action.call, action.outcome)
-                elif isinstance(action, OpenConnection):
-                    self.connects.append(self.now)
-                    self.at(self.now + HOP, self._dialled, n, action.connection)
-                elif isinstance(action, CancelRequest):
-                    self.at(self.now + HOP, self._forgotten, action.connection, action.attempt)
-                elif isinstance(action, CloseConnection):
-                    server = self.servers.get(action.connection.endpoint.name)
-                    if server is not None:
-                        server.links.pop(action.connection.id * self.spec.clients + n, None)
-                elif isinstance(action, SendProbe):
-                    if self.servers[action.connection.endpoint.name].up:
-                        self.at(self.now + 2 * HOP, self._well, n, action.connection)
-                elif isinstance(action, CheckHealth):
-                    up = self.servers[action.endpoint.name].up
-                    self.at(self.now + HOP, self._probed, n, action.endpoint, up)
+                self._handlers[type(action)](n, action)
         when = policy.next_timer_at()
         if when is not None and when < self._planned[n]:
             self._planned[n] = when
             self.at(when, self._turn, n, when)
 
+    def _send_request(self, n: int, action: SendRequest) -> None:
+        self._sent(n, action.connection, action.attempt)
+
+    def _complete_call(self, n: int, action: CompleteCall) -> None:
+        self._finished(n, action.call, action.outcome)
+
+    def _open_connection(self, n: int, action: OpenConnection) -> None:
+        self.connects.append(self.now)
+        self.at(self.now + HOP, self._dialled, n, action.connection)
+
+    def _cancel_request(self, n: int, action: CancelRequest) -> None:
+        self.at(self.now + HOP, self._forgotten, action.connection, action.attempt)
+
+    def _close_connection(self, n: int, action: CloseConnection) -> None:
+        server = self.servers.get(action.connection.endpoint.name)
+        if server is not None:
+            server.links.pop(action.connection.id * self.spec.clients + n, None)
+
+    def _send_probe(self, n: int, action: SendProbe) -> None:
+        if self.servers[action.connection.endpoint.name].up:
+            self.at(self.now + 2 * HOP, self._probe_answered, n, action.connection)
+
+    def _check_health(self, n: int, action: CheckHealth) -> None:
+        up = self.servers[action.endpoint.name].up
+        self.at(self.now + HOP, self._health_checked, n, action.endpoint, up)
+
     def _turn(self, n: int, when: float) -> None:
         if self._planned[n] == when:
             self._planned[n] = float("inf")
             self.policies[n].run_timers(self.now)
             self._drive(n)
 
-    def _well(self, n: int, connection: Connection) -> None:
+    def _probe_answered(self, n: int, connection: Connection) -> None:
         self.policies[n].probe_answered(self.now, connection)
         self._drive(n)
 
-    def _probed(self, n: int, peer: Any, good: bool) -> None:
-        self.policies[n].health_checked(self.now, peer, good)
+    def _health_checked(self, n: int, endpoint: Endpoint, healthy: bool) -> None:
+        self.policies[n].health_checked(self.now, endpoint, healthy)
         self._drive(n)
 
     # ---- Arrivals and what became of them
@@ -304,9 +347,9 @@
             self._drive(request.client)
 
     def _forgotten(self, connection: Connection, attempt: Attempt) -> None:
-        """The line skips what is no longer open when its turn comes."""
+        """Nothing: the queue skips attempts that are no longer in flight."""
 
-    # ---- Troubles
+    # ---- Faults
     def _step(self, step: Step) -> None:
         for name in step.servers:
             server = self.servers[name]
@@ -450,6 +493,7 @@
 
 
 def main(spec: Spec) -> dict[str, Any]:
+    """Run one simulation and return its figures."""
     return Simulation(spec).run()
 
 
