--- a/lapishaven/client/asyncio_client.py
+++ b/lapishaven/client/asyncio_client.py
@@ -9,30 +9,18 @@
 from types import TracebackType
 from typing import Any
 
-from lapishaven.client.actions import (
-    Action,
-    CancelRequest,
-    CheckHealth,
-    CloseConnection,
-    CompleteCall,
-    OpenConnection,
-    SendProbe,
-    SendRequest,
-)
-from lapishaven.client.asyncio_connections import ConnectionProtocol, SocketFactory, connect, plain_socket
+from lapishaven.client.actions import CompleteCall
+from lapishaven.client.connection_pool import ConnectionPool, SocketFactory, plain_socket
 from lapishaven.client.endpoint_list_watcher import EndpointListWatcher
 from lapishaven.client.engine import Hook
-from lapishaven.client.model import Connection, Endpoint
-from lapishaven.client.outcomes import AttemptEnd, AttemptResult, Outcome, unwrap
+from lapishaven.client.outcomes import Outcome, unwrap
 from lapishaven.client.policy import Policy
 from lapishaven.client.settings import Settings
-from lapishaven.client.wire import WIRES, DrainingNotice, JsonRpc, ProbeAnswered, ResponseReceived, TimestampClock
-from lapishaven.proto import ProtocolError, jsonrpc
+from lapishaven.client.wire import TimestampClock
+from lapishaven.proto import jsonrpc
 
 BODY_LIMIT = jsonrpc.BODY_LIMIT
 ROW_BITS = 64
-HEALTH_CHECK_RECEIVE_SIZE = 4096  # bytes
-HEALTH_CHECK_ID = 1
 
 
 class Client:
@@ -65,9 +53,7 @@
         self._hook = hook
         self._wall = wall
         self._sockets = sockets
-        self._connections: dict[int, ConnectionProtocol] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._dials: dict[int, asyncio.Task[None]] = {}
         self._futures: dict[int, asyncio.Future[Outcome]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = float("inf")
@@ -77,9 +63,10 @@
     # ---- For the application
     async def __aenter__(self) -> Client:
         self.loop = asyncio.get_running_loop()
-        self.clock = TimestampClock(self._wall, self.loop.time)
         now = self.loop.time()
         self.policy = Policy(self.settings, self._random, now, self._hook, clock_offset_s=self._wall() - now)
+        clock = TimestampClock(self._wall, self.loop.time)
+        self._pool = ConnectionPool(self.loop, self.policy, clock, self._sockets, self._run_policy, self._spawn)
         if self.settings.catalog:
             watcher = EndpointListWatcher(self.loop, self.policy, self._random, self._sockets, self._run_policy)
             watcher.restore()
@@ -154,9 +141,7 @@
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        for protocol in list(self._connections.values()):
-            protocol.close()
-        self._connections.clear()
+        self._pool.close()
         await asyncio.sleep(0)  # transports close their sockets in the next iteration of the loop
 
     # ---- Running the policy
@@ -185,7 +170,10 @@
     def _execute_actions(self) -> None:
         while actions := self.policy.take_actions():
             for action in actions:
-                _HANDLERS[type(action)](self, action)
+                if isinstance(action, CompleteCall):
+                    self._complete_call(action)
+                else:
+                    self._pool.execute(action)
 
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = self.loop.create_task(coroutine)
@@ -193,140 +181,7 @@
         task.add_done_callback(self._tasks.discard)
         return task
 
-    # ---- Actions
-    def _send_request(self, action: SendRequest) -> None:
-        protocol = self._connections.get(action.connection.id)
-        if protocol is not None:
-            protocol.write(protocol.wire.send(action.attempt))
-
-    def _cancel_request(self, action: CancelRequest) -> None:
-        protocol = self._connections.get(action.connection.id)
-        if protocol is not None:
-            protocol.write(protocol.wire.cancel(action.attempt))
-
-    def _send_probe(self, action: SendProbe) -> None:
-        protocol = self._connections.get(action.connection.id)
-        if protocol is not None and isinstance(protocol.wire, JsonRpc):
-            protocol.write(protocol.wire.probe())
-
     def _complete_call(self, action: CompleteCall) -> None:
         future = self._futures.pop(action.call.number, None)
         if future is not None and not future.done():
             future.set_result(action.outcome)
-
-    def _open_connection(self, action: OpenConnection) -> None:
-        self._dials[action.connection.id] = self._spawn(self._dial(action.connection))
-
-    def _close_connection(self, action: CloseConnection) -> None:
-        protocol = self._connections.pop(action.connection.id, None)
-        if protocol is not None:
-            protocol.close()
-        dial = self._dials.pop(action.connection.id, None)
-        if dial is not None:
-            dial.cancel()
-
-    def _start_health_check(self, action: CheckHealth) -> None:
-        self._spawn(self._check_health(action.endpoint))
-
-    # ---- Events on connections (``ConnectionOwner``)
-    def data_received(self, protocol: ConnectionProtocol, data: bytes) -> None:
-        """Feed received bytes to the policy; a connection that breaks the protocol is aborted."""
-        now, connection = self.loop.time(), protocol.connection
-        try:
-            for event in protocol.wire.feed(data):
-                self._handle_event(now, protocol, event)
-        except ProtocolError as error:
-            if self.policy.one_request_per_connection:
-                for attempt_id in list(connection.in_flight):
-                    result = AttemptResult(AttemptEnd.MALFORMED_RESPONSE, text=str(error))
-                    self.policy.response_received(now, connection, attempt_id, result)
-            self._drop(protocol, abort=True)
-            self.policy.closed(now, connection, clean=False)
-        self._run_policy()
-
-    def stream_ended(self, protocol: ConnectionProtocol, clean: bool) -> None:
-        """The other side closed the connection."""
-        now = self.loop.time()
-        try:
-            for event in protocol.wire.end_of_stream() if clean else ():
-                self._handle_event(now, protocol, event)
-        except ProtocolError:
-            clean = False
-        self._drop(protocol)
-        self.policy.closed(now, protocol.connection, clean)
-        self._run_policy()
-
-    def _handle_event(
-        self, now: float, protocol: ConnectionProtocol, event: ResponseReceived | DrainingNotice | ProbeAnswered
-    ) -> None:
-        if isinstance(event, DrainingNotice):
-            self.policy.draining(now, protocol.connection)
-            return
-        if isinstance(event, ProbeAnswered):
-            self.policy.probe_answered(now, protocol.connection)
-            return
-        self.policy.response_received(now, protocol.connection, event.attempt_id, event.result)
-        if self.policy.one_request_per_connection:
-            self._drop(protocol)
-
-    def _drop(self, protocol: ConnectionProtocol, abort: bool = False) -> None:
-        protocol.close(abort)
-        self._connections.pop(protocol.connection.id, None)
-
-    # ---- Dials and health checks
-    async def _dial(self, connection: Connection) -> None:
-        row = connection.endpoint.member.listed
-        protocol = ConnectionProtocol(self, connection, WIRES[self.settings.wire](self.settings, self.clock))
-        timeout_s = self.settings.connections.dial_timeout_s
-        try:
-            sock = await connect(self.loop, self._sockets, (row.host, row.port), timeout_s)
-        except (TimeoutError, OSError):
-            self._dials.pop(connection.id, None)
-            self.policy.dial_failed(self.loop.time(), connection)
-            self._run_policy()
-            return
-        try:
-            await self.loop.create_connection(lambda: protocol, sock=sock)
-        except BaseException:
-            sock.close()
-            raise
-        self._dials.pop(connection.id, None)
-        self._connections[connection.id] = protocol
-        self.policy.connected(self.loop.time(), connection)
-        self._run_policy()
-
-    async def _check_health(self, endpoint: Endpoint) -> None:
-        row = endpoint.member.listed
-        healthy = False
-        try:
-            async with asyncio.timeout(self.settings.health.probe_timeout_s):
-                healthy = await self._endpoint_is_healthy((row.host, row.port))
-        except (TimeoutError, OSError, ProtocolError):
-            pass
-        self.policy.health_checked(self.loop.time(), endpoint, healthy)
-        self._run_policy()
-
-    async def _endpoint_is_healthy(self, address: tuple[str, int]) -> bool:
-        timeout_s = self.settings.health.probe_timeout_s
-        with await connect(self.loop, self._sockets, address, timeout_s) as sock:
-            if self.policy.one_request_per_connection:
-                return True  # uwsgi has no health check: that the connection was made is all there is to learn
-            await self.loop.sock_sendall(sock, jsonrpc.is_well(HEALTH_CHECK_ID))
-            machine = jsonrpc.Client()
-            while data := await self.loop.sock_recv(sock, HEALTH_CHECK_RECEIVE_SIZE):
-                for message in machine.feed(data):
-                    if isinstance(message, jsonrpc.Result):
-                        return message.up is True
-                    return False  # draining, or an error
-        return False
-
-
-_HANDLERS: dict[type[Action], Callable[[Client, Any], None]] = {
-    SendRequest: Client._send_request,
-    CompleteCall: Client._complete_call,
-    OpenConnection: Client._open_connection,
-    CancelRequest: Client._cancel_request,
-    CloseConnection: Client._close_connection,
-    SendProbe: Client._send_probe,
-    CheckHealth: Client._start_health_check,
-}
--- a/lapishaven/client/endpoint_list_watcher.py
+++ b/lapishaven/client/endpoint_list_watcher.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from random import Random
 
-from lapishaven.client.asyncio_connections import SocketFactory, connect
+from lapishaven.client.connection_pool import SocketFactory, connect
 from lapishaven.client.endpoint_updates import APPLIED_VERDICTS
 from lapishaven.client.policy import Policy
 from lapishaven.client.settings import Settings, split_address
@@ -54,7 +54,7 @@
                     async with asyncio.timeout(self._rules.timeout_s):
                         await self._poll(address)
                 except (TimeoutError, OSError, ProtocolError) as error:
-                    self._policy.report(self._loop.time(), "catalog failed", error=str(error))
+                    self._policy.engine.report(self._loop.time(), "catalog failed", error=str(error))
                     self._disconnect()
                 jitter = self._random.uniform(1 - POLL_JITTER, 1 + POLL_JITTER)
                 await asyncio.sleep(self._rules.poll_s * jitter)
@@ -107,7 +107,7 @@
         except FileNotFoundError:
             pass
         except (OSError, ProtocolError) as error:
-            self._policy.report(self._loop.time(), "list file unreadable", error=str(error))
+            self._policy.engine.report(self._loop.time(), "list file unreadable", error=str(error))
 
     def _save(self) -> None:
         """Replace the file atomically (write beside it, then rename), at most every ``save_s``."""
@@ -123,4 +123,4 @@
                 os.fsync(file.fileno())
             os.replace(partial_path, path)
         except OSError as error:
-            self._policy.report(self._loop.time(), "list file unwritable", error=str(error))
+            self._policy.engine.report(self._loop.time(), "list file unwritable", error=str(error))
--- a/lapishaven/client/fleet/__init__.py
+++ b/lapishaven/client/fleet/__init__.py
@@ -3,6 +3,7 @@
 - ``endpoint_list``: immutable versions of the service registry's list;
 - ``ring`` and ``aperture``: the subset of the endpoints that one client keeps connected;
 - ``dial_schedule``: the time slots in which clients dial, and the interval between a deploy's batches;
+- ``reachability``: whether an endpoint may be dialled;
 - ``connection_manager``: puts these together into the next dial.
 """
 
--- a/lapishaven/client/fleet/connection_manager.py
+++ b/lapishaven/client/fleet/connection_manager.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass
 from enum import StrEnum
 from random import Random
-from typing import Protocol
 
 from lapishaven.client.fleet import aperture
-from lapishaven.client.fleet.dial_schedule import MIN_DIALS_PER_S, DeployInterval, DialSlots
+from lapishaven.client.fleet.dial_schedule import MIN_DIALS_PER_S, DeployInterval, DialSlots, StartSchedule
+from lapishaven.client.fleet.reachability import KnownEndpoint, Reachability
 from lapishaven.client.fleet.ring import Ring, ring_with_removed
 from lapishaven.client.membership import Membership
 from lapishaven.client.settings import Connections
@@ -26,28 +26,6 @@
 SHRINK_FACTOR = 1.5  # times the traffic that a smaller window must fit: hysteresis
 START_DIAL_SHARE = 0.3  # dials at the start, as a share of first attempts
 FEW_ENDPOINTS = 1  # usable endpoints at which a client's slots come twice as often
-MAX_AWAY_DOUBLINGS = 3  # of ``Connections.away_s``, one for each failed dial
-
-
-class KnownEndpoint(Protocol):
-    """What the connection manager reads of a tracked endpoint (``model.Endpoint``)."""
-
-    next_dial_at: float
-    dial_failures: int
-    lost_at: float | None
-    suspected: float | None
-    closed_idle_connection: bool
-
-    @property
-    def usable_connections(self) -> int:
-        """Connections that are established or being dialled."""
-
-    def recently_rejected(self, now: float) -> bool:
-        """Whether it rejected an attempt lately."""
-
-    @property
-    def ejected(self) -> bool:
-        """Whether it is ejected as an outlier."""
 
 
 class DialReason(StrEnum):
@@ -103,8 +81,8 @@
         self._ring: Ring | None = None  # of the known names; None after they changed
         self._subset = aperture.Subset(Ring(()), 0, 1)
         self._removed: dict[str, float] = {}  # when each left the list, for those that keep their place on the ring
-        self._start_began_at: float | None = None
-        self._start_offsets: dict[str, float] = {}  # at the start: where in the spread each endpoint is dialled, 0 to 1
+        self._reachability = Reachability(rules, membership, endpoints, self.deploy_interval, has_catalog)
+        self._start = StartSchedule(random)
 
     # ---- Endpoint lists
     def endpoints_changed(
@@ -161,8 +139,7 @@
     def _still_stands_in(self, name: str) -> bool:
         if name in self.window or name not in self.membership:
             return False
-        endpoint = self.endpoints.get(name)
-        return endpoint is not None and endpoint.usable_connections > 0
+        return self._reachability.has_connection(name)
 
     def is_tracked(self, now: float, name: str) -> bool:
         """Whether to go on tracking an endpoint: one to keep connected, or one that must not be dialled yet."""
@@ -170,7 +147,7 @@
             return False
         if self.keep_connected(name) or self.endpoints[name].next_dial_at > now:
             return True
-        return not self.may_dial(now, name)
+        return not self._reachability.may_dial(now, name, False, self.panic)
 
     def keep_connected(self, name: str) -> bool:
         """Whether an idle connection to the endpoint stays open."""
@@ -178,60 +155,22 @@
 
     def surplus_stand_ins(self) -> list[str]:
         """The stand-ins that are not needed any more, as the whole window is connected."""
-        if not self.window or not all(self._has_connection(name) for name in self.window):
+        if not self.window or not all(self._reachability.has_connection(name) for name in self.window):
             return []
         return sorted(self.stand_ins)
 
-    # ---- The state of one endpoint
-    def _has_connection(self, name: str) -> bool:
-        endpoint = self.endpoints.get(name)
-        return endpoint is not None and endpoint.usable_connections > 0
-
-    def _is_usable(self, name: str) -> bool:
-        endpoint = self.endpoints.get(name)
-        return endpoint is not None and endpoint.usable_connections > 0 and endpoint.suspected is None
-
-    def _closed_idle_connection(self, name: str) -> bool:
-        endpoint = self.endpoints.get(name)
-        return endpoint is not None and endpoint.closed_idle_connection
-
-    def may_dial(self, now: float, name: str, urgent: bool = False) -> bool:
-        """Whether the endpoint is there, as far as is known.
-
-        ``urgent``: a call waits, so an endpoint that closed an idle connection is dialled before the list shows it
-        again: a server with many clients closes idle connections at once.
-        """
-        row = self.membership.row(name)
-        if row is None or not (row.passing or self.panic):
-            return False
-        endpoint = self.endpoints.get(name)
-        if endpoint is None:
-            return True
-        if endpoint.ejected or endpoint.suspected is not None or self.deploy_interval.is_flapping(now, name):
-            return False
-        if endpoint.lost_at is None or not self.has_catalog:
-            return True  # a fixed list will not show it again: the backoff of dials says when
-        if urgent and endpoint.closed_idle_connection:
-            return True
-        # The list may be stale: each failed dial doubles the time to wait for it.
-        away_s: float = self.rules.away_s * 2 ** min(endpoint.dial_failures, MAX_AWAY_DOUBLINGS)
-        return now - endpoint.lost_at >= away_s
-
-    def _earliest_dial_at(self, now: float, name: str, urgent: bool = False) -> float:
-        endpoint = self.endpoints.get(name)
-        if endpoint is None:
-            return now
-        if urgent and not endpoint.dial_failures:
-            return now  # the delay after a lost connection gives way to a call that waits
-        return max(now, endpoint.next_dial_at)
-
+    # ---- Candidates
     def _unconnected(self, now: float, urgent: bool = False) -> list[str]:
         """The endpoints of the window that are there and not connected."""
-        return [name for name in self.window if not self._is_usable(name) and self.may_dial(now, name, urgent)]
+        return [
+            name
+            for name in self.window
+            if not self._reachability.is_usable(name) and self._reachability.may_dial(now, name, urgent, self.panic)
+        ]
 
     def _stand_in_candidates(self, now: float) -> Iterator[str]:
         for name in self._subset.stand_ins(len(self.window)):
-            if not self._is_usable(name) and self.may_dial(now, name):
+            if not self._reachability.is_usable(name) and self._reachability.may_dial(now, name, False, self.panic):
                 yield name
 
     # ---- Dials
@@ -239,7 +178,7 @@
         """The next dial, if any is wanted. ``urgent``: a call waits and nothing is connected."""
         if urgent:
             return self.next_urgent_dial(now)
-        connected = [name for name in (*self.window, *self.stand_ins) if self._is_usable(name)]
+        connected = [name for name in (*self.window, *self.stand_ins) if self._reachability.is_usable(name)]
         unconnected = self._unconnected(now)
         if self.starting:
             return self._next_start_dial(now, rate, unconnected)
@@ -274,17 +213,17 @@
     def next_urgent_dial(self, now: float) -> PlannedDial | None:
         """The dial for a call that waits with nothing connected: the window first, then any other endpoint."""
         names = self._unconnected(now, urgent=True)
-        if any(self._closed_idle_connection(name) for name in names):
+        if any(self._reachability.closed_idle_connection(name) for name in names):
             self.random.shuffle(names)  # a client that dials for each call must not always choose the same endpoint
         return self._soonest(now, names, urgent=True)
 
     def _soonest(self, at: float, names: list[str], urgent: bool = False) -> PlannedDial | None:
         """The endpoint that may be dialled first, from ``at`` on; any other if it is urgent and none may be then."""
-        times = {name: self._earliest_dial_at(at, name, urgent) for name in names}
+        times = {name: self._reachability.earliest_dial_at(at, name, urgent) for name in names}
         best = min(times, key=times.__getitem__, default=None)
         if urgent and (best is None or times[best] > at):
             for name in self._stand_in_candidates(at):
-                if self._earliest_dial_at(at, name, urgent) <= at:
+                if self._reachability.earliest_dial_at(at, name, urgent) <= at:
                     return PlannedDial(name, at, DialReason.URGENT)
         if best is None:
             return None
@@ -293,21 +232,11 @@
         return PlannedDial(best, times[best], DialReason.WINDOW if best in self.window else DialReason.STAND_IN)
 
     def _next_start_dial(self, now: float, rate: float, unconnected: list[str]) -> PlannedDial | None:
-        """At the start, dial the window at random times within the spread, or faster where the traffic allows it.
-
-        So the clients of a fleet that start in the same second do not dial all their windows in it.
-        """
-        if self._start_began_at is None:
-            self._start_began_at = now
         fastest_s = len(self.window) / max(START_DIAL_SHARE * rate, MIN_DIALS_PER_S)
         spread_s = min(self.deploy_interval.spread_s(now), fastest_s)
-        for name in unconnected:
-            if name not in self._start_offsets:
-                self._start_offsets[name] = self.random.random()
         dials = []
-        for name in unconnected:
-            at = max(now, self._start_began_at + spread_s * self._start_offsets[name])
-            dials.append((self._earliest_dial_at(at, name), name))
+        for name, at in self._start.times(now, spread_s, unconnected):
+            dials.append((self._reachability.earliest_dial_at(at, name), name))
         if not dials:
             return None
         dial_at, name = min(dials)
@@ -315,7 +244,7 @@
 
     def record_dial(self, now: float, dial: PlannedDial) -> None:
         """A planned dial was made."""
-        self._start_offsets.pop(dial.name, None)
+        self._start.record_dial(dial.name)
         self.dial_slots.record_dial(now)
         if dial.name not in self.window:
             self.stand_ins.add(dial.name)
--- a/lapishaven/client/fleet/dial_schedule.py
+++ b/lapishaven/client/fleet/dial_schedule.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 import math
+from random import Random
 
 BATCH_GAP_S = 2.0  # servers that leave within this of each other are one batch, as clients poll the list at intervals
 GOLDEN_RATIO_CONJUGATE = 0.6180339887498949
@@ -155,3 +156,28 @@
         if interval_s is None or self._batch_at is None or now - self._batch_at > INTERVAL_END_FACTOR * interval_s:
             return self.default
         return min(max(SPREAD_SHARE * interval_s, self.least), self.most)
+
+
+class StartSchedule:
+    """Random times for the first dials, within a spread of seconds from the start.
+
+    So the clients of a fleet that start in the same second do not dial all their windows in it.
+    """
+
+    def __init__(self, random: Random) -> None:
+        self._random = random
+        self._began_at: float | None = None
+        self._offsets: dict[str, float] = {}  # where in the spread each endpoint is dialled, 0 to 1
+
+    def times(self, now: float, spread_s: float, names: list[str]) -> list[tuple[str, float]]:
+        """Each endpoint's name and time; an endpoint keeps its place in the spread until it is dialled."""
+        if self._began_at is None:
+            self._began_at = now
+        for name in names:
+            if name not in self._offsets:
+                self._offsets[name] = self._random.random()
+        return [(name, max(now, self._began_at + spread_s * self._offsets[name])) for name in names]
+
+    def record_dial(self, name: str) -> None:
+        """The endpoint was dialled."""
+        self._offsets.pop(name, None)
--- a/lapishaven/client/membership.py
+++ b/lapishaven/client/membership.py
@@ -37,6 +37,26 @@
     last_seen_at: float = float("-inf")
 
 
+class VersionTimes:
+    """When this client applied each of the last versions, by the serial of the list."""
+
+    def __init__(self) -> None:
+        self.first_serial = -1  # of the first list applied
+        self._times: OrderedDict[int, float] = OrderedDict()
+
+    def record(self, now: float, serial: int, first: bool) -> None:
+        """A list was applied."""
+        self._times[serial] = now
+        while len(self._times) > MAX_VERSION_TIMES:
+            self._times.popitem(last=False)
+        if first:
+            self.first_serial = serial
+
+    def applied_at(self, serial: int, default: float) -> float:
+        """When the list of that serial was applied; ``default`` if that is forgotten."""
+        return self._times.get(serial, default)
+
+
 class ListVerdict(StrEnum):
     """What became of an endpoint list. The values are words in events (``list taken``, ...)."""
 
@@ -85,8 +105,7 @@
         self._doubted: dict[str, tuple[Listed, float]] = {}  # row, and since when it is doubted
         self._last_seen_at: dict[str, float] = {}
         self._tracked: dict[str, Member] = {}
-        self._first_serial = -1  # of the first list applied
-        self._version_times: OrderedDict[int, float] = OrderedDict()  # when the list of that serial was applied
+        self._version_times = VersionTimes()
 
     # ---- Queries
     @property
@@ -133,13 +152,13 @@
         row = self.row(name)
         if row is None:
             return None
-        added_at = self.endpoint_list.added_at_serial.get(name, self._first_serial)
+        added_at = self.endpoint_list.added_at_serial.get(name, self._version_times.first_serial)
         first_seen = self.last_update_at if self.last_update_at is not None else 0.0
         doubted = self._doubted.get(name)
         member = Member(
             listed=row,
-            listed_since=self._version_times.get(added_at, first_seen),
-            warmed_up=added_at <= self._first_serial,
+            listed_since=self._version_times.applied_at(added_at, first_seen),
+            warmed_up=added_at <= self._version_times.first_serial,
             doubted_since=doubted[1] if doubted else None,
             last_seen_at=self._last_seen_at.get(name, NEVER),
         )
@@ -202,7 +221,7 @@
         self.endpoint_list = after
         self.epoch = after.epoch
         self.version = after.version
-        self._record_version(now, after.serial, first)
+        self._version_times.record(now, after.serial, first)
         replaced = [name for name in update.left if name in after.rows]  # another server under the same name
         for name in replaced:
             self._tracked.pop(name, None)
@@ -223,13 +242,6 @@
             )
         return MembershipChange(ListVerdict.TAKEN, update.joined, (*replaced, *missing), update.changed)
 
-    def _record_version(self, now: float, serial: int, first: bool) -> None:
-        self._version_times[serial] = now
-        while len(self._version_times) > MAX_VERSION_TIMES:
-            self._version_times.popitem(last=False)
-        if first:
-            self._first_serial = serial
-
     def _refresh_tracked(self) -> None:
         for name, member in self._tracked.items():
             row = self.row(name)
--- a/lapishaven/client/policy.py
+++ b/lapishaven/client/policy.py
@@ -14,10 +14,7 @@
 
 from __future__ import annotations
 
-from collections import Counter
-from collections.abc import Iterator
 from random import Random
-from typing import Any
 
 from lapishaven.client.actions import Action
 from lapishaven.client.calls.attempt_results import AttemptResults
@@ -39,7 +36,7 @@
 from lapishaven.client.connections.probing import Prober
 from lapishaven.client.endpoint_updates import EndpointUpdates
 from lapishaven.client.engine import Engine, Hook
-from lapishaven.client.membership import ListVerdict, Membership
+from lapishaven.client.membership import ListVerdict
 from lapishaven.client.model import Call, Connection, Endpoint
 from lapishaven.client.outcomes import AttemptResult
 from lapishaven.client.settings import Settings, split_address
@@ -50,8 +47,13 @@
 class Policy:
     """One client's decisions. Every method takes the time in seconds of a clock that never steps back.
 
-    ``table``: the tracked endpoints; ``engine``: timers, actions and event counts; ``retry_budget``: what retries
-    and hedged requests may still be sent. ``dialer_type`` and ``results_type`` let a simulation replace these parts.
+    ``engine``: timers, actions and event reports.
+    ``counts``: how often each event was reported.
+    ``table``: the endpoint table; ``endpoints``: its tracked endpoints by name.
+    ``membership``: the endpoint list, and what the client believes of it.
+    ``retry_budget``: what retries and hedged requests may still be sent.
+    ``one_request_per_connection``: a connection carries one request only (uwsgi).
+    ``dialer_type``, ``results_type``: a simulation may replace these parts.
     """
 
     dialer_type: type[Dialer] = Dialer
@@ -74,7 +76,11 @@
         self.engine = Engine(settings, random, hook)
         self.traffic = Traffic(EventRate(now), settings.connections.idle_s)
         self.retry_budget = RetryBudget(settings.retry, self.traffic.first_attempt_rate, now)
+        self.counts = self.engine.counts
         self._connect_parts(now, clock_offset_s)
+        self.endpoints = self.table.endpoints
+        self.membership = self.table.membership
+        self.one_request_per_connection = self.table.one_request_per_connection
         if settings.servers:
             rows = (Listed(text, *split_address(text, "servers")) for text in settings.servers)
             self.update_endpoints(now, Listing("fixed", 0, tuple(rows)))
@@ -106,16 +112,6 @@
         prober.on_unresponsive = unresponsive.move_attempts
 
     # ---- State
-    @property
-    def endpoints(self) -> dict[str, Endpoint]:
-        """The tracked endpoints by name."""
-        return self.table.endpoints
-
-    @property
-    def membership(self) -> Membership:
-        """The endpoint list, and what the client believes of it."""
-        return self.table.membership
-
     @property
     def open_calls(self) -> int:
         """Calls without an outcome."""
@@ -130,24 +126,6 @@
     def hook(self, hook: Hook | None) -> None:
         self.engine.hook = hook
 
-    @property
-    def counts(self) -> Counter[str]:
-        """How often each event was reported."""
-        return self.engine.counts
-
-    @property
-    def one_request_per_connection(self) -> bool:
-        """Whether a connection carries one request only (uwsgi)."""
-        return self.table.one_request_per_connection
-
-    def report(self, now: float, event: str, **fields: Any) -> None:
-        """Count an event of the driver and pass it to the hook."""
-        self.engine.report(now, event, **fields)
-
-    def open_connections(self) -> Iterator[Connection]:
-        """Every connection to a tracked endpoint, those being dialled included."""
-        return self.table.open_connections()
-
     # ---- Actions and timers, for the driver
     def take_actions(self) -> list[Action]:
         """Return the actions since the last call, in their order."""
--- a/lapishaven/lab/baselines.py
+++ b/lapishaven/lab/baselines.py
@@ -11,7 +11,7 @@
 import time
 from random import Random
 
-from lapishaven.client.asyncio_connections import SocketFactory
+from lapishaven.client.connection_pool import SocketFactory
 from lapishaven.client.outcomes import Expired, Failed, Outcome, Refused, Served
 from lapishaven.client.settings import Settings, split_address
 from lapishaven.proto import ProtocolError, jsonrpc
--- a/tests/client_world.py
+++ b/tests/client_world.py
@@ -142,7 +142,7 @@
     def serve_all(self, span: float = 0.0) -> None:
         """Every open try is served."""
         self.now += span
-        for attempt in [a for c in self.policy.open_connections() for a in list(c.in_flight.values())]:
+        for attempt in [a for c in self.policy.table.open_connections() for a in list(c.in_flight.values())]:
             if attempt.sent_at is not None:
                 self.reply(attempt)
 
--- a/tests/test_client_fleet.py
+++ b/tests/test_client_fleet.py
@@ -104,7 +104,7 @@
     for _ in range(50):
         call = world.call()
         world.go(0.01)
-        for attempt in [a for c in world.policy.open_connections() for a in list(c.in_flight.values())]:
+        for attempt in [a for c in world.policy.table.open_connections() for a in list(c.in_flight.values())]:
             if attempt.sent_at is not None:
                 world.reply(attempt, AttemptEnd.REJECTED, retry_after_s=0.1, no_retry_elsewhere=True)
         world.go(0.14)
@@ -148,7 +148,7 @@
         for probe in world.probes:
             world.policy.health_checked(world.now, probe, probe is not stopped)
         world.probes.clear()
-        for attempt in [a for c in world.policy.open_connections() for a in list(c.in_flight.values())]:
+        for attempt in [a for c in world.policy.table.open_connections() for a in list(c.in_flight.values())]:
             if attempt.sent_at is not None and attempt.endpoint is not stopped:
                 world.reply(attempt)
         end = world.outcome(call)
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -344,11 +344,11 @@
 # Guards against descriptors held for nothing, and dials for a client that has nothing to say.
 def test_idle_connections_close_and_stay_closed() -> None:
     world = ready(servers=3)
-    opened = set(world.policy.open_connections())
+    opened = set(world.policy.table.open_connections())
     world.go(30.0)
-    assert opened == set(world.closed) and not list(world.policy.open_connections())
+    assert opened == set(world.closed) and not list(world.policy.table.open_connections())
     world.go(100.0)
-    assert not list(world.policy.open_connections())
+    assert not list(world.policy.table.open_connections())
     call = world.call()
     world.go(0.5)
     world.serve_all()
@@ -366,7 +366,7 @@
     world.go(0.5)
     world.serve_all()
     assert world.outcome(call).served and world.outcome(other).served
-    assert not list(world.policy.open_connections())
+    assert not list(world.policy.table.open_connections())
 
 
 # Guards against a herd: clients that see the same picture must not all choose the same server.
--- a/tests/test_client_silence.py
+++ b/tests/test_client_silence.py
@@ -61,7 +61,7 @@
         there.go(0.05)
         there.serve_all(0.3)
         there.go(0.1)
-        for connection in list(there.policy.open_connections()):
+        for connection in list(there.policy.table.open_connections()):
             there.cut(connection)
         there.go(1.55)
     assert [type(there.outcome(call)) for call in calls] == [Served] * 40
@@ -78,7 +78,7 @@
     there.go(0.05)
     there.serve_all(0.3)
     there.dead |= {"n1", "n2", "n3"}
-    for connection in list(there.policy.open_connections()):
+    for connection in list(there.policy.table.open_connections()):
         there.cut(connection)
     before = len(there.dialled)
     for _ in range(20):
--- a/tests/test_connection_manager.py
+++ b/tests/test_connection_manager.py
@@ -135,8 +135,8 @@
         world.go(0.8)
         world.serve_all()
     window = world.policy.table.connection_manager.window
-    assert {connection.endpoint.name for connection in world.policy.open_connections()} == set(window)
-    for connection in list(world.policy.open_connections()):
+    assert {connection.endpoint.name for connection in world.policy.table.open_connections()} == set(window)
+    for connection in list(world.policy.table.open_connections()):
         world.policy.draining(world.now, connection)
     world.act()
     call = world.call()
