--- a/lapishaven/client/calls/attempt_scheduler.py
+++ b/lapishaven/client/calls/attempt_scheduler.py
@@ -103,7 +103,7 @@
             return
         if attempt.endpoint.asked is None:
             self._prober.probe(now, attempt.endpoint)  # sent once it answers (``ConnectionEvents``)
-        self._prober.plan_look()
+        self._prober.schedule_check()
 
     def send(self, now: float, attempt: Attempt) -> None:
         """Send the request of an attempt on its connection."""
--- a/lapishaven/client/calls/submission.py
+++ b/lapishaven/client/calls/submission.py
@@ -12,7 +12,7 @@
 from lapishaven.client.outcomes import Refused
 from lapishaven.client.traffic import Traffic
 
-CONNECTION_CHECK_INTERVAL_S = 0.5  # between two looks whether the traffic needs more connections
+CONNECTION_CHECK_INTERVAL_S = 0.5  # between two checks whether the traffic needs more connections
 SUBSET_START_S = 2.0  # after the first call: rendezvous hashing makes its first connections
 WINDOW_START_S = 10.0  # the same for deterministic subsetting, which ends the start earlier once it is connected
 SLOW_ATTEMPT_SHARE = 0.9  # of the class's deadline: an attempt so old without a response counts as a failure
--- a/lapishaven/client/calls/unresponsive_endpoints.py
+++ b/lapishaven/client/calls/unresponsive_endpoints.py
@@ -37,7 +37,7 @@
         self._retry_budget = retry_budget
 
     def move_attempts(self, now: float, endpoint: Endpoint) -> None:
-        """Look at every attempt that is in flight to the endpoint."""
+        """Check every attempt that is in flight to the endpoint."""
         if len(self._table.failure_detector.suspects) > 1:
             self._retry_budget.grant_at_least(now, float(endpoint.open))
         for connection in list(endpoint.connections):
@@ -52,7 +52,7 @@
             self._retry_elsewhere(now, attempt)
             return
         if call.idempotent or endpoint.suspected is None:
-            return  # retried at a later look, once the budget allows it
+            return  # retried at a later check, once the budget allows it
         if now - endpoint.suspected >= self._engine.settings.health.uncertain_s:
             elapsed = now - call.started_at
             self._calls.finish(now, call, Uncertain(call.attempts_sent, elapsed, "its server says nothing"))
--- a/lapishaven/client/connection_events.py
+++ b/lapishaven/client/connection_events.py
@@ -92,7 +92,7 @@
         if self._prober.must_probe_first(now, endpoint):
             if connection.in_flight and endpoint.asked is None:
                 self._prober.probe(now, endpoint)
-                self._prober.plan_look()
+                self._prober.schedule_check()
             return
         for attempt in [each for each in connection.in_flight.values() if each.sent_at is None]:
             if self._attempts.fits(now, attempt.call):
--- a/lapishaven/client/connections/dialer.py
+++ b/lapishaven/client/connections/dialer.py
@@ -14,7 +14,7 @@
 
 
 class Dialer:
-    """Decides at each look whether to dial, which endpoint, and when to look again.
+    """Decides at each check whether to dial, which endpoint, and when to check again.
 
     With deterministic subsetting (``settings.routing.subsetting = "aperture"``) the connection manager chooses the
     endpoint and its time slot; with rendezvous hashing any unconnected endpoint of the subset is dialled.
@@ -27,7 +27,7 @@
         self.budget = budget
         self._rules = engine.settings.connections
         self._starting = True  # the first connections are still being made
-        self._next_look_at = float("inf")
+        self._next_check_at = float("inf")
         self._spread_until = float("inf")  # rendezvous: no dial before this; infinite until it is drawn
 
     @property
@@ -36,7 +36,7 @@
         return self._traffic.waiting_calls > 0 and not self._table.any_connected
 
     def ensure_connected(self, now: float) -> None:
-        """Dial what is missing, or plan the next look."""
+        """Dial what is missing, or schedule the next check."""
         if self._table.uses_aperture:
             self._ensure_window(now)
         else:
@@ -60,13 +60,13 @@
                 self.end_start(now)
             return
         if dialling and not urgent:
-            return  # one dial at a time: its end looks again
+            return  # one dial at a time: its end checks again
         if planned.at > now:
-            self.plan_look(planned.at)
+            self.schedule_check(planned.at)
             return
         max_saved = float(len(manager.window))
         if not self.budget.try_acquire(now, rate, urgent, max_saved):
-            self.plan_look(self.budget.available_at(now, rate, urgent, max_saved))
+            self.schedule_check(self.budget.available_at(now, rate, urgent, max_saved))
             return
         self._dial_planned(now, planned)
 
@@ -98,17 +98,17 @@
         )
         missing = connections_wanted(rules, rate, len(listed)) - usable
         if missing <= 0:
-            return  # an endpoint list, or a later look, will say when one is wanted
+            return  # an endpoint list, or a later check, will say when one is wanted
         candidates = self._dial_candidates(now, listed, usable)
         urgent = self._urgent
         for dial_at, _, _, endpoint in candidates[:missing]:
             if dial_at > now:
-                self.plan_look(dial_at)
+                self.schedule_check(dial_at)
                 return
             if not urgent and not self._starting and self._delay_dial(now, usable, missing):
                 return
             if not self.budget.try_acquire(now, rate, urgent):
-                self.plan_look(self.budget.available_at(now, rate, urgent))
+                self.schedule_check(self.budget.available_at(now, rate, urgent))
                 return
             reason = "start" if self._starting else "wanted"
             table.open_connection(now, endpoint, "urgent" if urgent else reason)
@@ -145,7 +145,7 @@
         if self._spread_until == float("inf"):
             self._spread_until = now + self.redial_delay(now, 0) * (usable + 1) / (usable + missing)
         if self._spread_until > now:
-            self.plan_look(self._spread_until)
+            self.schedule_check(self._spread_until)
             return True
         self._spread_until = float("inf")
         return False
@@ -157,15 +157,15 @@
         self._table.connection_manager.starting = False
         self.budget.end_start_burst()
 
-    def plan_look(self, when: float) -> None:
-        """Look again at ``when``, unless an earlier look is planned."""
-        if when < self._next_look_at:
-            self._next_look_at = when
-            self._engine.schedule(when, self._look)
+    def schedule_check(self, when: float) -> None:
+        """Check again at ``when``, unless an earlier check is scheduled."""
+        if when < self._next_check_at:
+            self._next_check_at = when
+            self._engine.schedule(when, self._check_due)
 
-    def _look(self, now: float, _: Any) -> None:
-        if self._next_look_at <= now:
-            self._next_look_at = float("inf")
+    def _check_due(self, now: float, _: Any) -> None:
+        if self._next_check_at <= now:
+            self._next_check_at = float("inf")
             self.ensure_connected(now)
 
     def add_connection(self, now: float, endpoint: Endpoint) -> None:
--- a/lapishaven/client/connections/idle_timeouts.py
+++ b/lapishaven/client/connections/idle_timeouts.py
@@ -19,7 +19,7 @@
         self._rules = engine.settings.connections
 
     def connection_used(self, now: float, connection: Connection) -> None:
-        """Look at a connection after a request on it ended: an empty draining one is closed, an idle one is timed."""
+        """Check a connection after a request on it ended: an empty draining one is closed, an idle one is timed."""
         if connection.in_flight or connection.state in (ConnectionState.CLOSED, ConnectionState.DIALING):
             return
         if connection.state is ConnectionState.DRAINING:
--- a/lapishaven/client/connections/probing.py
+++ b/lapishaven/client/connections/probing.py
@@ -21,7 +21,7 @@
 class Prober:
     """Probes on open connections (``settings.health.watch_s``) and health checks for silent ones.
 
-    ``on_unresponsive(now, endpoint)`` is called for each endpoint that is suspected, at every look.
+    ``on_unresponsive(now, endpoint)`` is called for each endpoint that is suspected, at every check.
     """
 
     def __init__(self, engine: Engine, table: EndpointTable, dial_budget: DialBudget) -> None:
@@ -29,7 +29,7 @@
         self._table = table
         self._dial_budget = dial_budget
         self._detector = table.failure_detector
-        self._next_look_at = float("inf")
+        self._next_check_at = float("inf")
         self.on_unresponsive: UnresponsiveCallback = _ignore_unresponsive
 
     # ---- Probes on open connections
@@ -53,7 +53,7 @@
         message was sent for 2 s: one that is kept for later calls would be dialled in vain.
         """
         self._send_probe(now, connection)
-        self.plan_look()
+        self.schedule_check()
 
     def _send_probe(self, now: float, connection: Connection) -> None:
         self._detector.asked(now, connection.endpoint)
@@ -64,7 +64,7 @@
         """Watch for the response to a request."""
         if self._table.probes_connections:
             self._detector.sent(now, connection.endpoint)
-            self.plan_look()
+            self.schedule_check()
         if not connection.response_timer_set and not self._table.one_request_per_connection:
             connection.response_timer_set = True
             silence_s = self._engine.settings.connections.silence_s
@@ -85,18 +85,18 @@
         if self._table.probes_connections and len(endpoint.connections) <= 1:
             self._detector.forget(endpoint)
 
-    # ---- Looks
-    def plan_look(self) -> None:
-        """Look when the failure detector next has something to do."""
+    # ---- Checks
+    def schedule_check(self) -> None:
+        """Check when the failure detector next has something to do."""
         when = self._detector.next_at()
-        if self._table.probes_connections and when < self._next_look_at:
-            self._next_look_at = when
-            self._engine.schedule(when, self._look)
+        if self._table.probes_connections and when < self._next_check_at:
+            self._next_check_at = when
+            self._engine.schedule(when, self._check_due)
 
-    def _look(self, now: float, _: Any) -> None:
-        if now < self._next_look_at:
+    def _check_due(self, now: float, _: Any) -> None:
+        if now < self._next_check_at:
             return
-        self._next_look_at = float("inf")
+        self._next_check_at = float("inf")
         to_probe, unresponsive = self._detector.due(now, self._table.is_tracked)
         for endpoint in to_probe:
             self.probe(now, endpoint)
@@ -104,7 +104,7 @@
             self._engine.report(now, "fell silent", server=endpoint.name)
         for endpoint in sorted(self._detector.suspects, key=lambda suspect: suspect.name):
             self.on_unresponsive(now, endpoint)
-        self.plan_look()
+        self.schedule_check()
 
     # ---- Health checks for connections without responses
     def _check_connection(self, now: float, connection: Connection) -> None:
--- a/lapishaven/lab/client_simulation.py
+++ b/lapishaven/lab/client_simulation.py
@@ -466,7 +466,7 @@
             if endpoint.next_dial_at <= now:
                 self._table.open_connection(now, endpoint, "naive")
             else:
-                self.plan_look(endpoint.next_dial_at)
+                self.schedule_check(endpoint.next_dial_at)
 
 
 class NaiveResults(AttemptResults):
--- a/tests/client_world.py
+++ b/tests/client_world.py
@@ -1,7 +1,7 @@
-"""A stand-in for driver, servers and clock under the client's policy: what the tests of it are written in.
+"""A test double for the driver, servers and clock around the client's policy.
 
-Nothing sleeps and no socket is opened. The world carries out the policy's actions on paper, and its books
-check the rules on every action: no try past the deadline, every further try marked, 32 open on a connection.
+Nothing sleeps and no socket is opened. Every action is checked: no attempt past the deadline, every retry marked, at
+most 32 requests in flight on a connection.
 """
 
 from __future__ import annotations
@@ -47,12 +47,12 @@
 
 
 class ClientWorld:
-    """Time by hand, servers by name."""
+    """Time is set by hand; servers are known by name."""
 
     def __init__(self, given: Settings | None = None, seed: int = 1) -> None:
         self.now = 0.0
         self.policy = Policy(given or settings(), Random(seed), 0.0)
-        self.dials: list[Connection] = []  # dials under way
+        self.dials: list[Connection] = []  # dials in progress
         self.dialled: list[Connection] = []  # every dial that was made
         self.sent: list[Attempt] = []
         self.withdrawn: list[Attempt] = []
@@ -61,7 +61,7 @@
         self.at: dict[str, list[float]] = {"dial": [], "try": []}
         self.dead: set[str] = set()  # servers that refuse connections
         self.closed: list[Connection] = []
-        self.silent: set[str] = set()  # servers that were stopped: their kernel takes all, nothing is answered
+        self.silent: set[str] = set()  # stopped servers: their kernel accepts everything, nothing is answered
         self.act()
 
     def act(self) -> None:
@@ -83,21 +83,21 @@
                 elif isinstance(action, CloseConnection):
                     self.closed.append(action.connection)
                 elif isinstance(action, CompleteCall):
-                    assert action.call.number not in self.outcomes, "two results for one call"
+                    assert action.call.number not in self.outcomes, "two outcomes for one call"
                     self.outcomes[action.call.number] = action.outcome
 
     def check(self, connection: Connection, attempt: Attempt) -> None:
         call = attempt.call
-        assert self.now < call.deadline, "a try after the deadline"
+        assert self.now < call.deadline, "an attempt after the deadline"
         earlier = [each for each in self.sent if each.call is call]
-        assert attempt.is_retry == bool(earlier), "a further try that is not marked, or a first one that is"
-        assert all(each.request_id != attempt.request_id for each in earlier), "two tries under one name"
-        assert len(connection.in_flight) <= 32, "more open than the protocol allows"
+        assert attempt.is_retry == bool(earlier), "a retry that is not marked, or a first attempt that is"
+        assert all(each.request_id != attempt.request_id for each in earlier), "two attempts under one request id"
+        assert len(connection.in_flight) <= 32, "more requests in flight than the protocol allows"
         self.sent.append(attempt)
         self.at["try"].append(self.now)
 
     def connect(self) -> None:
-        """Every dial under way comes about, or is refused where the server is dead."""
+        """Complete every dial in progress; it fails where the server is dead."""
         while self.dials:
             connection = self.dials.pop(0)
             if connection.endpoint.name in self.dead:
@@ -107,7 +107,7 @@
             self.act()
 
     def go(self, span: float, connect: bool = True) -> None:
-        """Let time pass; dials come about at once unless they are held back."""
+        """Let time pass; dials complete at once unless ``connect`` is False."""
         until = self.now + span
         while True:
             if connect:
@@ -140,7 +140,7 @@
             self.cut(connection)
 
     def serve_all(self, span: float = 0.0) -> None:
-        """Every open try is served."""
+        """Serve every attempt in flight."""
         self.now += span
         for attempt in [a for c in self.policy.table.open_connections() for a in list(c.in_flight.values())]:
             if attempt.sent_at is not None:
@@ -153,7 +153,7 @@
         return Counter(type(outcome).__name__ for outcome in self.outcomes.values())
 
     def worst_second(self, *kinds: str) -> int:
-        """The most of these in any window of a second."""
+        """The most of these events in any window of one second."""
         times = sorted(t for kind in kinds for t in self.at[kind])
         return max((sum(t <= u < t + 1.0 for u in times) for t in times), default=0)
 
--- a/tests/test_client_driver.py
+++ b/tests/test_client_driver.py
@@ -1,4 +1,4 @@
-"""The client's driver on real loopback sockets, against servers that misbehave by script, and the lab's fleet."""
+"""The asyncio client on real loopback sockets: servers that misbehave by script, and the lab's fleet."""
 
 from __future__ import annotations
 
@@ -94,9 +94,9 @@
         at.say(jsonrpc.result(message["id"], b"done"))
 
 
-# Guards against what cannot be read being taken for an answer, or holding a call until its deadline.
+# A malformed response must not be taken for a result, nor hold a call until its deadline.
 @pytest.mark.parametrize("kind", ["half", "garbage", "oversized", "unasked", "not base64", "reset"])
-def test_answers_that_cannot_be_read(kind: str) -> None:
+def test_malformed_responses_end_their_call_at_once(kind: str) -> None:
     lines = {
         "half": b'{"jsonrpc":"2.0","id":1,"result":{"ar',
         "garbage": b"\x00\xff{]\n",
@@ -122,8 +122,8 @@
     assert play(once, test) == b"done"
 
 
-# Guards against a second answer that ends another call, or a connection that is given up for it.
-def test_a_second_answer_to_one_request_changes_nothing() -> None:
+# A second response must not end another call, nor the connection.
+def test_a_second_response_to_one_request_is_ignored() -> None:
     async def twice(at: Scripted, message: dict[str, Any]) -> None:
         at.say(jsonrpc.result(message["id"], b"done") + jsonrpc.error(message["id"], -32000, "again"))
 
@@ -133,8 +133,8 @@
     assert play(twice, test) == ([b"done"] * 3, 1)
 
 
-# Guards against a wall clock that jumps: the stamp is given up, the deadlines go by another clock.
-def test_a_clock_that_jumps() -> None:
+# Timestamps are dropped when servers reject them; deadlines use a monotonic clock.
+def test_a_wall_clock_that_jumps_does_not_move_deadlines() -> None:
     async def strict(at: Scripted, message: dict[str, Any]) -> None:
         stamp = message["params"].get("recv")
         if stamp is not None and abs(stamp / 1000 - time.time()) > 60:
@@ -158,8 +158,8 @@
     assert ["recv" in message["params"] for message in log] == [True, True, False, False]
 
 
-# Guards against a run that goes on for nobody, and against a task or descriptor left behind.
-def test_cancelling_forgets_and_nothing_is_left_behind() -> None:
+# A cancelled call must not run on at the server, nor leave a task or descriptor behind.
+def test_cancelled_calls_are_cancelled_at_the_server_and_leak_nothing() -> None:
     async def silent(at: Scripted, message: dict[str, Any]) -> None:
         heard.set()
         if message["method"] == "forget":
@@ -185,8 +185,8 @@
     assert (len(os.listdir("/proc/self/fd")), threading.active_count()) == (before, threads)
 
 
-# Guards against a server that takes connections and says nothing, not even to a check.
-def test_a_silent_server_does_not_hold_safe_calls() -> None:
+# The server accepts connections and answers nothing, not even a health check.
+def test_an_unresponsive_server_does_not_hold_idempotent_calls() -> None:
     async def main() -> Any:
         log: list[dict[str, Any]] = []
 
@@ -241,7 +241,7 @@
     play(silent, expire)
 
 
-# Guards against threads that meet each other's answers, and a facade that leaves its thread behind.
+# Threads must not receive each other's responses, and the client's thread must end with it.
 def test_the_blocking_client_is_shared_by_threads() -> None:
     async def back(at: Scripted, message: dict[str, Any]) -> None:
         at.say(jsonrpc.result(message["id"], base64.b64decode(message["params"]["arg"])))
@@ -285,8 +285,8 @@
     loop.close()
 
 
-# Guards against a catalog whose nonsense ends the watch, or takes the servers away.
-def test_the_catalog_lies_goes_and_comes_back() -> None:
+# Nonsense from the registry must neither end the polling nor remove the endpoints.
+def test_the_service_registry_sends_nonsense_fails_and_recovers() -> None:
     async def main() -> None:
         log: list[dict[str, Any]] = []
         server, catalog = await serve(echo, log), Catalog(lag=0.0)
@@ -320,7 +320,7 @@
     asyncio.run(asyncio.wait_for(main(), 20.0))
 
 
-# Guards against the pieces that fit on paper only: real server processes, both wires, a kill, a drain.
+# Real server processes, both wires, a kill, and a graceful shutdown.
 def test_a_real_fleet_on_both_wires(tmp_path: Path) -> None:
     uwsgi = tmp_path / "uwsgi.toml"
     uwsgi.write_text('[front]\nlisten = "127.0.0.1:0"\npath = "/match/"\nheld_kb = 30.0\n')
@@ -365,7 +365,7 @@
     asyncio.run(asyncio.wait_for(main(), 60.0))
 
 
-# Guards against a mistake in an operator's file that starts a client, or that shows as a traceback.
+# A mistake in a settings file must neither start a client nor show as a traceback.
 @pytest.mark.parametrize(
     ("text", "line"),
     [
@@ -381,7 +381,7 @@
         ("[[[", "cannot read"),
     ],
 )
-def test_mistakes_in_settings_are_one_plain_line(text: str, line: str, tmp_path: Path) -> None:
+def test_invalid_settings_are_reported_in_one_line(text: str, line: str, tmp_path: Path) -> None:
     path = tmp_path / "client.toml"
     path.write_text(text)
     with pytest.raises(SettingsError) as error:
@@ -391,7 +391,7 @@
     assert result.exit_code == 2 and line in result.output
 
 
-def test_the_project_s_own_settings_pass_and_the_command_ends_by_what_came() -> None:
+def test_the_deployed_settings_are_valid_and_the_command_exits_by_outcome() -> None:
     own = load(str(ROOT / "deploy/client.toml"))
     assert own.classes["approve-commit"].effect == "once"
     assert from_table({"catalog": "x:1", "classes": {"a": {"deadline_s": 1.0}}}).classes["a"] == ClassRule(1.0)
@@ -400,7 +400,7 @@
     assert result.exit_code == 3 and json.loads(result.output)["outcome"] == "refused"
 
 
-def test_scripts_are_checked_and_drawn_by_their_seed() -> None:
+def test_fault_scripts_are_validated_and_seeded() -> None:
     names = [f"n{n}" for n in range(1, 11)]
     steps = parse("2 kill 20% back 5\n1 surge x1.5 for 10  # more\n3 deploy 98% batch 16% every 5", names, 7)
     assert [step.at for step in steps] == [1.0, 2.0, 3.0, 8.0, 13.0, 18.0, 23.0]
@@ -411,12 +411,12 @@
             parse(wrong, names, 1)
 
 
-def test_the_most_in_a_second_slides() -> None:
+def test_the_busiest_second_is_a_sliding_window() -> None:
     assert most_in_a_second([0.1, 0.9, 1.05, 1.2, 3.0], 0.0, 9.0) == 3
     assert most_in_a_second([], 0.0, 9.0) == 0
 
 
-def test_hooks_tell_of_a_call_s_life() -> None:
+def test_hooks_receive_every_event_of_a_call() -> None:
     import prometheus_client
 
     registry, lines = prometheus_client.CollectorRegistry(), []
@@ -438,7 +438,7 @@
     assert count == 1.0
 
 
-# Guards against the lean path growing: what `serve` needs not, it does not import.
+# `lapishaven serve` must not import what it does not need.
 def test_serve_imports_nothing_of_the_client_or_the_lab() -> None:
     import subprocess
     import sys
@@ -452,7 +452,7 @@
     assert out.stdout.strip() == "[]"
 
 
-def test_affinity_keeps_a_row_on_its_server() -> None:
+def test_affinity_sends_the_row_on_the_wire() -> None:
     async def test(client: Client, log: list[dict[str, Any]]) -> None:
         await client.call("fuzzy-match", b"a", row=7)
         assert log[0]["params"]["row"] == f"{7:016x}"
--- a/tests/test_client_fleet.py
+++ b/tests/test_client_fleet.py
@@ -27,15 +27,15 @@
     assert (found["late_tries"], found["unmarked"], found["commits_twice"]) == (0, 0, 0), found
 
 
-# Guards against the reconnect storm of a kill: a fifth of the servers die at once and come back cold.
-def test_a_fifth_of_the_servers_die_at_once_and_return_cold() -> None:
+# No reconnect storm when a fifth of the servers die at once.
+def test_a_fifth_of_the_servers_die_at_once_and_return_with_slow_start() -> None:
     found = simulate(servers=10, clients=100, seconds=30, script="2 kill 20% back 5", seed=11)
     rules_held(found)
     assert found["storm"] <= 1.25 and found["worth"] >= 0.99 and found["balance"] <= 1.3
 
 
-# Guards against a rolling deploy that moves every connection at the client's own pace: 98% replaced in 37 s.
-def test_nearly_all_servers_replaced_within_37_s_move_only_their_connections() -> None:
+# No reconnect storm when a rolling deploy replaces 98% of the servers in 37 s.
+def test_a_rolling_deploy_of_nearly_all_servers_within_37_s_causes_no_storm() -> None:
     script = "1 deploy 98% batch 16% every 6"
     ours = simulate(servers=10, clients=100, seconds=60, script=script, seed=12)
     today = simulate(servers=10, clients=100, seconds=60, script=script, seed=12, subsetting="rendezvous")
@@ -45,7 +45,7 @@
     assert ours["balance"] <= 1.3 < today["balance"]
 
 
-# Guards against a start that dials every window at once: only what the first calls need comes in the first second.
+# In the first second clients dial only what their first calls need.
 def test_thousands_of_clients_that_start_in_the_same_second() -> None:
     simulation = Simulation(Spec(servers=100, clients=2000, seconds=2, seed=13))
     dials: list[float] = []
@@ -74,8 +74,8 @@
     return [world.outcome(call) for call in calls]
 
 
-# Guards against a client that forgets the fleet when the catalog is down for minutes.
-def test_the_catalog_down_for_five_minutes() -> None:
+# The client must not forget the fleet while the registry is down for minutes.
+def test_the_endpoint_list_survives_a_registry_outage_of_five_minutes() -> None:
     world = world_of_a_catalog("n1", "n2", "n3", "n4")
     ends = serve_for(world, 300.0, every=0.5)
     assert all(end is not None and end.served for end in ends)
@@ -84,8 +84,8 @@
     assert len(world.dialled) == len(window) and len({a.endpoint.name for a in world.sent}) == len(window)
 
 
-# Guards against dials without end to servers that a stale catalog still lists although they are gone.
-def test_a_catalog_that_lists_servers_which_are_gone() -> None:
+# Dials to servers that a stale list still shows must back off.
+def test_a_stale_endpoint_list_causes_few_dials() -> None:
     world = world_of_a_catalog("n1", "n2", "n3", "n4", "n5", "n6")
     world.dead = {"n1", "n2", "n3", "n4"}
     for peer in list(world.policy.endpoints.values()):
@@ -98,8 +98,8 @@
     assert len(failed) <= 4 * 4  # each dead one a few times a minute, less and less often
 
 
-# Guards against a client that hammers on when every server says stop: each call ends refused at once.
-def test_every_server_refusing_with_stop() -> None:
+# When every server asks not to retry elsewhere, each call is rejected at once.
+def test_every_server_rejecting_with_no_retry_elsewhere() -> None:
     world = world_of_a_catalog("n1", "n2", "n3")
     for _ in range(50):
         call = world.call()
@@ -119,7 +119,7 @@
     assert all(end.served for end in ends) and len(world.dialled) == 1
 
 
-# Guards against a flapping server (up and down every second) that draws a dial at each of its comings.
+# A server that flaps every second must not be dialled at each return.
 def test_a_flapping_server_costs_few_dials() -> None:
     world = world_of_a_catalog("n1", "n2", "n3")
     for second in range(60):
@@ -134,8 +134,8 @@
     assert len(flapping) <= 60 / 4
 
 
-# Guards against a server that takes requests and never answers, which would hold every call sent to it.
-def test_a_server_that_accepts_and_never_answers() -> None:
+# A server that never responds must not hold the calls sent to it.
+def test_a_server_that_accepts_requests_and_never_responds() -> None:
     world = world_of_a_catalog("n1", "n2", "n3", health=replace(settings().health, probe_timeout_s=0.1))
     world.go(0.1)
     stopped = (
@@ -158,7 +158,7 @@
     assert sum(spans[-100:]) / 100 < 0.1
 
 
-def test_the_catalog_rules_take_a_file_and_deltas() -> None:
+def test_the_catalog_rules_accept_a_file_and_deltas() -> None:
     assert Catalog().deltas and Catalog(file="x").file == "x"
     with pytest.raises(ValueError):
         settings(catalog="10.0.0.9:1", catalog_rules=Catalog(save_s=0))
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -1,4 +1,4 @@
-"""The client's policy as a whole: the hard cases of a fleet, caused on paper with a clock turned by hand."""
+"""The client's policy as a whole: the hard cases of a fleet, caused by hand in simulated time."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     return world
 
 
-# Guards against a commit that runs twice: only proof that it never ran allows a further try.
+# A commit must not run twice: only proof that it never ran allows a retry.
 @pytest.mark.parametrize("ending", [e for e in AttemptEnd if e is not AttemptEnd.SERVED])
-def test_a_commit_is_repeated_only_on_proof_that_it_never_ran(ending: AttemptEnd) -> None:
+def test_a_commit_is_retried_only_if_it_provably_never_ran(ending: AttemptEnd) -> None:
     world = ready()
     call = world.call("approve-commit")
     world.reply(world.sent[-1], ending)
@@ -40,8 +40,8 @@
         assert type(world.outcome(call)).__name__ == expected
 
 
-# Guards against a repeat of a commit that a killed server may have run: its close looks like an idle one.
-def test_a_close_is_a_crossing_only_where_the_protocol_allows_it() -> None:
+# A killed server's close looks like that of an idle connection, but it may have run the commit.
+def test_a_close_proves_a_request_unread_only_where_the_protocol_allows_it() -> None:
     for quiet, after, draining, proof in [
         (2.0, 0.04, False, True),  # idle for long, the close within 50 ms
         (2.0, 0.06, False, False),  # too late: it may have been read
@@ -62,8 +62,8 @@
         assert isinstance(world.outcome(call), Uncertain) != proof
 
 
-# Guards against the second run that simulated time found: thin clients' connections are always quiet.
-def test_a_quiet_connection_proves_nothing_by_default() -> None:
+# The connections of clients of little traffic are always idle, so a quick close proves nothing.
+def test_the_close_of_an_idle_connection_proves_nothing_by_default() -> None:
     world = ready(servers=2)
     world.go(5.0)
     call = world.call("approve-commit")
@@ -72,8 +72,8 @@
     assert isinstance(world.outcome(call), Uncertain)
 
 
-# Guards against a commit counted as unrun because others shared its fate: a close with more open is a crash.
-def test_a_reset_with_32_open_repeats_the_safe_and_leaves_commits_uncertain() -> None:
+# A close with several requests in flight is a crash: none of them is proved not to have run.
+def test_a_reset_with_32_in_flight_retries_idempotent_calls_and_leaves_commits_uncertain() -> None:
     world = ready(servers=2, connections=Connections(each=1))
     kinds = ["fuzzy-match", "approve-commit"] * 16
     calls = [world.call(kind) for kind in kinds * 2]
@@ -89,8 +89,8 @@
     assert len(world.outcomes) == len(calls) + 1
 
 
-# Guards against a try that cannot end in time, and one sent after the deadline (the world asserts that).
-def test_no_try_starts_that_does_not_fit_its_deadline() -> None:
+# No attempt that cannot end in time, and none after the deadline (asserted by ``ClientWorld``).
+def test_no_attempt_starts_that_does_not_fit_its_deadline() -> None:
     world = ready()
     call = world.call(deadline=world.now + 0.1)
     assert not call.attempts_sent and isinstance(world.outcome(call), Refused)
@@ -101,22 +101,22 @@
     assert call.attempts_sent == 1 and world.outcome(call).reason == "no time for a further try"
 
 
-def test_the_deadline_ends_a_call_and_forgets_its_try() -> None:
+def test_the_deadline_ends_a_call_and_cancels_its_attempt() -> None:
     world = ready()
     safe, once = world.call(deadline=world.now + 1.0), world.call("approve-commit", deadline=world.now + 1.0)
     world.go(1.01)
     assert type(world.outcome(safe)).__name__ == "Expired"
     assert isinstance(world.outcome(once), Uncertain)
     assert {a.call for a in world.withdrawn} == {safe, once}
-    # Guards against an answer after the deadline that ends a call twice (the world asserts one result).
+    # A response after the deadline must not end the call twice (asserted by ``ClientWorld``).
     late = world.policy.counts["late answer"]
     for attempt in world.withdrawn:
         world.reply(attempt)
     assert world.policy.counts["late answer"] == late + 2
 
 
-# Guards against a cancelled call that is taken up again, or answered, by what was already on its way.
-def test_a_cancelled_call_races_its_answer() -> None:
+# Events that were already under way must not revive or complete a cancelled call.
+def test_a_cancelled_call_races_its_response() -> None:
     world = ready()
     call = world.call("approve-commit")
     attempt = world.sent[-1]
@@ -131,8 +131,8 @@
     assert world.outcome(done).served and world.policy.open_calls == 0
 
 
-# Guards against spinning where every server told us to stay away.
-def test_pushback_from_all_ends_the_call_early_with_the_time_to_come_back() -> None:
+# The client must not spin while every server asked it to wait.
+def test_retry_after_from_all_servers_rejects_the_call_early_with_a_retry_after() -> None:
     world = ready(retry=Retry(share=0.5, floor_per_s=10.0, burst=20.0, tries=9))
     call = world.call()
     while world.outcome(call) is None:
@@ -150,7 +150,7 @@
     assert len(world.sent) == before + 1  # and the time was honest
 
 
-def test_pushback_keeps_from_one_server_for_its_whole_span() -> None:
+def test_retry_after_is_honoured_for_its_whole_time() -> None:
     world = ready(servers=2)
     world.call()
     world.reply(world.sent[-1], AttemptEnd.REJECTED, retry_after_s=2.0)
@@ -164,7 +164,7 @@
     assert away in {attempt.endpoint for attempt in world.sent if attempt.sent_at and attempt.sent_at > start + 2.0}
 
 
-def test_stop_is_honoured_for_that_request_alone() -> None:
+def test_no_retry_elsewhere_holds_for_that_call_alone() -> None:
     world = ready()
     call = world.call()
     world.reply(world.sent[-1], AttemptEnd.REJECTED, no_retry_elsewhere=True, retry_after_s=0.2)
@@ -172,8 +172,8 @@
     assert world.call().attempts_sent == 1
 
 
-# Guards against repeats past the budget when everything is refused, and against a floor that is none.
-def test_repeats_stay_under_their_share_at_overload() -> None:
+# Retries stay within the budget when everything is rejected, and its floor is honoured.
+def test_retries_stay_within_their_budget_under_overload() -> None:
     world = ready(retry=Retry(), servers=8)
     for _ in range(2000):
         world.call()
@@ -186,8 +186,8 @@
     assert world.worst_second("try") < 1.2 * 200
 
 
-# Guards against the reconnect storm, and against a server that died and is given its full share while cold.
-def test_servers_that_die_at_once_and_return_cold() -> None:
+# No reconnect storm, and no full weight for a server that is warming up.
+def test_servers_that_die_at_once_and_return_with_slow_start() -> None:
     world = ready(servers=10)
     start = world.now
     world.at["dial"].clear()
@@ -200,7 +200,7 @@
         if n == 80:
             world.dead.clear()  # back after 4 s; the backoff of three failed dials may take as long again
     assert world.worst_second("dial") <= 4 + 4
-    assert all(peer.usable_connections for peer in world.policy.endpoints.values())
+    assert all(endpoint.usable_connections for endpoint in world.policy.endpoints.values())
     back = list(world.policy.endpoints.values())[:2]
     assert all(peer.slow_start_since is not None and peer.slow_start_since > start + 4 for peer in back)
     later = [a for a in world.sent if a.sent_at is not None and a.sent_at > start + 6]
@@ -209,7 +209,7 @@
     assert world.ends()["Refused"] == 0
 
 
-# Guards against a rolling deploy in which requests go to servers that leave.
+# No request goes to a server that is shutting down.
 def test_nothing_new_goes_on_a_draining_connection() -> None:
     world = ready(servers=3)
     call = world.call()
@@ -223,8 +223,8 @@
     assert world.outcome(call).served and connection in world.closed
 
 
-# Guards against a server that accepts and says nothing: no answer ever comes to tell that it is broken.
-def test_a_silent_server_is_asked_and_left_out() -> None:
+# A server that accepts requests and answers nothing never reports an error itself.
+def test_an_unresponsive_server_is_health_checked_and_ejected() -> None:
     world = ready(servers=2)
     calls = [world.call() for _ in range(8)]
     stopped = world.sent[-1].endpoint
@@ -254,7 +254,7 @@
     assert stopped.health.state is EjectionState.HEALTHY
 
 
-# Guards against leaving out everything when everything fails: then the fault is not the servers'.
+# When everything fails, the cause is not the servers: only a share of them is ejected.
 def test_ejection_has_a_cap() -> None:
     world = ready(servers=6, health=Health(failures=2, probes=False))
     for _ in range(60):
@@ -266,8 +266,8 @@
     assert out
 
 
-# Guards against memory that grows with a dead fleet, against a spin, and against calls that never end.
-def test_ten_thousand_calls_on_a_dead_fleet() -> None:
+# Memory stays bounded, the client does not spin, and every call ends.
+def test_ten_thousand_calls_to_a_dead_fleet() -> None:
     world = ready(servers=4)
     world.dead = set(world.policy.endpoints)
     for name in world.dead:
@@ -284,8 +284,8 @@
     assert world.worst_second("dial") <= 8 and world.policy.open_calls == 0
 
 
-# Guards against a catalog that lies or is away: the last good list stays in force.
-def test_a_catalog_that_is_away_or_lies() -> None:
+# The last good list stays in force while the registry is unreachable or wrong.
+def test_a_service_registry_that_is_unreachable_or_wrong() -> None:
     world = ClientWorld(settings(catalog="10.0.0.9:1"))
     policy = world.policy
     assert policy.update_endpoints(0.0, listing(1, "n1", "n2", "n3", "n4")) == "taken"
@@ -311,8 +311,8 @@
     assert policy.endpoints["n5"].slow_start_since == world.now and policy.endpoints["n1"].slow_start_since is None
 
 
-# Guards against sending nowhere when most of the list is said not to pass.
-def test_health_on_the_list_is_gone_by_unless_most_of_it_is_bad() -> None:
+# The client must not run out of endpoints because most of the list fails its health checks.
+def test_the_health_on_the_list_counts_unless_most_of_it_is_failing() -> None:
     world = ClientWorld(settings(catalog="10.0.0.9:1"))
     world.policy.update_endpoints(0.0, listing(1, "n1", "n2", "n3", critical=("n1",)))
     world.call()
@@ -329,8 +329,8 @@
     assert {attempt.endpoint.name for attempt in world.sent} == {"n1", "n2", "n3"}
 
 
-# Guards against second copies past the budget, of what must not run twice, and against a loser left running.
-def test_second_copies_of_slow_safe_requests() -> None:
+# Hedged requests stay within the budget, are never sent for commits, and the loser is cancelled.
+def test_hedged_requests_for_slow_idempotent_calls() -> None:
     world = ready(retry=Retry(share=0.5, floor_per_s=10.0, burst=20.0, second_copies=True))
     safe, once = world.call(), world.call("approve-commit")
     world.go(2.0)
@@ -341,7 +341,7 @@
     assert world.outcome(safe).server == second.endpoint.name and first in world.withdrawn
 
 
-# Guards against descriptors held for nothing, and dials for a client that has nothing to say.
+# A client without calls holds no descriptors and does not dial.
 def test_idle_connections_close_and_stay_closed() -> None:
     world = ready(servers=3)
     opened = set(world.policy.table.open_connections())
@@ -355,7 +355,7 @@
     assert world.outcome(call).served
 
 
-def test_one_request_a_connection_on_the_other_wire() -> None:
+def test_uwsgi_carries_one_request_on_a_connection() -> None:
     world = ClientWorld(settings(wire="uwsgi", retry=FREE))
     call, other = world.call("approve-commit"), world.call()
     world.connect()
@@ -369,10 +369,8 @@
     assert not list(world.policy.table.open_connections())
 
 
-# Guards against a herd: clients that see the same picture must not all choose the same server.
-# Guards against affinity by the few servers that were followed when the list came: a window that the traffic made
-# wider, or a server that stands in, is on its ring too.
-def test_affinity_goes_by_all_servers_that_are_followed_now() -> None:
+# The hash ring must include endpoints that joined the window after the list came.
+def test_affinity_uses_all_tracked_endpoints() -> None:
     world = ClientWorld(
         settings(
             6,
@@ -388,8 +386,9 @@
     assert ring == set(world.policy.table.connection_manager.window) == set(world.policy.endpoints) and len(ring) == 6
 
 
+# Clients with the same information must not all choose the same server.
 @pytest.mark.parametrize("strategy", ["round-robin", "least-open", "two-choices", "affinity"])
-def test_every_strategy_spreads_and_follows_the_slow(strategy: str) -> None:
+def test_every_strategy_spreads_calls_and_avoids_slow_servers(strategy: str) -> None:
     shares = dict[str, int]()
     for seed in range(8):
         world = ClientWorld(settings(6, routing=Routing(strategy)), seed)  # type: ignore[arg-type]
--- a/tests/test_client_silence.py
+++ b/tests/test_client_silence.py
@@ -1,4 +1,4 @@
-"""Clients that ask servers which say nothing: the questions by hand, and real servers stopped under real clients."""
+"""Clients that probe unresponsive servers: in simulated time, and with real servers that are stopped."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     return made
 
 
-def test_what_waits_on_a_server_that_falls_silent_is_given_up_there_and_a_commit_told_uncertain() -> None:
-    """Guards the aims of safe calls, and commits from a second start: they wait on a stopped server otherwise."""
+def test_attempts_on_an_unresponsive_server_are_retried_elsewhere_and_commits_become_uncertain() -> None:
+    """Otherwise idempotent calls would miss their latency objective waiting on a stopped server."""
     there = world()
     calls = [there.call() for _ in range(8)] + [there.call("approve-commit") for _ in range(8)]
     held = {attempt.call.number: attempt for attempt in there.sent if attempt.call in calls}
@@ -50,9 +50,8 @@
     assert there.policy.endpoints[silenced].suspected is None
 
 
-def test_one_that_closes_what_rests_is_dialled_for_each_call_and_none_is_refused() -> None:
-    """Guards thin clients of servers with many callers, which close resting connections at once: the client took each
-    such close for a server that went, waited for news of it, and ran out of dials (6% of the calls were refused)."""
+def test_a_server_that_closes_idle_connections_is_dialled_for_each_call_and_none_is_rejected() -> None:
+    """A clean close of an idle connection is no loss: the server is dialled again for the next call."""
     there = ClientWorld(settings(servers=3, catalog="127.0.0.1:1", retry=FREE))
     there.policy.update_endpoints(0.0, listing(1, "n1", "n2", "n3"))
     calls = []
@@ -69,9 +68,8 @@
     assert min(tries.count(name) for name in ("n1", "n2", "n3")) > 6  # and not always the same one
 
 
-def test_a_server_that_died_is_not_taken_for_one_that_let_its_connections_rest() -> None:
-    """Guards the fleet from storms: what is given back for a dial that was answered is not given for one that was
-    refused, so dials to the dead stay within the budget."""
+def test_a_server_that_died_is_not_taken_for_one_that_closed_an_idle_connection() -> None:
+    """A dial is refunded only if the server answered, so dials to dead servers stay within the budget."""
     there = ClientWorld(settings(servers=3, catalog="127.0.0.1:1", retry=FREE))
     there.policy.update_endpoints(0.0, listing(1, "n1", "n2", "n3"))
     there.call()
@@ -88,8 +86,7 @@
 
 
 def test_clients_send_nothing_to_servers_that_were_stopped_a_second_ago() -> None:
-    """Guards the judging of silence in the client: without the questions a stopped server goes on being chosen, as its
-    kernel takes connections and requests all the same."""
+    """Without probes a stopped server goes on being chosen, as its kernel accepts connections and requests."""
     spec = silent.Spec(servers=6, clients=24, rate=40.0, stopped=2, settle=4.0, span=3.0, after=1.0)
     found = asyncio.run(silent.run(spec))
     assert found["to_silent_after_1_s"] == 0 and found["commits_twice"] == 0
--- a/tests/test_connection_manager.py
+++ b/tests/test_connection_manager.py
@@ -13,11 +13,11 @@
 from lapishaven.client.settings import Catalog
 
 NAMES = tuple(f"n{n}" for n in range(1, 13))
-RATE = 0.8  # first tries a second: turns every 12 s, or 6 or 24 by need
+RATE = 0.8  # first attempts per second: a dial slot every 12 s, or 6 or 24 by urgency
 
 
 @dataclass
-class Known:
+class FakeEndpoint:
     usable_connections: int = 1
     next_dial_at: float = float("-inf")
     dial_failures: int = 0
@@ -31,55 +31,58 @@
         return self.refusing
 
 
-class Client:
-    """Keeping over a table of servers that the test sets by hand."""
+class ManagedClient:
+    """A connection manager over endpoints that the test sets by hand."""
 
     def __init__(self, number: int = 4) -> None:
-        self.membership, self.peers, self.version = Membership(Catalog()), {}, 0  # type: Membership, dict[str, Known], int
-        self.keeping = ConnectionManager(Connections(), self.membership, self.peers, number, Random(1), True)
+        self.membership = Membership(Catalog())
+        self.endpoints: dict[str, FakeEndpoint] = {}
+        self.version = 0
+        self.manager = ConnectionManager(Connections(), self.membership, self.endpoints, number, Random(1), True)
         self.hear(0.0)
-        for name in self.keeping.window:
-            self.peers[name] = Known()
-        self.keeping.starting = False
+        for name in self.manager.window:
+            self.endpoints[name] = FakeEndpoint()
+        self.manager.starting = False
 
     def hear(self, now: float, *critical: str) -> None:
         self.version += 1
         change = self.membership.apply_list(now, listing(self.version, *NAMES, critical=critical))
-        for name in self.keeping.endpoints_changed(now, change.joined, change.left, change.changed):
-            if name in self.peers:
-                self.peers[name].lost_at = None
-        self.keeping.update_window(now, RATE)
+        for name in self.manager.endpoints_changed(now, change.joined, change.left, change.changed):
+            if name in self.endpoints:
+                self.endpoints[name].lost_at = None
+        self.manager.update_window(now, RATE)
 
     def lose(self, now: float, *names: str) -> None:
         for name in names:
-            self.peers[name].usable_connections, self.peers[name].lost_at = 0, now
+            self.endpoints[name].usable_connections = 0
+            self.endpoints[name].lost_at = now
 
     def due(self, now: float) -> float:
-        wish = self.keeping.next_dial(now, RATE, False)
-        assert wish is not None and wish.reason == "window"
-        return wish.at
+        dial = self.manager.next_dial(now, RATE, False)
+        assert dial is not None and dial.reason == "window"
+        return dial.at
 
 
-# Guards against a server that is away being replaced, or dialled before the list says that it is back.
-def test_a_server_that_is_away_is_waited_for() -> None:
-    client = Client()
-    first = client.keeping.window[0]
+# A server that is away is neither replaced nor dialled before the list shows it again.
+def test_a_server_that_is_away_is_waited_for_and_not_replaced() -> None:
+    client = ManagedClient()
+    first = client.manager.window[0]
     client.lose(10.0, first)
     client.hear(10.0, first)
-    assert client.keeping.next_dial(11.0, RATE, False) is None
+    assert client.manager.next_dial(11.0, RATE, False) is None
     client.hear(15.0)
-    wish = client.keeping.next_dial(15.0, RATE, False)
-    assert wish is not None and (wish.name, wish.reason) == (first, "window") and 15.0 <= wish.at <= 27.0
-    assert client.keeping.next_dial(16.0, RATE, False) == wish  # it stays with its turn
+    dial = client.manager.next_dial(15.0, RATE, False)
+    assert dial is not None and (dial.name, dial.reason) == (first, "window") and 15.0 <= dial.at <= 27.0
+    assert client.manager.next_dial(16.0, RATE, False) == dial  # it keeps its slot
 
 
-# Guards against clients that stand with one server as long as those that have plenty, and the other way round.
-def test_the_turn_comes_sooner_the_more_the_client_stands_to_lose() -> None:
+# A client with one usable endpoint must dial sooner than one with several.
+def test_the_dial_slot_comes_sooner_with_fewer_usable_endpoints() -> None:
     spans: dict[str, list[float]] = {"two left": [], "one left": [], "two left, one replaced": [], "one, refusing": []}
     for number in range(40):
         for case, found in spans.items():
-            client = Client(number)
-            a, b, c = client.keeping.window
+            client = ManagedClient(number)
+            a, b, c = client.manager.window
             if "replaced" in case:
                 client.hear(10.0, b)
                 client.hear(14.0)
@@ -87,45 +90,43 @@
             client.lose(15.0, *away)
             client.hear(15.0, *away)
             client.hear(20.0)
-            client.peers[b].refusing = "refusing" in case
+            client.endpoints[b].refusing = "refusing" in case
             found.append(client.due(20.0) - 20.0)
     most = {case: max(found) for case, found in spans.items()}
     assert 10.0 < most["two left"] <= 12.0 and 5.0 < most["one left"] <= 6.0 and most["one, refusing"] <= 6.0
     assert 20.0 < most["two left, one replaced"] <= 24.0
 
 
-# Guards against a call that waits while its own servers are away although others are there, and against keeping
-# these once the client's own are back.
-def test_any_server_stands_in_for_a_call_and_is_let_go_when_the_window_is_whole() -> None:
-    client = Client()
-    window = client.keeping.window
+# A call must not wait for the window while other servers are there; they are dropped when the window is back.
+def test_a_stand_in_serves_an_urgent_call_and_is_dropped_when_the_window_is_connected() -> None:
+    client = ManagedClient()
+    window = client.manager.window
     client.lose(10.0, *window)
     client.hear(10.0, *window)
-    wish = client.keeping.next_dial(10.0, RATE, True)
-    assert wish is not None and wish.name not in window and (wish.at, wish.reason) == (10.0, "urgent")
-    client.peers[wish.name] = Known()
-    client.keeping.record_dial(10.0, wish)
-    assert client.keeping.keep_connected(wish.name) and client.keeping.is_tracked(10.0, wish.name)
+    dial = client.manager.next_dial(10.0, RATE, True)
+    assert dial is not None and dial.name not in window and (dial.at, dial.reason) == (10.0, "urgent")
+    client.endpoints[dial.name] = FakeEndpoint()
+    client.manager.record_dial(10.0, dial)
+    assert client.manager.keep_connected(dial.name) and client.manager.is_tracked(10.0, dial.name)
     client.hear(15.0)
     for name in window[:2]:
-        client.peers[name].usable_connections = 1
-    assert client.keeping.surplus_stand_ins() == []
-    client.peers[window[2]].usable_connections = 1
-    assert client.keeping.surplus_stand_ins() == [wish.name]
+        client.endpoints[name].usable_connections = 1
+    assert client.manager.surplus_stand_ins() == []
+    client.endpoints[window[2]].usable_connections = 1
+    assert client.manager.surplus_stand_ins() == [dial.name]
 
 
-# Guards against windows that flap with the traffic's chance: wider at once, narrower only well below.
+# The window must not flap with random changes of the traffic: it grows at once and shrinks late.
 @pytest.mark.parametrize(("before", "after", "wide"), [(2.1, 1.9, 4), (2.1, 1.2, 3), (1.9, 2.1, 4), (0.8, 0.15, 3)])
-def test_a_window_is_made_narrower_only_when_the_traffic_is_well_below(before: float, after: float, wide: int) -> None:
-    client = Client()
-    client.keeping.update_window(1.0, before)
-    client.keeping.update_window(2.0, after)
-    assert len(client.keeping.window) == wide
+def test_the_window_shrinks_only_when_the_traffic_is_well_below_it(before: float, after: float, wide: int) -> None:
+    client = ManagedClient()
+    client.manager.update_window(1.0, before)
+    client.manager.update_window(2.0, after)
+    assert len(client.manager.window) == wide
 
 
-# Guards against a call refused at once, with a time to come back, where the servers that the client follows are away
-# but others are there: found in simulated time, in 62 of 18,600 calls.
-def test_a_call_with_nothing_connected_goes_to_a_server_that_is_not_followed_yet() -> None:
+# A call must not be rejected where the tracked endpoints are away but others are there.
+def test_a_call_with_nothing_connected_goes_to_an_untracked_endpoint() -> None:
     world = ClientWorld(
         settings(catalog="10.0.0.9:1", connections=Connections(least=2, spread_s=0.001, spread_least_s=0.001))
     )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership at the size of a fleet: shared rosters, deltas in order, the last good list over a restart."""
+"""Membership at the size of a fleet: shared endpoint lists, deltas in order, the last good list over a restart."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 RULES = Catalog()
 
 
-# Guards against a delta applied to a version it does not follow, which would make up a list nobody sent.
-def test_deltas_are_taken_in_order_and_one_that_does_not_follow_asks_for_the_whole() -> None:
+# A delta applied to another version than its own would produce a list that nobody sent.
+def test_deltas_apply_in_order_and_a_gap_asks_for_the_full_list() -> None:
     one, two = listing(1, "n1", "n2", "n3"), listing(2, "n1", "n2", "n4", critical=("n2",))
     delta = delta_between(one, two)
     assert (delta.since, [r.name for r in delta.joined], delta.left, [r.name for r in delta.changed]) == (
@@ -44,7 +44,7 @@
     assert membership.names == {"n1", "n2", "n4"}
 
 
-def test_the_wire_of_a_delta_and_what_is_wrong_with_one() -> None:
+def test_deltas_are_parsed_and_validated() -> None:
     delta = delta_between(listing(1, "n1", "n2"), listing(4, "n1", "n3"))
     assert answer(delta_text(delta)) == delta
     assert answer(text(listing(4, "n1"))) == listing(4, "n1")
@@ -57,8 +57,8 @@
             answer(bad)
 
 
-# Guards against a simulation of many clients that costs each one the whole list: they share the rosters.
-def test_three_thousand_clients_of_a_thousand_servers_share_one_roster() -> None:
+# Clients in one process share the endpoint lists.
+def test_three_thousand_clients_of_a_thousand_servers_share_one_list() -> None:
     rows = tuple(Listed(f"s{n}", "10.1.0.1", 1000 + n) for n in range(1000))
     first, second = listing(1), listing(2)
     first = replace(first, servers=rows)
@@ -78,7 +78,7 @@
     assert all(len(policy.endpoints) <= 6 for policy in policies)
 
 
-def test_a_step_is_made_once_for_all_that_take_it() -> None:
+def test_an_update_is_computed_once_for_all_clients() -> None:
     one = listing(1, "n1", "n2")
     assert replace_list(EMPTY, one) is replace_list(EMPTY, one)
     step = replace_list(EMPTY, one)
@@ -87,9 +87,8 @@
     assert apply_delta(EMPTY, delta) is None
 
 
-# Guards against a restart of the client that forgets every server while the catalog is away: the last good list
-# is kept in a file, whole or not at all, and a broken file is no list, not a crash.
-def test_the_last_good_list_outlives_the_process_and_the_catalog(tmp_path: Path) -> None:
+# The last good list is kept in a file that is replaced atomically; a malformed file counts as no list.
+def test_the_last_good_list_survives_a_restart_while_the_registry_is_down(tmp_path: Path) -> None:
     async def main() -> tuple[bytes, str, int]:
         catalog = CatalogStandIn(lag=0.0)
         await catalog.open("127.0.0.1")
@@ -116,8 +115,8 @@
     assert not list(tmp_path.glob("*.part"))
 
 
-# Guards against a client that asks for the whole list each time: once it holds a version it is sent what changed.
-def test_the_stand_in_catalog_sends_what_changed_since_the_version_held() -> None:
+# Once it has a version, a client is sent only what changed.
+def test_the_stand_in_registry_sends_deltas() -> None:
     async def main() -> tuple[int, set[str]]:
         catalog = CatalogStandIn(lag=0.0)
         await catalog.open("127.0.0.1")
