--- a/lapishaven/client/fleet/__init__.py
+++ b/lapishaven/client/fleet/__init__.py
@@ -1,7 +1,23 @@
-"""What a client knows of the fleet and how it keeps to it: the ring, its window on it, the pace of changes."""
+"""Connections of a client in a large fleet: endpoint lists, subsets, the connection manager, the dial schedule.
 
-from lapishaven.client.fleet.aperture import Dealt, ticket, width
-from lapishaven.client.fleet.dial_schedule import Pace, Turns
-from lapishaven.client.fleet.ring import Ring, ring_for, ring_of
+- ``endpoint_list``: immutable versions of the service registry's list;
+- ``ring`` and ``aperture``: the subset of the endpoints that one client keeps connected;
+- ``dial_schedule``: the time slots in which clients dial, and the interval between a deploy's batches;
+- ``reachability``: whether an endpoint may be dialled;
+- ``connection_manager``: puts these together into the next dial.
+"""
 
-__all__ = ["Dealt", "Pace", "Ring", "Turns", "ring_for", "ring_of", "ticket", "width"]
+from lapishaven.client.fleet.aperture import Subset, placement_number, window_size
+from lapishaven.client.fleet.dial_schedule import DeployInterval, DialSlots
+from lapishaven.client.fleet.ring import Ring, ring_of, ring_with_removed
+
+__all__ = [
+    "DeployInterval",
+    "DialSlots",
+    "Ring",
+    "Subset",
+    "placement_number",
+    "ring_of",
+    "ring_with_removed",
+    "window_size",
+]
--- a/lapishaven/client/health.py
+++ b/lapishaven/client/health.py
@@ -1,4 +1,8 @@
-"""What each server's answers say of it: advice to stay away, and the ejection of outliers. Pure."""
+"""What attempts and health checks say of each endpoint: Retry-After, and the ejection of outliers. Pure.
+
+The ejection follows Envoy's outlier detection: consecutive failures or a high failure rate eject an endpoint for a
+time that doubles with each ejection, and at most a share of all endpoints is ejected at once.
+"""
 
 from __future__ import annotations
 
@@ -7,122 +11,152 @@
 
 from lapishaven.client import settings
 
-WINDOW = 20  # tries over which the share of failures counts
+ATTEMPT_WINDOW = 20  # attempts over which the failure rate is computed
+ATTEMPT_WINDOW_MASK = (1 << ATTEMPT_WINDOW) - 1
+MAX_EJECTION_DOUBLINGS = 16
+
 
+class EjectionState(Enum):
+    """Whether an endpoint takes requests, as far as outlier detection goes."""
 
-class Standing(Enum):
-    IN = "in"
-    OUT = "out"  # left out until a time
-    PROBING = "probing"  # that time came; it was asked how it is
-    TRIAL = "trial"  # one request at a time, until one succeeds
+    HEALTHY = "in"
+    EJECTED = "out"  # takes nothing until ``EndpointHealth.ejected_until``
+    PROBING = "probing"  # that time came; a health check is under way
+    TRIAL = "trial"  # takes one request at a time, until one succeeds
 
 
 @dataclass(slots=True)
-class ServerHealth:
-    """One server. A refusal is an answer like any other: it keeps the server away for its span, no longer."""
-
-    standing: Standing = Standing.IN
-    away: float = float("-inf")  # advice: nothing goes there before this
-    until: float = 0.0  # of OUT
-    outs: int = 0  # ejections since it last stood well
-    row: int = 0  # failures in a row
-    recent: int = 0  # the last tries as bits, 1 for a failure
-    seen: int = 0  # how many of them there are
-    trial_open: bool = False
-
-    def takes(self, now: float) -> bool:
-        """Whether a request may go there."""
-        if self.away > now:
+class EndpointHealth:
+    """The health of one endpoint. Times are in seconds on the policy's clock.
+
+    ``retry_after_until``: the endpoint asked for nothing to be sent before this.
+    ``ejected_until``: when an ejection ends.
+    ``ejections``: ejections since the endpoint was last healthy for a whole window of attempts.
+    ``consecutive_failures``: failures since the last success.
+    ``recent_failures``: the last attempts as bits, the newest lowest, 1 for a failure.
+    ``recent_attempts``: how many of these bits are in use.
+    ``trial_in_flight``: the one request of the state ``TRIAL`` is in flight.
+    """
+
+    state: EjectionState = EjectionState.HEALTHY
+    retry_after_until: float = float("-inf")
+    ejected_until: float = 0.0
+    ejections: int = 0
+    consecutive_failures: int = 0
+    recent_failures: int = 0
+    recent_attempts: int = 0
+    trial_in_flight: bool = False
+
+    def accepts_requests(self, now: float) -> bool:
+        """Whether a request may go to the endpoint."""
+        if self.retry_after_until > now:
             return False
-        return self.standing is Standing.IN or (self.standing is Standing.TRIAL and not self.trial_open)
+        if self.state is EjectionState.TRIAL:
+            return not self.trial_in_flight
+        return self.state is EjectionState.HEALTHY
 
-    def opens(self, now: float) -> float:
-        """When a request may go there, as far as is known."""
-        return max(self.away, self.until if self.standing is Standing.OUT else now, now)
+    def available_at(self, now: float) -> float:
+        """When a request may go to the endpoint, as far as is known."""
+        return max(self.retry_after_until, self.ejected_until if self.state is EjectionState.EJECTED else now, now)
 
 
-class Outliers:
-    """Leaves out what fails more than the others, never more than a share of all servers.
+class OutlierDetector:
+    """Ejects endpoints that fail more than the others, never more than a share of all.
 
-    Past the cap a failing server stays selectable: where most fail, the fault is not theirs, and to send
-    everything to the few that are left would bring these down.
+    Past that share a failing endpoint stays selectable: where most fail, the cause lies elsewhere, and to send
+    every request to the few that are left would overload them. ``ejected`` has the names of ejected endpoints, those
+    that are probed or on trial included.
     """
 
     def __init__(self, rules: settings.Health) -> None:
         self.rules = rules
-        self.out: set[str] = set()
-
-    def may_eject(self, servers: int) -> bool:
-        """Whether one more of so many servers may be left out. Of two or more one always may."""
-        return servers > 1 and len(self.out) + 1 <= max(1.0, self.rules.out_share * servers)
-
-    def succeeded(self, name: str, health: ServerHealth) -> bool:
-        """Note a served try; true if the server comes back in with it."""
-        health.row = 0
-        self._note(health, 0)
-        if health.standing is Standing.TRIAL:
-            health.standing, health.trial_open = Standing.IN, False
-            health.outs = max(0, health.outs - 1)
-            health.recent = health.seen = 0
-            self.out.discard(name)
+        self.ejected: set[str] = set()
+
+    def may_eject(self, endpoints: int) -> bool:
+        """Whether one more of so many endpoints may be ejected. One of two or more always may."""
+        return endpoints > 1 and len(self.ejected) + 1 <= max(1.0, self.rules.out_share * endpoints)
+
+    def record_success(self, name: str, health: EndpointHealth) -> bool:
+        """Note a served attempt; returns True if it ends the endpoint's trial."""
+        health.consecutive_failures = 0
+        self._record(health, failed=False)
+        if health.state is EjectionState.TRIAL:
+            health.state = EjectionState.HEALTHY
+            health.trial_in_flight = False
+            health.ejections = max(0, health.ejections - 1)
+            self._clear_window(health)
+            self.ejected.discard(name)
             return True
-        if health.outs and health.seen >= WINDOW and not health.recent:
-            health.outs = 0
+        if health.ejections and health.recent_attempts >= ATTEMPT_WINDOW and not health.recent_failures:
+            health.ejections = 0
         return False
 
-    def answered(self, health: ServerHealth) -> None:
-        """It refused or failed in an orderly way: no success, but alive."""
-        health.trial_open = False
+    def record_rejection(self, health: EndpointHealth) -> None:
+        """Note an attempt that ended without success and without a fault of the endpoint."""
+        health.trial_in_flight = False
 
-    def failed(self, now: float, name: str, health: ServerHealth, servers: int) -> bool:
-        """Note a failed try; true if the server is left out from now on."""
-        health.row += 1
-        self._note(health, 1)
-        if health.standing is Standing.TRIAL or health.standing is Standing.PROBING:
-            self._leave_out(now, name, health)
+    def record_failure(self, now: float, name: str, health: EndpointHealth, endpoints: int) -> bool:
+        """Note a failed attempt; returns True if the endpoint is ejected from now on."""
+        health.consecutive_failures += 1
+        self._record(health, failed=True)
+        if health.state is EjectionState.TRIAL or health.state is EjectionState.PROBING:
+            self._eject(now, name, health)
             return True
-        share = health.recent.bit_count() / health.seen
-        bad = health.row >= self.rules.failures or (health.seen >= WINDOW and share >= self.rules.error_share)
-        if health.standing is Standing.IN and bad and self.may_eject(servers):
-            self._leave_out(now, name, health)
+        if health.state is EjectionState.HEALTHY and self._is_outlier(health) and self.may_eject(endpoints):
+            self._eject(now, name, health)
             return True
         return False
 
-    def silent(self, now: float, name: str, health: ServerHealth, servers: int) -> bool:
-        """It said nothing, not even to a probe: that weighs as much as a row of failures."""
-        health.row = self.rules.failures
-        if health.standing is not Standing.OUT and (name in self.out or self.may_eject(servers)):
-            self._leave_out(now, name, health)
+    def _is_outlier(self, health: EndpointHealth) -> bool:
+        if health.consecutive_failures >= self.rules.failures:
+            return True
+        failure_rate = health.recent_failures.bit_count() / health.recent_attempts
+        return health.recent_attempts >= ATTEMPT_WINDOW and failure_rate >= self.rules.error_share
+
+    def record_unresponsive(self, now: float, name: str, health: EndpointHealth, endpoints: int) -> bool:
+        """Note a failed health check, which weighs as much as ``rules.failures``; returns True if it is ejected."""
+        health.consecutive_failures = self.rules.failures
+        if health.state is not EjectionState.EJECTED and (name in self.ejected or self.may_eject(endpoints)):
+            self._eject(now, name, health)
             return True
         return False
 
-    def due(self, now: float, health: ServerHealth) -> bool:
-        """Whether its time out is over; it is then to be probed, or tried at once where there are no probes."""
-        if health.standing is not Standing.OUT or health.until > now:
+    def end_ejection(self, now: float, health: EndpointHealth) -> bool:
+        """End an ejection whose time is over, with a health check or, without those, a trial at once."""
+        if health.state is not EjectionState.EJECTED or health.ejected_until > now:
             return False
-        health.standing = Standing.PROBING if self.rules.probes else Standing.TRIAL
-        health.trial_open = False
+        health.state = EjectionState.PROBING if self.rules.probes else EjectionState.TRIAL
+        health.trial_in_flight = False
         return True
 
-    def probed(self, now: float, name: str, health: ServerHealth, good: bool) -> None:
-        """The answer to a probe on the way back."""
-        if health.standing is not Standing.PROBING:
+    def record_probe(self, now: float, name: str, health: EndpointHealth, healthy: bool) -> None:
+        """Note the result of the health check after an ejection: a trial, or a further ejection."""
+        if health.state is not EjectionState.PROBING:
             return
-        if good:
-            health.standing, health.trial_open = Standing.TRIAL, False
+        if healthy:
+            health.state = EjectionState.TRIAL
+            health.trial_in_flight = False
         else:
-            self._leave_out(now, name, health)
+            self._eject(now, name, health)
 
     def forget(self, name: str) -> None:
-        self.out.discard(name)
-
-    def _leave_out(self, now: float, name: str, health: ServerHealth) -> None:
-        span = min(self.rules.out_s * 2 ** min(health.outs, 16), self.rules.out_max_s)
-        health.standing, health.until, health.trial_open = Standing.OUT, now + span, False
-        health.outs += 1
-        health.row = health.recent = health.seen = 0
-        self.out.add(name)
-
-    def _note(self, health: ServerHealth, bad: int) -> None:
-        health.recent = (health.recent << 1 | bad) & ((1 << WINDOW) - 1)
-        health.seen = min(health.seen + 1, WINDOW)
+        """The endpoint is no longer tracked."""
+        self.ejected.discard(name)
+
+    def _eject(self, now: float, name: str, health: EndpointHealth) -> None:
+        doublings = min(health.ejections, MAX_EJECTION_DOUBLINGS)
+        health.state = EjectionState.EJECTED
+        health.ejected_until = now + min(self.rules.out_s * 2**doublings, self.rules.out_max_s)
+        health.trial_in_flight = False
+        health.ejections += 1
+        health.consecutive_failures = 0
+        self._clear_window(health)
+        self.ejected.add(name)
+
+    def _record(self, health: EndpointHealth, failed: bool) -> None:
+        health.recent_failures = (health.recent_failures << 1 | failed) & ATTEMPT_WINDOW_MASK
+        health.recent_attempts = min(health.recent_attempts + 1, ATTEMPT_WINDOW)
+
+    def _clear_window(self, health: EndpointHealth) -> None:
+        health.recent_failures = 0
+        health.recent_attempts = 0
--- a/lapishaven/client/wire.py
+++ b/lapishaven/client/wire.py
@@ -1,4 +1,7 @@
-"""The client's two wires as state machines, one object a connection: fed bytes, they give ends of tries."""
+"""The client's two wires as state machines without I/O, one object for each connection.
+
+A wire turns attempts into bytes, and the bytes received into events.
+"""
 
 from __future__ import annotations
 
@@ -6,138 +9,157 @@
 from dataclasses import dataclass
 
 from lapishaven.client.model import Attempt
-from lapishaven.client.outcomes import Ending, Reply
+from lapishaven.client.outcomes import AttemptEnd, AttemptResult
 from lapishaven.client.settings import Settings
 from lapishaven.proto import ProtocolError, jsonrpc, uwsgi
 
-DISTRUST = 60.0  # s for which requests bear no time stamp after a server turned one down
-NOT_A_REQUEST = (jsonrpc.PARSE_ERROR, jsonrpc.INVALID_REQUEST, jsonrpc.NO_METHOD, jsonrpc.INVALID_PARAMS)
+TIMESTAMP_SUSPENSION_S = 60.0  # for which requests have no timestamp after a server rejected one
+MAX_ERROR_TEXT = 200  # bytes of an HTTP error's body that become the reason
+MAX_RETRY_AFTER_DIGITS = 9
+INVALID_REQUEST_CODES = (
+    jsonrpc.PARSE_ERROR,
+    jsonrpc.INVALID_REQUEST,
+    jsonrpc.NO_METHOD,
+    jsonrpc.INVALID_PARAMS,
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """A try has its answer."""
+class ResponseReceived:
+    """The response to an attempt, named by ``Attempt.id``."""
 
-    attempt: int
-    reply: Reply
+    attempt_id: int
+    result: AttemptResult
 
 
 @dataclass(frozen=True, slots=True)
-class Drains:
-    """The server leaves."""
+class DrainingNotice:
+    """The server announced its graceful shutdown."""
 
 
 @dataclass(frozen=True, slots=True)
-class Well:
-    """The answer to a question how the server is: it is there, whatever it says."""
+class ProbeAnswered:
+    """The answer to a probe. Whatever it says, the server is responsive."""
 
 
-class Clock:
-    """The wall clock, as far as the servers take it. It may jump; nothing but the time stamp goes by it."""
+class TimestampClock:
+    """The wall clock that requests are stamped by, as long as the servers accept it. It may jump."""
 
-    def __init__(self, wall: Callable[[], float], steady: Callable[[], float]) -> None:
-        self._wall, self._steady = wall, steady
-        self._distrusted = float("-inf")
+    def __init__(self, wall: Callable[[], float], monotonic: Callable[[], float]) -> None:
+        self._wall = wall
+        self._monotonic = monotonic
+        self._suspended_until = float("-inf")
 
     def stamp(self) -> float | None:
-        """Unix seconds, or ``None`` while the servers do not take ours."""
-        return self._wall() if self._steady() >= self._distrusted else None
+        """Unix seconds, or None while the servers do not accept them."""
+        return self._wall() if self._monotonic() >= self._suspended_until else None
 
-    def distrust(self) -> None:
-        self._distrusted = self._steady() + DISTRUST
+    def suspend(self) -> None:
+        """A server rejected a timestamp: send none for ``TIMESTAMP_SUSPENSION_S``."""
+        self._suspended_until = self._monotonic() + TIMESTAMP_SUSPENSION_S
 
 
 class JsonRpc:
-    """The platform's protocol: many requests on a connection, answers in any order."""
+    """The platform's protocol: many requests on a connection, responses in any order."""
 
-    def __init__(self, settings: Settings, clock: Clock) -> None:
-        self._settings, self._clock = settings, clock
+    def __init__(self, settings: Settings, clock: TimestampClock) -> None:
+        self._settings = settings
+        self._clock = clock
         self._machine = jsonrpc.Client()
-        self._last = 0
-        self._open: dict[int, tuple[int, bool]] = {}  # id here -> the try, and whether it bears a time
-        self._asked: set[int] = set()  # questions how it is
+        self._last_id = 0
+        self._in_flight: dict[int, tuple[int, bool]] = {}  # message id: attempt id, and whether it has a timestamp
+        self._probe_ids: set[int] = set()
 
     def send(self, attempt: Attempt) -> bytes:
-        self._last += 1
-        call, stamp = attempt.call, self._clock.stamp()
-        self._open[self._last] = attempt.id, stamp is not None
+        """The request of an attempt."""
+        self._last_id += 1
+        call = attempt.call
+        stamp = self._clock.stamp()
+        self._in_flight[self._last_id] = attempt.id, stamp is not None
         return jsonrpc.request(
-            self._last,
-            call.cls,
-            attempt.name,
+            self._last_id,
+            call.class_name,
+            attempt.request_id,
             call.body,
-            call.heap,
+            call.memory_kb,
             recv=stamp,
             src=self._settings.caller,
-            rep=attempt.rep,
+            rep=attempt.is_retry,
             crit=call.rank,
-            row=call.row,
+            row=call.row_id,
         )
 
-    def withdraw(self, attempt: Attempt) -> bytes:
-        return jsonrpc.forget(attempt.name)
+    def cancel(self, attempt: Attempt) -> bytes:
+        """Tell the server that nobody waits for an attempt."""
+        return jsonrpc.forget(attempt.request_id)
 
-    def ask(self) -> bytes:
-        """A question how the server is."""
-        self._last += 1
-        self._asked.add(self._last)
-        return jsonrpc.is_well(self._last)
+    def probe(self) -> bytes:
+        """A probe, answered by ``ProbeAnswered``."""
+        self._last_id += 1
+        self._probe_ids.add(self._last_id)
+        return jsonrpc.is_well(self._last_id)
 
-    def feed(self, data: bytes) -> Iterator[Ended | Drains | Well]:
-        """Ends of tries; ``ProtocolError`` where the connection cannot be trusted any more."""
+    def feed(self, data: bytes) -> Iterator[ResponseReceived | DrainingNotice | ProbeAnswered]:
+        """Events from received bytes; raises ``ProtocolError`` where the connection cannot be trusted any more."""
         for message in self._machine.feed(data):
             if isinstance(message, jsonrpc.Draining):
-                yield Drains()
-                continue
-            if message.id in self._asked:
-                self._asked.discard(message.id)
-                yield Well()
-                continue
-            found = self._open.pop(message.id, None) if message.id is not None else None
-            if found is None:
-                if message.id is not None and 0 < message.id <= self._last:
-                    continue  # a second answer to one request: the first one holds
-                raise ProtocolError(f"an answer to no request: {message.id}")
-            attempt, stamped = found
-            if isinstance(message, jsonrpc.Result):
-                yield Ended(attempt, Reply(Ending.SERVED, message.body))
+                yield DrainingNotice()
+            elif message.id in self._probe_ids:
+                self._probe_ids.discard(message.id)
+                yield ProbeAnswered()
             else:
-                yield Ended(attempt, self._error(message, stamped))
-
-    def _error(self, error: jsonrpc.Error, stamped: bool) -> Reply:
-        ending = Ending.FAILED
+                response = self._response(message)
+                if response is not None:
+                    yield response
+
+    def _response(self, message: jsonrpc.Result | jsonrpc.Error) -> ResponseReceived | None:
+        found = self._in_flight.pop(message.id, None) if message.id is not None else None
+        if found is None:
+            if message.id is not None and 0 < message.id <= self._last_id:
+                return None  # a second response to one request: the first one holds
+            raise ProtocolError(f"an answer to no request: {message.id}")
+        attempt_id, stamped = found
+        if isinstance(message, jsonrpc.Result):
+            return ResponseReceived(attempt_id, AttemptResult(AttemptEnd.SERVED, message.body))
+        return ResponseReceived(attempt_id, self._error(message, stamped))
+
+    def _error(self, error: jsonrpc.Error, stamped: bool) -> AttemptResult:
+        end = AttemptEnd.FAILED
         if error.code == jsonrpc.REFUSED:
-            ending = Ending.REFUSED
+            end = AttemptEnd.REJECTED
         elif error.code == jsonrpc.INVALID_PARAMS and stamped and "recv" in error.text:
-            self._clock.distrust()
-            ending = Ending.UNTIMED
-        elif error.code in NOT_A_REQUEST:
-            ending = Ending.INVALID
-        return Reply(ending, b"", error.text, error.code, error.pushback, error.stop)
-
-    def ended(self) -> Iterator[Ended]:
-        """The other side closed: an answer cut in half is no answer."""
+            self._clock.suspend()
+            end = AttemptEnd.TIMESTAMP_REJECTED
+        elif error.code in INVALID_REQUEST_CODES:
+            end = AttemptEnd.INVALID
+        return AttemptResult(end, b"", error.text, error.code, error.pushback, error.stop)
+
+    def end_of_stream(self) -> Iterator[ResponseReceived]:
+        """The other side closed: a response that was cut off is none."""
         return iter(())
 
 
 class Uwsgi:
-    """uwsgi: one request a connection, an HTTP response back, then the close."""
+    """uwsgi: one request on a connection, an HTTP response, then the close."""
 
-    def __init__(self, settings: Settings, clock: Clock) -> None:
-        self._settings, self._clock = settings, clock
+    def __init__(self, settings: Settings, clock: TimestampClock) -> None:
+        self._settings = settings
+        self._clock = clock
         self._machine = uwsgi.Client()
-        self._attempt: int | None = None
+        self._attempt_id: int | None = None
 
     def send(self, attempt: Attempt) -> bytes:
-        call, settings, stamp = attempt.call, self._settings, self._clock.stamp()
-        self._attempt = attempt.id
+        """The request of an attempt."""
+        call, settings = attempt.call, self._settings
+        stamp = self._clock.stamp()
+        self._attempt_id = attempt.id
         variables = {
             "REQUEST_METHOD": "POST",
-            "PATH_INFO": settings.path + call.cls,
-            "HTTP_X_REQUEST_ID": call.key,
+            "PATH_INFO": settings.path + call.class_name,
+            "HTTP_X_REQUEST_ID": call.idempotency_key,
             "HTTP_X_CALLER": str(settings.caller),
         }
-        if attempt.rep:
+        if attempt.is_retry:
             variables["HTTP_X_RETRY"] = "1"
         if stamp is not None:
             variables["HTTP_X_REQUEST_START"] = f"t={stamp:.3f}"
@@ -145,44 +167,51 @@
             variables |= {"HTTP_X_TEAM": settings.team, "HTTP_X_SERVICE": settings.service}
         return uwsgi.packet(variables, call.body)
 
-    def withdraw(self, attempt: Attempt) -> bytes:
-        return b""  # the close says it
+    def cancel(self, attempt: Attempt) -> bytes:
+        """Nothing: the close of the connection tells the server."""
+        return b""
 
-    def feed(self, data: bytes) -> Iterator[Ended | Drains]:
-        yield from self._told(data)
+    def feed(self, data: bytes) -> Iterator[ResponseReceived | DrainingNotice]:
+        """Events from received bytes; raises ``ProtocolError`` where they are no HTTP response."""
+        yield from self._events(data)
 
-    def ended(self) -> Iterator[Ended]:
-        yield from self._told(b"")
+    def end_of_stream(self) -> Iterator[ResponseReceived]:
+        """The other side closed, which may end the response."""
+        yield from self._events(b"")
 
-    def _told(self, data: bytes) -> Iterator[Ended]:
-        if self._attempt is None:
+    def _events(self, data: bytes) -> Iterator[ResponseReceived]:
+        if self._attempt_id is None:
             return
         response = self._machine.feed(data)
         if response is not None:
-            attempt, self._attempt = self._attempt, None
-            yield Ended(attempt, self._reply(response))
+            attempt_id = self._attempt_id
+            self._attempt_id = None
+            yield ResponseReceived(attempt_id, self._result(response))
 
-    def _reply(self, response: uwsgi.Response) -> Reply:
-        status, text = response.status, response.body[:200].decode("latin-1")
+    def _result(self, response: uwsgi.Response) -> AttemptResult:
+        status = response.status
+        text = response.body[:MAX_ERROR_TEXT].decode("latin-1")
         if status == 200:
-            return Reply(Ending.SERVED, response.body)
+            return AttemptResult(AttemptEnd.SERVED, response.body)
         if status == 503:
-            wait = _seconds(response.headers)
-            # Without an advice it may be another program's word, which promises nothing.
-            ending = Ending.FAILED if wait is None else Ending.REFUSED
-            return Reply(ending, b"", text, status, wait, response.headers.get("x-stop") == "1")
+            retry_after_s = _retry_after_seconds(response.headers)
+            # Without Retry-After another program may have answered, which says nothing of whether the request ran.
+            end = AttemptEnd.FAILED if retry_after_s is None else AttemptEnd.REJECTED
+            stop = response.headers.get("x-stop") == "1"
+            return AttemptResult(end, b"", text, status, retry_after_s, stop)
         if status == 400 and "HTTP_X_REQUEST_START" in text:
-            self._clock.distrust()
-            return Reply(Ending.UNTIMED, b"", text, status)
-        return Reply(Ending.INVALID if 400 <= status < 500 else Ending.FAILED, b"", text, status)
-
-
-def _seconds(headers: dict[str, str]) -> float | None:
-    """The advice to stay away, in seconds; the exact header before the whole seconds."""
-    for name, scale in (("x-pushback-ms", 1000.0), ("retry-after", 1.0)):
-        word = headers.get(name, "")
-        if word.isascii() and word.isdigit():
-            return min(int(word[:9]) / scale, jsonrpc.ADVICE_LIMIT)
+            self._clock.suspend()
+            return AttemptResult(AttemptEnd.TIMESTAMP_REJECTED, b"", text, status)
+        end = AttemptEnd.INVALID if 400 <= status < 500 else AttemptEnd.FAILED
+        return AttemptResult(end, b"", text, status)
+
+
+def _retry_after_seconds(headers: dict[str, str]) -> float | None:
+    """Retry-After in seconds; the exact header takes precedence over the one in whole seconds."""
+    for name, units_per_s in (("x-pushback-ms", 1000.0), ("retry-after", 1.0)):
+        value = headers.get(name, "")
+        if value.isascii() and value.isdigit():
+            return min(int(value[:MAX_RETRY_AFTER_DIGITS]) / units_per_s, jsonrpc.ADVICE_LIMIT)
     return None
 
 
--- a/lapishaven/lab/client_simulation.py
+++ b/lapishaven/lab/client_simulation.py
@@ -1,8 +1,10 @@
-"""The client's policy at large size, in simulated time: thousands of clients, a thousand servers, one process.
+"""The client's policy in simulated time: thousands of clients and a thousand servers in one process.
 
-The policy is the one that real clients run; the servers are a plain model (cores that work off a line in its
-order, a refusal with advice where the line is too long for the aim). So it tells how storms grow with the fleet,
-not how well a match server decides.
+The policy is the one that real clients run; the servers are a plain model (cores that work off a queue in order, and a
+rejection with Retry-After where the queue is too long for the latency objective). So it tells how retry and reconnect
+storms grow with the fleet, not how well a match server decides.
+
+``python -m lapishaven.lab.client_simulation JSON`` runs one ``Spec`` and prints its figures as JSON.
 """
 
 from __future__ import annotations
@@ -15,9 +17,21 @@
 from time import perf_counter
 from typing import Any
 
-from lapishaven.client.model import Attempt, Call, Connection, State
-from lapishaven.client.outcomes import Ending, Outcome, Reply, Served, Uncertain
-from lapishaven.client.policy import Ask, Close, Dial, Finish, Policy, Probe, Send, Withdraw
+from lapishaven.client.actions import (
+    Action,
+    CancelRequest,
+    CheckHealth,
+    CloseConnection,
+    CompleteCall,
+    OpenConnection,
+    SendProbe,
+    SendRequest,
+)
+from lapishaven.client.calls.attempt_results import AttemptResults
+from lapishaven.client.connections.dialer import Dialer
+from lapishaven.client.model import Attempt, Call, CallState, Connection, Endpoint
+from lapishaven.client.outcomes import OUTCOME_NAMES, AttemptEnd, AttemptResult, Outcome, Served, Uncertain
+from lapishaven.client.policy import Policy
 from lapishaven.client.settings import Settings
 from lapishaven.lab import site
 from lapishaven.lab.script import Step, parse
@@ -25,16 +39,28 @@
 from lapishaven.proto.catalog import Listed, Listing
 
 HOP = 0.0005  # s one way
-ADVICE = 0.2  # s of advice in a refusal
+ADVICE = 0.2  # s: Retry-After of a rejection
 CATALOG_LAG = 1.5  # s
 EXPIRY = 3.0  # s until the list leaves out a server that died
-DRAIN = 3.2  # s from the notice to leave to the end
+DRAIN = 3.2  # s from the announcement of a graceful shutdown to its end
 BOOT = 0.4  # s for a successor to come up
 LATE_WORTH = 0.2
+NAIVE_REDIAL_S = 0.1
+NAIVE_RETRY_S = 0.002
+NAIVE_MIN_TIME_S = 0.05  # before the deadline, below which the naive client does not retry
 
 
 @dataclass(frozen=True, slots=True)
 class Spec:
+    """What to simulate.
+
+    ``seconds``: of load that count. ``load``: as a share of the servers' capacity. ``script``: faults, as for
+    ``lapishaven lab fleet --script``. ``naive``: the baseline ``NaivePolicy`` in place of ``Policy``.
+    ``settle``: seconds before what counts, as clients make their connections over some seconds.
+    ``together``: all clients start, with a call, in the same second.
+    ``subsetting``: as ``settings.Routing.subsetting``.
+    """
+
     servers: int = 10
     clients: int = 100
     seconds: float = 20.0
@@ -42,24 +68,35 @@
     script: str = ""
     seed: int = 1
     naive: bool = False
-    settle: float = 12.0  # s before what counts: clients make their windows over some seconds from their first call
-    together: bool = False  # every client starts, with a call, in the same second: the first one
-    subsetting: str = "aperture"  # "rendezvous": today's client before the aperture, the baseline
+    settle: float = 12.0
+    together: bool = False
+    subsetting: str = "aperture"
 
 
 @dataclass(slots=True)
 class Request:
+    """An attempt on its server.
+
+    ``client``: the client's index. ``cls``: the index of its class of work. ``work``: in seconds of a standard core.
+    ``entry``: the emulator's request table entry. ``at``: when the emulator's server had read it.
+    """
+
     attempt: Attempt
     client: int
     cls: int
     work: float
-    entry: Any = None  # the emulator's request table entry
-    at: float = 0.0  # when the emulator's server had read it
+    entry: Any = None
+    at: float = 0.0
 
 
 @dataclass(slots=True)
 class Server:
-    """One server of the model."""
+    """One server of the model.
+
+    ``cold_since``: when it started; None if it is warmed up. ``factor``: of a fault that slows it down.
+    ``life``: its incarnation. ``busy``: cores at work. ``line``: the queue; ``waits``: the work in it, in seconds of
+    a standard core. ``links``: connections, as (client's index, connection). ``gone_at``: when it last stopped.
+    """
 
     name: str
     cores: int
@@ -71,12 +108,13 @@
     life: int = 0
     busy: int = 0
     line: deque[Request] = field(default_factory=deque)
-    waits: float = 0.0  # work in the line, in standard cores' seconds
+    waits: float = 0.0
     links: dict[int, tuple[int, Connection]] = field(default_factory=dict)
     running: set[int] = field(default_factory=set)
     gone_at: float = 0.0
 
     def rate(self, now: float) -> float:
+        """Its speed now, in standard cores, for each of its cores."""
         warm = 1.0
         if self.cold_since is not None:
             warm = min(1.0, 0.24 + 0.76 * (now - self.cold_since) / 17.0)
@@ -91,6 +129,15 @@
         self.kinds: tuple[site.Kind, ...] = getattr(self, "kinds", site.KINDS)
         self.now = -spec.settle
         self.events = 0
+        self._handlers: dict[type[Action], Callable[[int, Any], None]] = {
+            SendRequest: self._send_request,
+            CompleteCall: self._complete_call,
+            OpenConnection: self._open_connection,
+            CancelRequest: self._cancel_request,
+            CloseConnection: self._close_connection,
+            SendProbe: self._send_probe,
+            CheckHealth: self._check_health,
+        }
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._order = 0
         boxes = [site.box(self.random) for _ in range(spec.servers)]
@@ -108,7 +155,7 @@
         for n in range(spec.clients):
             own = replace(base, caller=n, callers=spec.clients)
             policy = kind(own, Random(self.random.getrandbits(64)), self.now)
-            policy.listed(self.now, self.listing)
+            policy.update_endpoints(self.now, self.listing)
             self.policies.append(policy)
             self._planned.append(float("inf"))
             # When in each second it polls. A poll that finds nothing new changes nothing, so only others are events.
@@ -125,10 +172,12 @@
 
     # ---- The event loop
     def at(self, when: float, then: Callable[..., None], *what: Any) -> None:
+        """Call ``then(*what)`` at a simulated time."""
         self._order += 1
         heappush(self._heap, (when, self._order, then, what))
 
     def run(self) -> dict[str, Any]:
+        """Run to the end and return the figures."""
         begun = perf_counter()
         self.at(self.now, self._arrive, 0)
         for step in self.steps:
@@ -145,46 +194,54 @@
         return self._figures(perf_counter() - begun)
 
     def _drive(self, n: int) -> None:
-        """Carry out what a client wants."""
+        """Execute what a client's policy wants, and plan its next timer."""
         policy = self.policies[n]
-        while actions := policy.take():
+        while actions := policy.take_actions():
             for action in actions:
-                if isinstance(action, Send):
-                    self._sent(n, action.connection, action.attempt)
-                elif isinstance(action, Finish):
-                    self._finished(n, action.call, action.outcome)
-                elif isinstance(action, Dial):
-                    self.connects.append(self.now)
-                    self.at(self.now + HOP, self._dialled, n, action.connection)
-                elif isinstance(action, Withdraw):
-                    self.at(self.now + HOP, self._forgotten, action.connection, action.attempt)
-                elif isinstance(action, Close):
-                    server = self.servers.get(action.connection.peer.name)
-                    if server is not None:
-                        server.links.pop(action.connection.id * self.spec.clients + n, None)
-                elif isinstance(action, Ask):
-                    if self.servers[action.connection.peer.name].up:
-                        self.at(self.now + 2 * HOP, self._well, n, action.connection)
-                elif isinstance(action, Probe):
-                    up = self.servers[action.peer.name].up
-                    self.at(self.now + HOP, self._probed, n, action.peer, up)
-        when = policy.next_at()
+                self._handlers[type(action)](n, action)
+        when = policy.next_timer_at()
         if when is not None and when < self._planned[n]:
             self._planned[n] = when
             self.at(when, self._turn, n, when)
 
+    def _send_request(self, n: int, action: SendRequest) -> None:
+        self._sent(n, action.connection, action.attempt)
+
+    def _complete_call(self, n: int, action: CompleteCall) -> None:
+        self._finished(n, action.call, action.outcome)
+
+    def _open_connection(self, n: int, action: OpenConnection) -> None:
+        self.connects.append(self.now)
+        self.at(self.now + HOP, self._dialled, n, action.connection)
+
+    def _cancel_request(self, n: int, action: CancelRequest) -> None:
+        self.at(self.now + HOP, self._forgotten, action.connection, action.attempt)
+
+    def _close_connection(self, n: int, action: CloseConnection) -> None:
+        server = self.servers.get(action.connection.endpoint.name)
+        if server is not None:
+            server.links.pop(action.connection.id * self.spec.clients + n, None)
+
+    def _send_probe(self, n: int, action: SendProbe) -> None:
+        if self.servers[action.connection.endpoint.name].up:
+            self.at(self.now + 2 * HOP, self._probe_answered, n, action.connection)
+
+    def _check_health(self, n: int, action: CheckHealth) -> None:
+        up = self.servers[action.endpoint.name].up
+        self.at(self.now + HOP, self._health_checked, n, action.endpoint, up)
+
     def _turn(self, n: int, when: float) -> None:
         if self._planned[n] == when:
             self._planned[n] = float("inf")
-            self.policies[n].turn(self.now)
+            self.policies[n].run_timers(self.now)
             self._drive(n)
 
-    def _well(self, n: int, connection: Connection) -> None:
-        self.policies[n].well(self.now, connection)
+    def _probe_answered(self, n: int, connection: Connection) -> None:
+        self.policies[n].probe_answered(self.now, connection)
         self._drive(n)
 
-    def _probed(self, n: int, peer: Any, good: bool) -> None:
-        self.policies[n].probed(self.now, peer, good)
+    def _health_checked(self, n: int, endpoint: Endpoint, healthy: bool) -> None:
+        self.policies[n].health_checked(self.now, endpoint, healthy)
         self._drive(n)
 
     # ---- Arrivals and what became of them
@@ -213,12 +270,12 @@
         """A call that counts has ended."""
 
     def _finished(self, n: int, call: Call, outcome: Outcome) -> None:
-        if call.started < 0:
+        if call.started_at < 0:
             return
-        kind = next(k for k in self.kinds if k.name == call.cls)
-        self._note(kind, self.now - call.started, isinstance(outcome, Served))
-        self.outcomes[type(outcome).__name__.lower()] += 1
-        span = self.now - call.started
+        kind = next(k for k in self.kinds if k.name == call.class_name)
+        self._note(kind, self.now - call.started_at, isinstance(outcome, Served))
+        self.outcomes[OUTCOME_NAMES[type(outcome)]] += 1
+        span = self.now - call.started_at
         got = kind.worth * (1.0 if span <= kind.aim else LATE_WORTH) if isinstance(outcome, Served) else 0.0
         self.worth += got
         self.commit_worth += got * (not kind.safe)
@@ -227,7 +284,7 @@
 
     # ---- Connections and tries
     def _dialled(self, n: int, connection: Connection) -> None:
-        server = self.servers[connection.peer.name]
+        server = self.servers[connection.endpoint.name]
         if server.up:
             self.policies[n].connected(self.now, connection)
             server.links[connection.id * self.spec.clients + n] = n, connection
@@ -241,29 +298,31 @@
         call = attempt.call
         self.tries.append(self.now)
         self.late += self.now > call.deadline
-        self.unmarked += (call.sent > 1) != attempt.rep
-        self.first[attempt.rep] += 1
-        place = next(i for i, k in enumerate(self.kinds) if k.name == call.cls)
+        self.unmarked += (call.attempts_sent > 1) != attempt.is_retry
+        self.first[attempt.is_retry] += 1
+        place = next(i for i, k in enumerate(self.kinds) if k.name == call.class_name)
         work = self.kinds[place].work
         request = Request(attempt, n, place, self.random.uniform(work.least, work.most))
-        self.at(self.now + HOP, self._read, self.servers[connection.peer.name], request)
+        self.at(self.now + HOP, self._read, self.servers[connection.endpoint.name], request)
 
     def _read(self, server: Server, request: Request) -> None:
-        if not server.up or request.attempt.id not in request.attempt.connection.open:
+        if not server.up or request.attempt.id not in request.attempt.connection.in_flight:
             return
         if server.busy < server.cores:
             return self._start(server, request)
         wait = server.waits / (server.cores * server.rate(self.now))
         kind = self.kinds[request.cls]
         if wait + request.work / server.rate(self.now) > kind.aim:
-            reply = Reply(Ending.REFUSED, text="load", pushback=ADVICE, stop=self.random.random() < 0.5)
+            reply = AttemptResult(
+                AttemptEnd.REJECTED, text="load", retry_after_s=ADVICE, no_retry_elsewhere=self.random.random() < 0.5
+            )
             return self.at(self.now + HOP, self._answered, request, reply)
         server.line.append(request)
         server.waits += request.work
 
     def _start(self, server: Server, request: Request) -> None:
         server.busy += 1
-        if not request.attempt.call.safe:
+        if not request.attempt.call.idempotent:
             key = request.client, request.attempt.call.number
             self.runs[key] += 1
             self.twice += self.runs[key] > 1
@@ -274,23 +333,23 @@
         if server.life != life:
             return
         server.busy -= 1
-        self.at(self.now + HOP, self._answered, request, Reply(Ending.SERVED, b""))
+        self.at(self.now + HOP, self._answered, request, AttemptResult(AttemptEnd.SERVED, b""))
         while server.line and server.busy < server.cores:
             next_one = server.line.popleft()
             server.waits -= next_one.work
-            if next_one.attempt.id in next_one.attempt.connection.open:
+            if next_one.attempt.id in next_one.attempt.connection.in_flight:
                 self._start(server, next_one)
 
-    def _answered(self, request: Request, reply: Reply) -> None:
+    def _answered(self, request: Request, reply: AttemptResult) -> None:
         connection = request.attempt.connection
-        if connection.phase.value != "closed":
-            self.policies[request.client].replied(self.now, connection, request.attempt.id, reply)
+        if connection.state.value != "closed":
+            self.policies[request.client].response_received(self.now, connection, request.attempt.id, reply)
             self._drive(request.client)
 
     def _forgotten(self, connection: Connection, attempt: Attempt) -> None:
-        """The line skips what is no longer open when its turn comes."""
+        """Nothing: the queue skips attempts that are no longer in flight."""
 
-    # ---- Troubles
+    # ---- Faults
     def _step(self, step: Step) -> None:
         for name in step.servers:
             server = self.servers[name]
@@ -353,7 +412,7 @@
         self._polls.discard(n)
         policy = self.policies[n]
         if policy.membership.version != self.listing.version:
-            policy.listed(self.now, self.listing)
+            policy.update_endpoints(self.now, self.listing)
             self._drive(n)
 
     # ---- Figures
@@ -391,33 +450,50 @@
         }
 
 
-class NaivePolicy(Policy):
-    """The same client without its manners: repeats and dials at once, without budget, jitter or ear for advice,
-    and keeps every server connected. Commits are repeated like the rest."""
+class NaiveDialer(Dialer):
+    """Dials every unconnected endpoint at once and again after a fixed delay, without a budget."""
+
+    def redial_delay(self, now: float, failures: int) -> float:
+        """The same short delay after every failed dial."""
+        return NAIVE_REDIAL_S
+
+    def ensure_connected(self, now: float) -> None:
+        """Dial every endpoint that is not connected."""
+        for endpoint in self._table.endpoints.values():
+            listed = endpoint.member.listed.passing or self._table.rendezvous_panic
+            if endpoint.usable_connections or not listed:
+                continue
+            if endpoint.next_dial_at <= now:
+                self._table.open_connection(now, endpoint, "naive")
+            else:
+                self.schedule_check(endpoint.next_dial_at)
 
-    def _redial(self, now: float, failures: int) -> float:
-        return 0.1
 
-    def _ensure(self, now: float) -> None:
-        for peer in self.peers.values():
-            if not peer.usable and (peer.member.listed.passing or self._panic):
-                if peer.dial_at <= now:
-                    self._new(now, peer, "naive")
-                else:
-                    self._plan_dials(peer.dial_at)
+class NaiveResults(AttemptResults):
+    """Retries every attempt that was not served almost at once, commits included, and ignores Retry-After."""
 
-    def _ended(self, now: float, attempt: Attempt, reply: Reply) -> None:
+    def attempt_ended(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
+        """Schedule a retry, unless the attempt was served or the deadline is near."""
         call = attempt.call
-        if reply.ending is Ending.SERVED or call.deadline - now < 0.05:
-            return super()._ended(now, attempt, reply)
-        self._release(now, attempt)
-        call.unproven -= attempt.sent is not None and reply.ending is not Ending.LOST
-        call.further += 1
-        call.state = State.PAUSED
-        self._at(now + 0.002, self._resume, call)
+        if result.end is AttemptEnd.SERVED or call.deadline - now < NAIVE_MIN_TIME_S:
+            super().attempt_ended(now, attempt, result)
+            return
+        self._calls.release(now, attempt)
+        call.possibly_run -= attempt.sent_at is not None and result.end is not AttemptEnd.LOST
+        call.retries += 1
+        call.state = CallState.PAUSED
+        self._engine.schedule(now + NAIVE_RETRY_S, self.resume, call)
+
+
+class NaivePolicy(Policy):
+    """The baseline: the same client with no retry budget, backoff, jitter or dial budget."""
+
+    dialer_type = NaiveDialer
+    results_type = NaiveResults
 
 
 def main(spec: Spec) -> dict[str, Any]:
+    """Run one simulation and return its figures."""
     return Simulation(spec).run()
 
 
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -1,4 +1,4 @@
-"""The client's policy as a whole: the hard cases of a fleet, caused on paper with a clock turned by hand."""
+"""The client's policy as a whole: the hard cases of a fleet, caused by hand in simulated time."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from random import Random
 
 import pytest
-from client_world import ClientWorld, Connections, Ending, Health, Retry, Routing, listing, settings
+from client_world import AttemptEnd, ClientWorld, Connections, Health, Retry, Routing, listing, settings
 
-from lapishaven.client.health import Standing
+from lapishaven.client.health import EjectionState
 from lapishaven.client.outcomes import NEVER_RAN, Refused, Served, Uncertain
 
 FREE = Retry(share=0.5, floor_per_s=10.0, burst=20.0)  # a budget that does not bind
@@ -24,24 +24,24 @@
     return world
 
 
-# Guards against a commit that runs twice: only proof that it never ran allows a further try.
-@pytest.mark.parametrize("ending", [e for e in Ending if e is not Ending.SERVED])
-def test_a_commit_is_repeated_only_on_proof_that_it_never_ran(ending: Ending) -> None:
+# A commit must not run twice: only proof that it never ran allows a retry.
+@pytest.mark.parametrize("ending", [e for e in AttemptEnd if e is not AttemptEnd.SERVED])
+def test_a_commit_is_retried_only_if_it_provably_never_ran(ending: AttemptEnd) -> None:
     world = ready()
     call = world.call("approve-commit")
     world.reply(world.sent[-1], ending)
     world.go(1.5)
     tries = [attempt for attempt in world.sent if attempt.call is call]
     if ending in NEVER_RAN:
-        assert len(tries) == 2 and tries[1].rep
+        assert len(tries) == 2 and tries[1].is_retry
     else:
         assert len(tries) == 1
-        expected = "Failed" if ending in (Ending.INVALID, Ending.UNTIMED) else "Uncertain"
+        expected = "Failed" if ending in (AttemptEnd.INVALID, AttemptEnd.TIMESTAMP_REJECTED) else "Uncertain"
         assert type(world.outcome(call)).__name__ == expected
 
 
-# Guards against a repeat of a commit that a killed server may have run: its close looks like an idle one.
-def test_a_close_is_a_crossing_only_where_the_protocol_allows_it() -> None:
+# A killed server's close looks like that of an idle connection, but it may have run the commit.
+def test_a_close_proves_a_request_unread_only_where_the_protocol_allows_it() -> None:
     for quiet, after, draining, proof in [
         (2.0, 0.04, False, True),  # idle for long, the close within 50 ms
         (2.0, 0.06, False, False),  # too late: it may have been read
@@ -62,8 +62,8 @@
         assert isinstance(world.outcome(call), Uncertain) != proof
 
 
-# Guards against the second run that simulated time found: thin clients' connections are always quiet.
-def test_a_quiet_connection_proves_nothing_by_default() -> None:
+# The connections of clients of little traffic are always idle, so a quick close proves nothing.
+def test_the_close_of_an_idle_connection_proves_nothing_by_default() -> None:
     world = ready(servers=2)
     world.go(5.0)
     call = world.call("approve-commit")
@@ -72,51 +72,51 @@
     assert isinstance(world.outcome(call), Uncertain)
 
 
-# Guards against a commit counted as unrun because others shared its fate: a close with more open is a crash.
-def test_a_reset_with_32_open_repeats_the_safe_and_leaves_commits_uncertain() -> None:
+# A close with several requests in flight is a crash: none of them is proved not to have run.
+def test_a_reset_with_32_in_flight_retries_idempotent_calls_and_leaves_commits_uncertain() -> None:
     world = ready(servers=2, connections=Connections(each=1))
     kinds = ["fuzzy-match", "approve-commit"] * 16
     calls = [world.call(kind) for kind in kinds * 2]
     victim = world.sent[-1].connection
-    lost = [a.call for a in victim.open.values()]
+    lost = [a.call for a in victim.in_flight.values()]
     assert len(lost) == 32
     world.cut(victim, clean=False)
-    assert all(isinstance(world.outcome(c), Uncertain) for c in lost if not c.safe)
+    assert all(isinstance(world.outcome(c), Uncertain) for c in lost if not c.idempotent)
     for _ in range(8):
         world.go(0.5)
         world.serve_all(0.05)
-    assert {type(world.outcome(c)) for c in calls if c.safe} == {Served}
+    assert {type(world.outcome(c)) for c in calls if c.idempotent} == {Served}
     assert len(world.outcomes) == len(calls) + 1
 
 
-# Guards against a try that cannot end in time, and one sent after the deadline (the world asserts that).
-def test_no_try_starts_that_does_not_fit_its_deadline() -> None:
+# No attempt that cannot end in time, and none after the deadline (asserted by ``ClientWorld``).
+def test_no_attempt_starts_that_does_not_fit_its_deadline() -> None:
     world = ready()
     call = world.call(deadline=world.now + 0.1)
-    assert not call.sent and isinstance(world.outcome(call), Refused)
+    assert not call.attempts_sent and isinstance(world.outcome(call), Refused)
     call = world.call(deadline=world.now + 0.5)
     world.now += 0.3
-    world.reply(world.sent[-1], Ending.REFUSED)
+    world.reply(world.sent[-1], AttemptEnd.REJECTED)
     world.go(1.0)
-    assert call.sent == 1 and world.outcome(call).reason == "no time for a further try"
+    assert call.attempts_sent == 1 and world.outcome(call).reason == "no time for a further try"
 
 
-def test_the_deadline_ends_a_call_and_forgets_its_try() -> None:
+def test_the_deadline_ends_a_call_and_cancels_its_attempt() -> None:
     world = ready()
     safe, once = world.call(deadline=world.now + 1.0), world.call("approve-commit", deadline=world.now + 1.0)
     world.go(1.01)
     assert type(world.outcome(safe)).__name__ == "Expired"
     assert isinstance(world.outcome(once), Uncertain)
     assert {a.call for a in world.withdrawn} == {safe, once}
-    # Guards against an answer after the deadline that ends a call twice (the world asserts one result).
+    # A response after the deadline must not end the call twice (asserted by ``ClientWorld``).
     late = world.policy.counts["late answer"]
     for attempt in world.withdrawn:
         world.reply(attempt)
     assert world.policy.counts["late answer"] == late + 2
 
 
-# Guards against a cancelled call that is taken up again, or answered, by what was already on its way.
-def test_a_cancelled_call_races_its_answer() -> None:
+# Events that were already under way must not revive or complete a cancelled call.
+def test_a_cancelled_call_races_its_response() -> None:
     world = ready()
     call = world.call("approve-commit")
     attempt = world.sent[-1]
@@ -131,16 +131,16 @@
     assert world.outcome(done).served and world.policy.open_calls == 0
 
 
-# Guards against spinning where every server told us to stay away.
-def test_pushback_from_all_ends_the_call_early_with_the_time_to_come_back() -> None:
+# The client must not spin while every server asked it to wait.
+def test_retry_after_from_all_servers_rejects_the_call_early_with_a_retry_after() -> None:
     world = ready(retry=Retry(share=0.5, floor_per_s=10.0, burst=20.0, tries=9))
     call = world.call()
     while world.outcome(call) is None:
-        if world.sent[-1].call is call and world.sent[-1].id in world.sent[-1].connection.open:
-            world.reply(world.sent[-1], Ending.REFUSED, pushback=3.0)
+        if world.sent[-1].call is call and world.sent[-1].id in world.sent[-1].connection.in_flight:
+            world.reply(world.sent[-1], AttemptEnd.REJECTED, retry_after_s=3.0)
         world.go(0.01)
     end = world.outcome(call)
-    assert call.sent == 4 and isinstance(end, Refused) and end.span < 1.0
+    assert call.attempts_sent == 4 and isinstance(end, Refused) and end.span < 1.0
     assert end.come_back is not None and 2.0 < end.come_back <= 3.0
     before = len(world.sent)
     assert isinstance(world.outcome(world.call()), Refused)  # at once, with no try
@@ -150,48 +150,48 @@
     assert len(world.sent) == before + 1  # and the time was honest
 
 
-def test_pushback_keeps_from_one_server_for_its_whole_span() -> None:
+def test_retry_after_is_honoured_for_its_whole_time() -> None:
     world = ready(servers=2)
     world.call()
-    world.reply(world.sent[-1], Ending.REFUSED, pushback=2.0)
-    away, start = world.sent[-1].peer, world.now
+    world.reply(world.sent[-1], AttemptEnd.REJECTED, retry_after_s=2.0)
+    away, start = world.sent[-1].endpoint, world.now
     while world.now < start + 3.0:
         world.call()
         if world.now < start + 2.0:
-            assert world.sent[-1].peer is not away
+            assert world.sent[-1].endpoint is not away
         world.go(0.1)
         world.serve_all()
-    assert away in {attempt.peer for attempt in world.sent if attempt.sent and attempt.sent > start + 2.0}
+    assert away in {attempt.endpoint for attempt in world.sent if attempt.sent_at and attempt.sent_at > start + 2.0}
 
 
-def test_stop_is_honoured_for_that_request_alone() -> None:
+def test_no_retry_elsewhere_holds_for_that_call_alone() -> None:
     world = ready()
     call = world.call()
-    world.reply(world.sent[-1], Ending.REFUSED, stop=True, pushback=0.2)
-    assert world.outcome(call).stop and call.sent == 1
-    assert world.call().sent == 1
+    world.reply(world.sent[-1], AttemptEnd.REJECTED, no_retry_elsewhere=True, retry_after_s=0.2)
+    assert world.outcome(call).stop and call.attempts_sent == 1
+    assert world.call().attempts_sent == 1
 
 
-# Guards against repeats past the budget when everything is refused, and against a floor that is none.
-def test_repeats_stay_under_their_share_at_overload() -> None:
+# Retries stay within the budget when everything is rejected, and its floor is honoured.
+def test_retries_stay_within_their_budget_under_overload() -> None:
     world = ready(retry=Retry(), servers=8)
     for _ in range(2000):
         world.call()
-        world.reply(world.sent[-1], Ending.REFUSED)
+        world.reply(world.sent[-1], AttemptEnd.REJECTED)
         world.go(0.005)
-        while (last := world.sent[-1]).id in last.connection.open:
-            world.reply(last, Ending.REFUSED)
-    first = sum(not attempt.rep for attempt in world.sent)
+        while (last := world.sent[-1]).id in last.connection.in_flight:
+            world.reply(last, AttemptEnd.REJECTED)
+    first = sum(not attempt.is_retry for attempt in world.sent)
     assert 1.05 < len(world.sent) / first < 1.1
     assert world.worst_second("try") < 1.2 * 200
 
 
-# Guards against the reconnect storm, and against a server that died and is given its full share while cold.
-def test_servers_that_die_at_once_and_return_cold() -> None:
+# No reconnect storm, and no full weight for a server that is warming up.
+def test_servers_that_die_at_once_and_return_with_slow_start() -> None:
     world = ready(servers=10)
     start = world.now
     world.at["dial"].clear()
-    for name in list(world.policy.peers)[:2]:
+    for name in list(world.policy.endpoints)[:2]:
         world.kill(name)
     for n in range(240):
         world.call()
@@ -200,16 +200,16 @@
         if n == 80:
             world.dead.clear()  # back after 4 s; the backoff of three failed dials may take as long again
     assert world.worst_second("dial") <= 4 + 4
-    assert all(peer.usable for peer in world.policy.peers.values())
-    back = list(world.policy.peers.values())[:2]
-    assert all(peer.cold_since is not None and peer.cold_since > start + 4 for peer in back)
-    later = [a for a in world.sent if a.sent is not None and a.sent > start + 6]
-    cold = sum(a.peer in back for a in later) / len(later)
+    assert all(endpoint.usable_connections for endpoint in world.policy.endpoints.values())
+    back = list(world.policy.endpoints.values())[:2]
+    assert all(peer.slow_start_since is not None and peer.slow_start_since > start + 4 for peer in back)
+    later = [a for a in world.sent if a.sent_at is not None and a.sent_at > start + 6]
+    cold = sum(a.endpoint in back for a in later) / len(later)
     assert 0 < cold < 0.15  # under the fifth that ten equal servers would give two
     assert world.ends()["Refused"] == 0
 
 
-# Guards against a rolling deploy in which requests go to servers that leave.
+# No request goes to a server that is shutting down.
 def test_nothing_new_goes_on_a_draining_connection() -> None:
     world = ready(servers=3)
     call = world.call()
@@ -219,57 +219,57 @@
     for _ in range(9):
         world.call()
         assert world.sent[-1].connection is not connection
-    world.reply(next(iter(connection.open.values())))
+    world.reply(next(iter(connection.in_flight.values())))
     assert world.outcome(call).served and connection in world.closed
 
 
-# Guards against a server that accepts and says nothing: no answer ever comes to tell that it is broken.
-def test_a_silent_server_is_asked_and_left_out() -> None:
+# A server that accepts requests and answers nothing never reports an error itself.
+def test_an_unresponsive_server_is_health_checked_and_ejected() -> None:
     world = ready(servers=2)
     calls = [world.call() for _ in range(8)]
-    stopped = world.sent[-1].peer
-    for attempt in [a for a in world.sent if a.peer is not stopped and a.call in calls]:
+    stopped = world.sent[-1].endpoint
+    for attempt in [a for a in world.sent if a.endpoint is not stopped and a.call in calls]:
         world.reply(attempt)
     world.go(2.6)
     assert world.probes == [stopped]
-    world.policy.probed(world.now, stopped, False)
+    world.policy.health_checked(world.now, stopped, False)
     world.act()
-    assert stopped.health.standing is Standing.OUT
+    assert stopped.health.state is EjectionState.EJECTED
     world.go(0.2)
     world.serve_all()
     assert all(world.outcome(call).served for call in calls if call.number in world.outcomes)
     # The way back: a probe, one trial, and then in.
     world.go(2.0)
     assert world.probes[-1] is stopped and len(world.probes) == 2
-    world.policy.probed(world.now, stopped, True)
+    world.policy.health_checked(world.now, stopped, True)
     while not stopped.open:
         world.call()
         world.go(0.05)
-        for attempt in [a for a in world.sent if a.peer is not stopped and a.id in a.connection.open]:
+        for attempt in [a for a in world.sent if a.endpoint is not stopped and a.id in a.connection.in_flight]:
             world.reply(attempt)
     for _ in range(6):
         world.call()
         assert stopped.open == 1
     world.serve_all()
-    assert stopped.health.standing is Standing.IN
+    assert stopped.health.state is EjectionState.HEALTHY
 
 
-# Guards against leaving out everything when everything fails: then the fault is not the servers'.
+# When everything fails, the cause is not the servers: only a share of them is ejected.
 def test_ejection_has_a_cap() -> None:
     world = ready(servers=6, health=Health(failures=2, probes=False))
     for _ in range(60):
         world.call()
-        world.reply(world.sent[-1], Ending.FAILED)
+        world.reply(world.sent[-1], AttemptEnd.FAILED)
         world.go(0.01)
-        out = [p for p in world.policy.peers.values() if p.health.standing is Standing.OUT]
+        out = [p for p in world.policy.endpoints.values() if p.health.state is EjectionState.EJECTED]
         assert len(out) <= 2
     assert out
 
 
-# Guards against memory that grows with a dead fleet, against a spin, and against calls that never end.
-def test_ten_thousand_calls_on_a_dead_fleet() -> None:
+# Memory stays bounded, the client does not spin, and every call ends.
+def test_ten_thousand_calls_to_a_dead_fleet() -> None:
     world = ready(servers=4)
-    world.dead = set(world.policy.peers)
+    world.dead = set(world.policy.endpoints)
     for name in world.dead:
         world.kill(name)
     world.at["dial"].clear()
@@ -284,95 +284,93 @@
     assert world.worst_second("dial") <= 8 and world.policy.open_calls == 0
 
 
-# Guards against a catalog that lies or is away: the last good list stays in force.
-def test_a_catalog_that_is_away_or_lies() -> None:
+# The last good list stays in force while the registry is unreachable or wrong.
+def test_a_service_registry_that_is_unreachable_or_wrong() -> None:
     world = ClientWorld(settings(catalog="10.0.0.9:1"))
     policy = world.policy
-    assert policy.listed(0.0, listing(1, "n1", "n2", "n3", "n4")) == "taken"
-    assert policy.listed(1.0, listing(2)) == "empty" and len(policy.peers) == 4
-    assert policy.listed(2.0, listing(1, "n1")) == "stale" and len(policy.peers) == 4
-    assert policy.listed(3.0, listing(3, "n1")) == "held back" and len(policy.peers) == 4
+    assert policy.update_endpoints(0.0, listing(1, "n1", "n2", "n3", "n4")) == "taken"
+    assert policy.update_endpoints(1.0, listing(2)) == "empty" and len(policy.endpoints) == 4
+    assert policy.update_endpoints(2.0, listing(1, "n1")) == "stale" and len(policy.endpoints) == 4
+    assert policy.update_endpoints(3.0, listing(3, "n1")) == "held back" and len(policy.endpoints) == 4
     world.now = 3.0
     for _ in range(60):
         world.call()
         world.go(0.05)
         world.serve_all()
     # One of the doubted is found dead by our own dial, so it goes at once; the others after their time.
-    connection = policy.peers["n4"].connections[0]
+    connection = policy.endpoints["n4"].connections[0]
     world.dead = {"n4"}
     world.cut(connection)
     world.go(3.0)
-    assert set(policy.peers) == {"n1", "n2", "n3"}
+    assert set(policy.endpoints) == {"n1", "n2", "n3"}
     world.go(60.0)  # nothing is heard of the catalog for a minute
-    assert set(policy.peers) == {"n1"}
+    assert set(policy.endpoints) == {"n1"}
     for _ in range(10):  # so quiet a client keeps to one server
         world.call()
-    assert policy.listed(world.now, listing(1, "n1", "n5", epoch="f")) == "taken"  # it restarted: a new epoch
-    assert policy.peers["n5"].cold_since == world.now and policy.peers["n1"].cold_since is None
+    assert policy.update_endpoints(world.now, listing(1, "n1", "n5", epoch="f")) == "taken"  # it restarted: a new epoch
+    assert policy.endpoints["n5"].slow_start_since == world.now and policy.endpoints["n1"].slow_start_since is None
 
 
-# Guards against sending nowhere when most of the list is said not to pass.
-def test_health_on_the_list_is_gone_by_unless_most_of_it_is_bad() -> None:
+# The client must not run out of endpoints because most of the list fails its health checks.
+def test_the_health_on_the_list_counts_unless_most_of_it_is_failing() -> None:
     world = ClientWorld(settings(catalog="10.0.0.9:1"))
-    world.policy.listed(0.0, listing(1, "n1", "n2", "n3", critical=("n1",)))
+    world.policy.update_endpoints(0.0, listing(1, "n1", "n2", "n3", critical=("n1",)))
     world.call()
     world.connect()
     for _ in range(20):
         world.call()
-    assert "n1" not in {attempt.peer.name for attempt in world.sent}
+    assert "n1" not in {attempt.endpoint.name for attempt in world.sent}
     world.now = 1.0
-    world.policy.listed(1.0, listing(2, "n1", "n2", "n3", critical=("n1", "n2")))
+    world.policy.update_endpoints(1.0, listing(2, "n1", "n2", "n3", critical=("n1", "n2")))
     world.act()
     world.go(0.01)  # dials of what is wanted now are spread, here over a millisecond
     for _ in range(20):
         world.call()
-    assert {attempt.peer.name for attempt in world.sent} == {"n1", "n2", "n3"}
+    assert {attempt.endpoint.name for attempt in world.sent} == {"n1", "n2", "n3"}
 
 
-# Guards against second copies past the budget, of what must not run twice, and against a loser left running.
-def test_second_copies_of_slow_safe_requests() -> None:
+# Hedged requests stay within the budget, are never sent for commits, and the loser is cancelled.
+def test_hedged_requests_for_slow_idempotent_calls() -> None:
     world = ready(retry=Retry(share=0.5, floor_per_s=10.0, burst=20.0, second_copies=True))
     safe, once = world.call(), world.call("approve-commit")
     world.go(2.0)
-    assert (safe.sent, once.sent) == (2, 1)
+    assert (safe.attempts_sent, once.attempts_sent) == (2, 1)
     first, second = (a for a in world.sent if a.call is safe)
-    assert second.rep and second.peer is not first.peer
+    assert second.is_retry and second.endpoint is not first.endpoint
     world.reply(second)
-    assert world.outcome(safe).server == second.peer.name and first in world.withdrawn
+    assert world.outcome(safe).server == second.endpoint.name and first in world.withdrawn
 
 
-# Guards against descriptors held for nothing, and dials for a client that has nothing to say.
+# A client without calls holds no descriptors and does not dial.
 def test_idle_connections_close_and_stay_closed() -> None:
     world = ready(servers=3)
-    opened = set(world.policy.open_connections())
+    opened = set(world.policy.table.open_connections())
     world.go(30.0)
-    assert opened == set(world.closed) and not list(world.policy.open_connections())
+    assert opened == set(world.closed) and not list(world.policy.table.open_connections())
     world.go(100.0)
-    assert not list(world.policy.open_connections())
+    assert not list(world.policy.table.open_connections())
     call = world.call()
     world.go(0.5)
     world.serve_all()
     assert world.outcome(call).served
 
 
-def test_one_request_a_connection_on_the_other_wire() -> None:
+def test_uwsgi_carries_one_request_on_a_connection() -> None:
     world = ClientWorld(settings(wire="uwsgi", retry=FREE))
     call, other = world.call("approve-commit"), world.call()
     world.connect()
     assert world.sent[0].connection is not world.sent[1].connection
-    world.dead.add(world.sent[0].peer.name)
-    world.reply(world.sent[0], Ending.REFUSED, pushback=0.5)
+    world.dead.add(world.sent[0].endpoint.name)
+    world.reply(world.sent[0], AttemptEnd.REJECTED, retry_after_s=0.5)
     world.reply(world.sent[1])
     world.go(0.5)
     world.serve_all()
     assert world.outcome(call).served and world.outcome(other).served
-    assert not list(world.policy.open_connections())
+    assert not list(world.policy.table.open_connections())
 
 
-# Guards against a herd: clients that see the same picture must not all choose the same server.
-# Guards against affinity by the few servers that were followed when the list came: a window that the traffic made
-# wider, or a server that stands in, is on its ring too.
-def test_affinity_goes_by_all_servers_that_are_followed_now() -> None:
+# The hash ring must include endpoints that joined the window after the list came.
+def test_affinity_uses_all_tracked_endpoints() -> None:
     world = ClientWorld(
         settings(
             6,
@@ -381,15 +379,16 @@
         )
     )
     for _ in range(200):
-        world.call(row=world.policy.random.getrandbits(64))
+        world.call(row=world.policy.engine.random.getrandbits(64))
         world.go(0.05)
         world.serve_all()
-    ring = {name for _, name in world.policy.routing._ring._points}  # type: ignore[attr-defined]
-    assert ring == set(world.policy.keeping.window) == set(world.policy.peers) and len(ring) == 6
+    ring = {name for _, name in world.policy.table.routing._ring._points}  # type: ignore[attr-defined]
+    assert ring == set(world.policy.table.connection_manager.window) == set(world.policy.endpoints) and len(ring) == 6
 
 
+# Clients with the same information must not all choose the same server.
 @pytest.mark.parametrize("strategy", ["round-robin", "least-open", "two-choices", "affinity"])
-def test_every_strategy_spreads_and_follows_the_slow(strategy: str) -> None:
+def test_every_strategy_spreads_calls_and_avoids_slow_servers(strategy: str) -> None:
     shares = dict[str, int]()
     for seed in range(8):
         world = ClientWorld(settings(6, routing=Routing(strategy)), seed)  # type: ignore[arg-type]
@@ -398,5 +397,5 @@
         for _ in range(20):
             world.call(row=Random(seed).getrandbits(64) if strategy == "affinity" else None)
         for attempt in world.sent:
-            shares[attempt.peer.name] = shares.get(attempt.peer.name, 0) + 1
+            shares[attempt.endpoint.name] = shares.get(attempt.endpoint.name, 0) + 1
     assert len(shares) == 6 and max(shares.values()) < 4 * min(shares.values())
