--- a/lapishaven/admission/tenant_quota.py
+++ b/lapishaven/admission/tenant_quota.py
@@ -11,7 +11,7 @@
 class TenantQuotas:
     """The rate of each tenant at this instance, against an equal part of its quota over the fleet."""
 
-    __slots__ = ("_arrived", "_rates", "_settings", "_weights")
+    __slots__ = ("_rates", "_settings", "_weights", "arrived")
 
     def __init__(self, settings: Settings) -> None:
         count = len(settings.tenants)
