--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,218 @@
+"""Files that an earlier version of the program stored are read with the same content.
+``data/stored/README.md`` says how they were made."""
+
+from __future__ import annotations
+
+import shutil
+import sqlite3
+from contextlib import closing
+from pathlib import Path
+from typing import Any
+
+from lapishaven.attempt_log import SqliteAttemptLog
+from lapishaven.idempotency import DurableResults, Standing
+from lapishaven.ledger.audit import Charge, Effect, differences
+from lapishaven.ledger.command import audit
+from lapishaven.ledger.database import LedgerDatabase
+from lapishaven.ledger.transitions import Standing as EffectState
+from lapishaven.ownership.coordinators.sqlite import SqliteCoordinator
+from lapishaven.ownership.duties.budgets import PLAN
+from lapishaven.ownership.fence import Act
+from lapishaven.ownership.fenced_store import FencedStore
+from lapishaven.storage.files import RealFiles
+from lapishaven.storage.store import Store
+
+STORED = Path(__file__).parent / "data" / "stored"
+WRITTEN_AT = 1_800_000_000.0  # Unix seconds, as the files have it
+Rows = list[tuple[Any, ...]]
+
+
+def copy_of(name: str, tmp_path: Path) -> str:
+    """A copy that the code under test may change; SQLite writes beside the file even when it only reads."""
+    source, copy = STORED / name, tmp_path / name
+    if source.is_dir():
+        shutil.copytree(source, copy)
+    else:
+        shutil.copy(source, copy)
+    return str(copy)
+
+
+def tables_of(path: str) -> dict[str, Rows]:
+    """Every row of every table, in the order of the tables' keys."""
+    with closing(sqlite3.connect(path)) as connection:
+        names = connection.execute("select name from sqlite_master where type = 'table' and name not like 'sqlite_%'")
+        return {name: connection.execute(f"select * from {name}").fetchall() for (name,) in names.fetchall()}
+
+
+def schema_version_of(path: str) -> int:
+    with closing(sqlite3.connect(path)) as connection:
+        return int(connection.execute("pragma user_version").fetchone()[0])
+
+
+def test_the_embedded_store_gives_back_every_key_and_value(tmp_path: Path) -> None:
+    """Guards the segment, frame, record and hint formats, with deletes, expiry and overwritten keys."""
+    expected = {
+        b"beta": (bytes(range(256)), 0.0),
+        b"gamma": (b"expires", WRITTEN_AT + 1000.0),
+        b"delta": (b"new", 0.0),
+        b"zeta\0key": (b"", 0.0),
+        b"eta": ("ëta".encode(), 0.0),
+    }
+    path = copy_of("embedded_store", tmp_path)
+    for hint_files in (True, False):
+        if not hint_files:
+            for hint in Path(path).glob("*.hint"):
+                hint.unlink()
+        with Store(RealFiles(path), clock=lambda: WRITTEN_AT) as store:
+            assert {key: (value, expiry) for key, value, expiry in store.scan()} == expected
+            assert {key: store.get(key) for key in expected} == {key: value for key, (value, _) in expected.items()}
+            assert store.get(b"alpha") is None and store.get(b"epsilon") is None
+            assert not store.damage
+    with Store(RealFiles(path), clock=lambda: WRITTEN_AT + 1001.0) as store:
+        assert store.get(b"gamma") is None and store.get(b"delta") == b"new"
+
+
+def test_keyed_results_tell_a_repeat_what_the_earlier_process_knew(tmp_path: Path) -> None:
+    """Guards the stored values of intents and results, and the names they are stored under."""
+    store = Store(RealFiles(copy_of("keyed_results", tmp_path)), clock=lambda: WRITTEN_AT)
+    assert {key: (value, expiry) for key, value, expiry in store.scan()} == {
+        b"commit\0done": (b"R" + (1_800_000_000_000).to_bytes(8, "little") + b"\x00result\xff", WRITTEN_AT + 3600.0),
+        b"commit\0intended": (b"I" + (1_800_000_000_250).to_bytes(8, "little"), WRITTEN_AT + 3600.25),
+        b"commit\0failed": (b"I" + (1_800_000_000_500).to_bytes(8, "little"), WRITTEN_AT + 3600.5),
+    }
+    results = DurableResults(store, 3600.0, wall=lambda: WRITTEN_AT + 1.0)
+    found = {key: results.find("commit", key) for key in ("done", "intended", "failed", "void")}
+    assert [entry.state.value for entry in found.values()] == ["done", "doubt", "doubt", "unknown"]
+    assert found["done"].state is Standing.DONE and found["done"].result == b"\x00result\xff"
+    assert sorted(results.uncertain_effects()) == [("commit", "failed", 0.5), ("commit", "intended", 0.75)]
+    results.close()
+
+
+def test_the_ledger_holds_the_same_effects_and_charges(tmp_path: Path) -> None:
+    """Guards the tables and stored words of the store of record."""
+    path = copy_of("record.db", tmp_path)
+    database = LedgerDatabase(path)
+    effects = database.read("select class, key, standing, start, since, ended, result, customer, words from effect")
+    charges = database.read("select class, key, account, words, at from ledger")
+    database.close()
+    done_at, failed_at = WRITTEN_AT + 10.5, WRITTEN_AT + 11.0
+    expected_effects: Rows = [
+        ("commit", "done", "done", "start-1", WRITTEN_AT, done_at, b"\x00two words\xff", "team/service", 2),
+        ("commit", "open", "intended", "start-1", WRITTEN_AT + 1, None, b"", "team/service", 0),
+        ("commit", "spent", "spent", "start-1", WRITTEN_AT + 2, failed_at, b"", "team/service", 0),
+        ("review", "done", "done", "start-2", WRITTEN_AT + 20, WRITTEN_AT + 21, b"", "caller/one", 1),
+    ]
+    expected_charges: Rows = [
+        ("commit", "done", "customer/team/service", 2, done_at),
+        ("commit", "done", "earned", -2, done_at),
+        ("review", "done", "customer/caller/one", 1, WRITTEN_AT + 21),
+        ("review", "done", "earned", -1, WRITTEN_AT + 21),
+    ]
+    assert effects == expected_effects and charges == expected_charges
+    assert tables_of(path) == {"effect": expected_effects, "ledger": expected_charges}
+    assert schema_version_of(path) == 1
+    settings = tmp_path / "record.toml"
+    settings.write_text(f'file = "{path}"\n')
+    assert audit(str(settings)) == 0
+
+
+def test_the_coordinator_holds_the_same_sessions_owners_and_tokens(tmp_path: Path) -> None:
+    """Guards the tables of the SQLite coordinator."""
+    path = copy_of("coordinator.db", tmp_path)
+    coordinator = SqliteCoordinator(path)
+    view = coordinator.look()
+    coordinator.close()
+    assert view.revision == 10
+    assert [(seen.session, seen.card.name, seen.card.start) for seen in view.members] == [
+        (2, "one", "start-1"),
+        (3, "two", "start-2"),
+    ]
+    assert [(seen.card.standing.value, seen.card.weight) for seen in view.members] == [
+        ("serving", 1.0),
+        ("leaving", 0.25),
+    ]
+    owners = {shard: (owned.session, owned.token) for shard, owned in view.owners.items()}
+    assert owners == {("budgets", 0): (2, 5), ("budgets", 1): (3, 8)}
+    assert view.marks == {("budgets", 0): 5}
+    assert tables_of(path) == {
+        "meta": [(1, 10)],
+        "session": [
+            (2, "one", "start-1", "serving", 1.0, 30.0, 1),
+            (3, "two", "start-2", "leaving", 0.25, 30.0, 0),
+        ],
+        "past": [("gone", 1), ("one", 1), ("two", 1)],
+        "owner": [("budgets", 0, 5, 2), ("budgets", 1, 8, 3)],
+        "mark": [("budgets", 0, 5)],
+    }
+
+
+def test_the_receiver_holds_the_same_tokens_effects_and_first_answers(tmp_path: Path) -> None:
+    """Guards the tables of the fence and of the budgets' effects; a repeat gets its stored answer."""
+    path = copy_of("receiver.db", tmp_path)
+    expected = {
+        "fence_mark": [("budgets", 3, 57, 1, 2)],
+        "fence_log": [
+            (
+                *(1, "budgets", 3, 41, 1, "grant"),
+                '{"contract": "gold", "round": 1, "grants": {"member-1": [2.5, 30.0], "member-2": [1.5, 18.0]}}',
+                '{"grants": 2}',
+            ),
+            (
+                *(2, "budgets", 3, 57, 1, "grant"),
+                '{"contract": "gold", "round": 2, "grants": {"member-1": [4.0, 48.0]}}',
+                '{"grants": 1}',
+            ),
+        ],
+        "fence_open": [],
+        "budget_need": [("gold", "member-1", 3.25, 7, 2)],
+        "budget_spill": [("gold", "member-1", 0.5)],
+        "budget_grant": [("gold", "member-1", 4.0, 48.0, 2)],
+        "budget_round": [("gold", 2)],
+    }
+    store = FencedStore(path, {"budgets": PLAN})
+    detail = {"contract": "gold", "round": 2, "grants": {"member-1": (4.0, 48.0)}}
+    repeat = store.admit(Act(("budgets", 3), 57, 1, 1), "grant", detail)
+    stale = store.admit(Act(("budgets", 3), 41, 2, 1), "grant", detail)
+    read = {name: store.read(f"select * from {name}") for name in expected}
+    store.close()
+    assert (repeat.verdict.value, repeat.token, repeat.held, repeat.answer) == ("repeat", 57, 2, {"grants": 1})
+    assert (stale.verdict.value, stale.token, stale.held, stale.answer) == ("stale", 57, 2, None)
+    assert read == expected and tables_of(path) == expected
+    assert schema_version_of(path) == 1
+
+
+def test_the_attempt_log_holds_the_same_attempts_and_the_ledger_takes_it_over(tmp_path: Path) -> None:
+    """Guards the store before the ledger: what it holds, what is still open, and its migration."""
+    path = copy_of("attempt_log.db", tmp_path)
+    log = SqliteAttemptLog(path, lambda: None, lambda: WRITTEN_AT + 10.0)
+    assert log.started(60.0) == [("commit", "key-1", 9.0), ("review", "key-4", 4.0)]
+    assert log.started(5.0) == [("review", "key-4", 4.0)]
+    log.close()
+    record: Rows = [
+        (WRITTEN_AT + 1, "started", "r1", "commit", "key-1", "team", "service", "first"),
+        (WRITTEN_AT + 2, "answered", "r1", "commit", "key-1", "team", "service", "200"),
+        (WRITTEN_AT + 3, "started", "r2", "commit", "key-2", None, None, ""),
+        (WRITTEN_AT + 4, "unrun", "r2", "commit", "key-2", None, None, ""),
+        (WRITTEN_AT + 5, "started", "r3", "review", None, "team", None, "no key"),
+        (WRITTEN_AT + 6, "started", "r4", "review", "key-4", "team", None, ""),
+    ]
+    assert tables_of(path) == {"record": record}
+    LedgerDatabase(path).close()
+    taken_over: Rows = [
+        ("commit", "key-1", "spent", "before", WRITTEN_AT + 1, None, b"", "team", 0),
+        ("review", "key-4", "spent", "before", WRITTEN_AT + 6, None, b"", "team", 0),
+    ]
+    assert tables_of(path) == {"record": record, "effect": taken_over, "ledger": []}
+
+
+def test_the_audit_of_the_stored_ledger_would_see_a_difference(tmp_path: Path) -> None:
+    """Guards the check above from passing on anything: one charge changed is told."""
+    path = copy_of("record.db", tmp_path)
+    rows = tables_of(path)
+    effects = [Effect((row[0], row[1]), EffectState(row[2]), row[7], row[8]) for row in rows["effect"]]
+    charges = [Charge((row[0], row[1]), row[2], row[3]) for row in rows["ledger"]]
+    assert not list(differences(effects, charges))
+    wrong = [Charge(charge.name, charge.account, charge.words + 1) for charge in charges[:1]]
+    assert list(differences(effects, [*wrong, *charges[1:]])) == [
+        "commit done: team/service was charged 3 words for 2",
+    ]
