--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -22,8 +22,8 @@
 from lapishaven.lab.field.tier import Tier, figures
 from lapishaven.lab.load_balancing_cases import AT, CASES, SPEEDS, build, play
 from lapishaven.lab.load_balancing_simulation import COLD_SPAN
-from lapishaven.load_balancing import LoadBalancer, Rules
-from lapishaven.load_balancing.load_report import SIZE, LoadReport
+from lapishaven.load_balancing import BalancingRules, LoadBalancer
+from lapishaven.load_balancing.load_report import ENCODED_SIZE, LoadReport
 from lapishaven.load_balancing.weighted_sampler import WeightedSampler
 
 MODULE = "benchmarks.spread"
@@ -185,12 +185,12 @@
     weights = [random.choice(SPEEDS) for _ in range(size)]
     draw = WeightedSampler()
     for n, weight in enumerate(weights):
-        draw.put(str(n), weight)
+        draw.set_weight(str(n), weight)
     names = [str(n) for n in range(size)]
 
     def ours() -> None:
-        draw.put(names[int(random.random() * size)], random.choice(SPEEDS))
-        draw.take(random)
+        draw.set_weight(names[int(random.random() * size)], random.choice(SPEEDS))
+        draw.sample(random)
 
     found = {"processes": float(size), "ours": _micros(ours)}
     for kind in (Scan, Tree, Alias, Sorted):
@@ -201,26 +201,28 @@
             other.take(random)
 
         found[kind.__name__.lower()] = _micros(plain)
-    spread = LoadBalancer(Rules(), random)
-    spread.members(names)
+    spread = LoadBalancer(BalancingRules(), random)
+    spread.set_endpoints(names)
     now, number = 0.0, 0
 
     def choice() -> None:
         nonlocal now, number
         now += 0.001
         number += 1
-        made = spread.begin(now)
-        for probe in made.ask:
-            spread.heard(now, probe.id, LoadReport(int(probe.name), number, int(random.random() * 8), 2.0, 4, 1.0))
-        name = spread.settle(now, made)
+        made = spread.begin_choice(now)
+        for probe in made.probes:
+            spread.receive_probe_answer(
+                now, probe.probe_id, LoadReport(int(probe.endpoint), number, int(random.random() * 8), 2.0, 4, 1.0)
+            )
+        name = spread.finish_choice(now, made)
         assert name is not None
-        spread.sent(now, name)
-        spread.ended(now + 0.0005, name, now, made_ending)
-        spread.due(now)
+        spread.attempt_started(now, name)
+        spread.attempt_ended(now + 0.0005, name, now, made_ending)
+        spread.check_responsiveness(now)
 
-    from lapishaven.load_balancing import Ending
+    from lapishaven.load_balancing import AttemptOutcome
 
-    made_ending = Ending.SERVED
+    made_ending = AttemptOutcome.SERVED
     found["choice"] = _micros(choice, 0.1)
     return found
 
@@ -448,7 +450,7 @@
             missed.append(f"clients before stopped servers: {row}")
     figures = {
         "seed": args.seed,
-        "word_bytes": SIZE,
+        "word_bytes": ENCODED_SIZE,
         "joined_peak": peak,
         "cold_s": COLD_SPAN,
         "sockets": on_sockets,
--- a/lapishaven/backends/load_balanced.py
+++ b/lapishaven/backends/load_balanced.py
@@ -17,9 +17,9 @@
 from lapishaven.connection_end import ConnectionEnd, outcome_of
 from lapishaven.core.outcome_metrics import OUTCOME_LABELS
 from lapishaven.counters import Counters
-from lapishaven.load_balancing import Choice, Ending, LoadBalancer, LoadReportError, Probe
-from lapishaven.load_balancing.load_report import LoadReport, parse, unpack
-from lapishaven.load_balancing.settings import Settings
+from lapishaven.load_balancing import AttemptOutcome, Choice, LoadBalancer, LoadReportError, Probe
+from lapishaven.load_balancing.load_report import LoadReport, decode, decode_text
+from lapishaven.load_balancing.settings import BalancingSettings
 from lapishaven.net.connection import Connection, Dial, connect
 from lapishaven.net.datagrams import Datagrams
 from lapishaven.net.loop import Loop, Wait
@@ -30,10 +30,10 @@
 TRIES = 4  # of one attempt, over all processes
 ROOM = 0.05  # s before an attempt's end at which no other try is begun
 ENDINGS = {
-    Outcome.OK: Ending.SERVED,
-    Outcome.OVERLOADED: Ending.REFUSED,
-    Outcome.UNREACHABLE: Ending.UNREACHED,
-    Outcome.CANCELLED: Ending.LEFT,
+    Outcome.OK: AttemptOutcome.SERVED,
+    Outcome.OVERLOADED: AttemptOutcome.REJECTED,
+    Outcome.UNREACHABLE: AttemptOutcome.UNREACHABLE,
+    Outcome.CANCELLED: AttemptOutcome.ABANDONED,
 }
 UNRUN = (Outcome.OVERLOADED, Outcome.UNREACHABLE)
 
@@ -56,7 +56,7 @@
     def __init__(
         self,
         loop: Loop,
-        settings: Settings,
+        settings: BalancingSettings,
         cores: int,
         spans: dict[str, float],
         listener: BackendListener,
@@ -66,14 +66,14 @@
     ) -> None:
         self.loop, self.settings, self.cores, self.spans = loop, settings, cores, spans
         self.listener, self.counters, self._dial = listener, counters, dial
-        self.spread = LoadBalancer(settings.rules, random)
+        self.balancer = LoadBalancer(settings.rules, random)
         self._running: dict[str, Attempt] = {}
         self._on: dict[str, set[Attempt]] = {}  # by process, those sent there
         self._waiting: dict[Choice, Attempt] = {}
         self._look_at = float("inf")
         self._questions = Datagrams(loop, ("0.0.0.0", 0), self._told)
         self._addresses: dict[str, tuple[str, int]] = {}
-        self.take(settings.addresses)
+        self.set_addresses(settings.addresses)
 
     def run(self) -> Generator[Wait, Any, None]:
         """There is no link to hold: the backend is up at once."""
@@ -82,14 +82,14 @@
         yield
 
     # ---- Members
-    def take(self, addresses: Sequence[tuple[str, int]]) -> None:
+    def set_addresses(self, addresses: Sequence[tuple[str, int]]) -> None:
         """These processes from now on; what is in hand at others goes on."""
         self._addresses |= {f"{host}:{port}": (host, port) for host, port in addresses}
-        self.spread.members(f"{host}:{port}" for host, port in addresses)
+        self.balancer.set_endpoints(f"{host}:{port}" for host, port in addresses)
 
     def change_address(self, address: tuple[str, int]) -> None:
         """The one address of a reload without a list: it is the only process then."""
-        self.take((address,))
+        self.set_addresses((address,))
 
     # ---- Commands
     def start(self, handle: str, cls: str, body: bytes, once: bool) -> None:
@@ -125,8 +125,8 @@
         self.loop.spawn(self._dial_any(told))
 
     def _dial_any(self, told: Any) -> Generator[Wait, Any, None]:
-        choice = self.spread.begin(self.loop.now, first=False)
-        name = self.spread.settle(self.loop.now, choice)
+        choice = self.balancer.begin_choice(self.loop.now, first=False)
+        name = self.balancer.finish_choice(self.loop.now, choice)
         sock: Any = ConnectionEnd.UNREACHED
         if name is not None:
             sock = yield from self._dial(self.loop, self._addresses[name], DIAL)
@@ -136,23 +136,23 @@
 
     # ---- Choosing
     def _choose(self, attempt: Attempt, first: bool) -> None:
-        choice = self.spread.begin(self.loop.now, attempt.avoid, first)
-        self._ask(choice.ask)
-        if choice.ask:
+        choice = self.balancer.begin_choice(self.loop.now, attempt.avoid, first)
+        self._ask(choice.probes)
+        if choice.probes:
             self._waiting[choice] = attempt
-            self.loop.at(choice.until, lambda: self._settle(choice))
+            self.loop.at(choice.deadline, lambda: self._settle(choice))
         else:
             self._place(attempt, choice)
         self._plan()
 
     def _ask(self, probes: Sequence[Probe]) -> None:
         for probe in probes:
-            self._questions.send(questions.ask(probe.id), self._addresses[probe.name])
+            self._questions.send(questions.encode_probe(probe.probe_id), self._addresses[probe.endpoint])
 
     def _told(self, data: bytes, sender: tuple[str, int]) -> None:
         try:
-            id, word = questions.answered(data)
-            choice = self.spread.heard(self.loop.now, id, unpack(word))
+            id, word = questions.decode_answer(data)
+            choice = self.balancer.receive_probe_answer(self.loop.now, id, decode(word))
         except (ProtocolError, LoadReportError):
             self.counters.add("spread", "no answers")
             return
@@ -167,14 +167,14 @@
     def _place(self, attempt: Attempt, choice: Choice) -> None:
         if attempt.halted:
             return self._end(attempt, Outcome.CANCELLED)
-        name = self.spread.settle(self.loop.now, choice)
+        name = self.balancer.finish_choice(self.loop.now, choice)
         if name is None:
             self.counters.add("spread", "nobody to be used")
             return self._end(attempt, Outcome.UNREACHABLE)
         attempt.turn += 1
         attempt.process, attempt.sent = name, self.loop.now
         self._on.setdefault(name, set()).add(attempt)
-        self.spread.sent(self.loop.now, name)
+        self.balancer.attempt_started(self.loop.now, name)
         self.counters.add("spread", "sent")
         turn = attempt.turn
         self.loop.spawn(self._try(attempt, turn), lambda error: self._fault(attempt, turn))
@@ -217,23 +217,28 @@
         if attempt.turn != turn or self._running.get(attempt.handle) is not attempt:
             return  # given up, and told so by whoever did
         now, name = self.loop.now, attempt.process
-        self._off(attempt, ENDINGS.get(outcome, Ending.FAILED), _pushback(response))
+        self._off(attempt, ENDINGS.get(outcome, AttemptOutcome.FAILED), _pushback(response))
         if response is not None:
-            self.spread.answered(now, name, _word(response))
+            self.balancer.receive_response_report(now, name, _word(response))
         if outcome in UNRUN and self._again(attempt, name, OUTCOME_LABELS[outcome]):
             return
         self._end(attempt, outcome, result)
 
-    def _off(self, attempt: Attempt, ending: Ending, pushback: float = 0.0) -> None:
+    def _off(self, attempt: Attempt, ending: AttemptOutcome, pushback: float = 0.0) -> None:
         """It is no longer at its process."""
         attempt.conn = None
         self._on[attempt.process].discard(attempt)
-        self.spread.ended(self.loop.now, attempt.process, attempt.sent, ending, pushback)
+        self.balancer.attempt_ended(self.loop.now, attempt.process, attempt.sent, ending, pushback)
 
     def _again(self, attempt: Attempt, name: str, why: str) -> bool:
         """Another process, if there is time and the budget has a second try."""
         now = self.loop.now
-        if attempt.halted or attempt.turn >= TRIES or now + ROOM > attempt.until or not self.spread.budget.take(now):
+        if (
+            attempt.halted
+            or attempt.turn >= TRIES
+            or now + ROOM > attempt.until
+            or not self.balancer.retry_budget.try_withdraw(now)
+        ):
             return False
         self.counters.add("spread", f"again after {why}")
         attempt.avoid |= {name}
@@ -247,7 +252,7 @@
 
     # ---- Silence
     def _plan(self) -> None:
-        when = self.spread.next_at()
+        when = self.balancer.next_check_at()
         if when < self._look_at:
             self._look_at = when
             self.loop.at(when, self._look)
@@ -258,26 +263,30 @@
         if now < self._look_at:
             return
         self._look_at = float("inf")
-        probes, fell = self.spread.due(now)
+        probes, fell = self.balancer.check_responsiveness(now)
         self._ask(probes)
         if fell:
             self.counters.add("spread", "fell silent", len(fell))
-        for known in list(self.spread.silence.suspects):
+        for known in list(self.balancer.failure_detector.suspects):
             self._waits_on(known.name, now)
         self._plan()
 
     def _waits_on(self, name: str, now: float) -> None:
-        since = self.spread.suspect(name)
+        since = self.balancer.suspected_since(name)
         for attempt in sorted(self._on.get(name, ()), key=lambda each: each.sent):
             if since is None or attempt.halted:
                 continue
             if not attempt.once:
-                if attempt.turn < TRIES and now + ROOM <= attempt.until and self.spread.budget.take(now):
+                if (
+                    attempt.turn < TRIES
+                    and now + ROOM <= attempt.until
+                    and self.balancer.retry_budget.try_withdraw(now)
+                ):
                     self._give_up(attempt)
                     self.counters.add("spread", "again after silence")
                     attempt.avoid |= {name}
                     self._choose(attempt, first=False)
-            elif now - since >= self.settings.rules.uncertain:
+            elif now - since >= self.settings.rules.uncertain_after_s:
                 self._give_up(attempt)
                 self.counters.add("spread", "told uncertain")
                 self._end(attempt, Outcome.TIMEOUT)
@@ -285,7 +294,7 @@
     def _give_up(self, attempt: Attempt) -> None:
         """Close its connection: a process that wakes up finds nobody there, and does not run it."""
         conn = attempt.conn
-        self._off(attempt, Ending.LEFT)
+        self._off(attempt, AttemptOutcome.ABANDONED)
         attempt.turn += 1
         if conn is not None:
             conn.close(ConnectionEnd.ABANDONED, unsent=False)
@@ -295,14 +304,14 @@
         """What is known of each process, why the last choices fell as they did, and the counts."""
         now = self.loop.now
         return {
-            "processes": self.spread.state(now),
-            "counts": dict(self.spread.counts),
-            "usual_s": round(self.spread.usual, 4),
-            "mean_in_hand": round(self.spread.mean, 3),
-            "panics": self.spread.silence.panics,
+            "processes": self.balancer.describe_endpoints(now),
+            "counts": dict(self.balancer.counts),
+            "usual_s": round(self.balancer.averages.request_s, 4),
+            "mean_in_hand": round(self.balancer.averages.load_per_slot, 3),
+            "panics": self.balancer.failure_detector.panics,
             "last": [
                 {"ago_s": round(now - when, 3), "chosen": name, "costs": {n: round(cost, 4) for n, cost in costs}}
-                for when, name, costs in self.spread.last
+                for when, name, costs in self.balancer.selector.recent
             ],
         }
 
@@ -329,6 +338,6 @@
 
 def _word(response: proto.Response) -> LoadReport | None:
     try:
-        return parse(response.headers["x-load"])
+        return decode_text(response.headers["x-load"])
     except (KeyError, LoadReportError):
         return None
--- a/lapishaven/cli/serve.py
+++ b/lapishaven/cli/serve.py
@@ -179,8 +179,8 @@
     if loaded.spread is not None:
         rules_ = loaded.spread.rules
         print(
-            f"spread over {len(loaded.spread.addresses)} processes, {rules_.probes} questions a choice, "
-            f"silent after {rules_.silent:g} s, {loaded.spread.attempts} attempts at once"
+            f"spread over {len(loaded.spread.addresses)} processes, {rules_.probes_per_choice} questions a choice, "
+            f"silent after {rules_.probe_timeout_s:g} s, {loaded.spread.attempts} attempts at once"
         )
     if kept is not None:
         try:
--- a/lapishaven/cli/spread.py
+++ b/lapishaven/cli/spread.py
@@ -14,11 +14,11 @@
 
 def _spread(name: str, *words: object) -> NoReturn:
     from lapishaven.load_balancing import command
-    from lapishaven.load_balancing.settings import SpreadError
+    from lapishaven.load_balancing.settings import BalancingSettingsError
 
     try:
         raise typer.Exit(getattr(command, name)(*words))
-    except SpreadError as error:
+    except BalancingSettingsError as error:
         fail(str(error))
 
 
--- a/lapishaven/client/links.py
+++ b/lapishaven/client/links.py
@@ -24,7 +24,7 @@
 from lapishaven.client.routing import strategy
 from lapishaven.client.settings import Settings
 from lapishaven.load_balancing.failure_detector import FailureDetector
-from lapishaven.load_balancing.model import Rules
+from lapishaven.load_balancing.rules import BalancingRules
 from lapishaven.proto.catalog import Delta, Listing
 
 # s after its last answer within which a server with many callers closes a connection. The close that a killed one
@@ -51,7 +51,7 @@
         self.keeping = ConnectionManager(
             settings.connections, self.membership, self.peers, number, random, bool(settings.catalog), shared
         )
-        rules = Rules(watch=settings.health.watch_s, silent=settings.health.silent_s)
+        rules = BalancingRules(watch_interval_s=settings.health.watch_s, probe_timeout_s=settings.health.silent_s)
         self.silence: FailureDetector[Peer] = FailureDetector(rules, random)
         self.asks = settings.health.watch_s > 0 and not self.single  # that wire has no question
         self._silence_at = float("inf")
--- a/lapishaven/client/model.py
+++ b/lapishaven/client/model.py
@@ -9,7 +9,7 @@
 from lapishaven.client.health import ServerHealth, Standing
 from lapishaven.client.membership import Member
 from lapishaven.client.settings import Routing
-from lapishaven.load_balancing.failure_detector import Asked
+from lapishaven.load_balancing.failure_detector import OutstandingProbe
 
 CROSSING = 0.05  # s: a request sent so shortly before a close that PROTOCOL allows was not read
 SMOOTH = 0.1  # part of a new time in the smoothed latency
@@ -127,7 +127,7 @@
     cut_at: float = 0.0
     probing: bool = False
     heard: float = float("-inf")  # when anything last came from it
-    asked: Asked | None = None  # the question that waits for its answer
+    asked: OutstandingProbe | None = None  # the question that waits for its answer
     suspected: float | None = None  # since when it says nothing
     lost_at: float | None = None  # aperture: when it was found away, until news that it is back
     rested: bool = False  # it closed its last connection in good order, soon after the last answer on it
--- a/lapishaven/config.py
+++ b/lapishaven/config.py
@@ -15,7 +15,7 @@
 from lapishaven.simulator import codec
 
 if TYPE_CHECKING:
-    from lapishaven.load_balancing.settings import Settings as SpreadSettings
+    from lapishaven.load_balancing.settings import BalancingSettings as SpreadSettings
     from lapishaven.pools.settings import PoolSettings
 
 Address = tuple[str, int]
@@ -196,8 +196,8 @@
     from lapishaven.load_balancing import settings as spread
 
     try:
-        return spread.load(path)
-    except spread.SpreadError as error:
+        return spread.load_settings(path)
+    except spread.BalancingSettingsError as error:
         raise ConfigError(str(error)) from None
 
 
--- a/lapishaven/frontends/load_endpoint.py
+++ b/lapishaven/frontends/load_endpoint.py
@@ -35,41 +35,41 @@
     ) -> None:
         self._loop, self._broker, self._counters = loop, broker, counters
         self._start, self._slots = random.getrandbits(32), slots
-        self.teller = LoadReporter(self._start, slots, loop.now)
+        self.reporter = LoadReporter(self._start, slots, loop.now)
         self._datagrams = Datagrams(loop, address, self._asked)
 
-    def up(self, warm_from: float, warm_span: float) -> None:
+    def start_reporting(self, warm_from: float, warm_span: float) -> None:
         """The server is up, and wants ``warm_from`` of its share at first, all of it after ``warm_span`` seconds."""
-        self.teller = LoadReporter(self._start, self._slots, self._loop.now, warm_from, warm_span)
+        self.reporter = LoadReporter(self._start, self._slots, self._loop.now, warm_from, warm_span)
 
     def _news(self) -> load_report.LoadReport:
         broker = self._broker()
         if broker is None:
             return load_report.LoadReport(self._start, 0, 0, 0.0, self._slots, 0.0, 0.0)
         in_hand = Counter(request.submission.class_index for request in broker.requests.values())
-        return self.teller.news(self._loop.now, in_hand)
+        return self.reporter.report(self._loop.now, in_hand)
 
-    def word(self) -> str:
-        return load_report.text(self._news())
+    def header_value(self) -> str:
+        return load_report.encode_text(self._news())
 
     def _asked(self, data: bytes, sender: tuple[str, int]) -> None:
         try:
-            id = proto.asked(data)
+            id = proto.decode_probe(data)
         except ProtocolError:
             self._counters.add("load", "no questions")
             return
         self._counters.add("load", "questions")
-        self._datagrams.send(proto.answer(id, load_report.pack(self._news())), sender)
+        self._datagrams.send(proto.encode_answer(id, load_report.encode(self._news())), sender)
 
-    def started(self, handle: str, cls: int) -> None:
-        self.teller.started(self._loop.now, handle, cls)
+    def run_started(self, handle: str, cls: int) -> None:
+        self.reporter.run_started(self._loop.now, handle, cls)
 
-    def ended(self, handle: str, outcome: Outcome) -> None:
+    def run_ended(self, handle: str, outcome: Outcome) -> None:
         failed = outcome in (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.UNREACHABLE)
-        self.teller.ended(self._loop.now, handle, outcome is Outcome.OK, failed)
+        self.reporter.run_ended(self._loop.now, handle, outcome is Outcome.OK, failed)
 
-    def leave(self) -> None:
-        self.teller.leaving = True
+    def drain(self) -> None:
+        self.reporter.draining = True
 
     def close(self) -> None:
         self._datagrams.close()
--- a/lapishaven/lab/field/tier.py
+++ b/lapishaven/lab/field/tier.py
@@ -21,7 +21,7 @@
 from lapishaven.lab.field.field import Field, FieldError
 from lapishaven.lab.interpreter import Box
 from lapishaven.lab.ports import Ports
-from lapishaven.load_balancing.load_report import LoadReport, unpack
+from lapishaven.load_balancing.load_report import LoadReport, decode
 from lapishaven.proto import ProtocolError, uwsgi
 from lapishaven.proto import load as questions
 
@@ -152,8 +152,8 @@
             sock.settimeout(timeout)
             sock.connect((HOST, self.ports[name]))
             try:
-                sock.send(questions.ask(1))
-                return unpack(questions.answered(sock.recv(64))[1])
+                sock.send(questions.encode_probe(1))
+                return decode(questions.decode_answer(sock.recv(64))[1])
             except (OSError, ProtocolError):
                 return None
 
@@ -161,7 +161,7 @@
         """Wait until each says that it takes requests."""
         until = time.monotonic() + timeout
         for name in names:
-            while (news := self.ask(name)) is None or news.warm <= 0:
+            while (news := self.ask(name)) is None or news.desired_share <= 0:
                 if time.monotonic() > until:
                     raise FieldError(f"{name} is not ready: {(self.field.folder / f'{name}.log').read_text()[-500:]}")
                 if not self.field.procs[name].alive:
--- a/lapishaven/lab/load_balancing_cases.py
+++ b/lapishaven/lab/load_balancing_cases.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lapishaven.lab.load_balancing_simulation import Front, Process, Sim
-from lapishaven.load_balancing import Rules
+from lapishaven.load_balancing import BalancingRules
 
 FROM, AT = 3.0, 4.0
 SPEEDS = (0.5, 0.7, 1.0, 1.3)
@@ -127,7 +127,7 @@
     *,
     slots: int = 4,
     work: float = 0.3,
-    rules: Rules | None = None,
+    rules: BalancingRules | None = None,
 ) -> Sim:
     """The case, ready to be run."""
     random = Random(seed * 31 + 7)
--- a/lapishaven/lab/load_balancing_simulation.py
+++ b/lapishaven/lab/load_balancing_simulation.py
@@ -14,9 +14,9 @@
 from random import Random
 from typing import Any
 
-from lapishaven.load_balancing import Choice, Ending, LoadBalancer, LoadReport, Rules
-from lapishaven.load_balancing.endpoint_state import wait
-from lapishaven.load_balancing.load_reporter import FAILING
+from lapishaven.load_balancing import AttemptOutcome, BalancingRules, Choice, LoadBalancer, LoadReport
+from lapishaven.load_balancing.endpoint_cost import queueing_cost
+from lapishaven.load_balancing.load_reporter import FAILURE_SMOOTHING
 
 WAY = 0.0004  # s
 DIAL = 1.0  # s after which a connection that does not come about is given up
@@ -99,43 +99,43 @@
         self.own.clear()
         if self.sim.policy == "ours":
             self.spread = LoadBalancer(self.sim.rules, self.random)
-            self.spread.members(self.sim.names)
+            self.spread.set_endpoints(self.sim.names)
 
-    def come(self, job: Job) -> None:
-        sim, spread = self.sim, self.spread
-        if spread is None:
+    def dispatch(self, job: Job) -> None:
+        sim, balancer = self.sim, self.spread
+        if balancer is None:
             return sim.send(job, self.plain(job))
-        choice = spread.begin(sim.now, job.avoid, job.tries == 0)
-        for probe in choice.ask:
+        choice = balancer.begin_choice(sim.now, job.avoid, job.tries == 0)
+        for probe in choice.probes:
             sim.choices[choice] = job
-            sim.ask(self, probe.id, probe.name)
-        if choice.ask:
-            sim.at(choice.until, lambda: self.settle(job, choice))
+            sim.ask(self, probe.probe_id, probe.endpoint)
+        if choice.probes:
+            sim.at(choice.deadline, lambda: self.settle(job, choice))
         else:
             self.settle(job, choice)
         self.wake()
 
     def settle(self, job: Job, choice: Choice) -> None:
         self.sim.choices.pop(choice, None)
-        if choice.settled or job.over:
+        if choice.decided or job.over:
             return
         assert self.spread is not None
-        name = self.spread.settle(self.sim.now, choice)
+        name = self.spread.finish_choice(self.sim.now, choice)
         if name is None:
             return self.sim.finish(job, False)
         self.sim.send(job, self.sim.processes[name])
         self.wake()
 
-    def told(self, id: int, news: LoadReport) -> None:
+    def receive_answer(self, id: int, news: LoadReport) -> None:
         assert self.spread is not None
-        choice = self.spread.heard(self.sim.now, id, news)
+        choice = self.spread.receive_probe_answer(self.sim.now, id, news)
         if choice is not None and (job := self.sim.choices.get(choice)) is not None:
             self.settle(job, choice)
 
     def wake(self) -> None:
         """A look at silence when it is due."""
         assert self.spread is not None
-        when = self.spread.next_at()
+        when = self.spread.next_check_at()
         if when < self._woken:
             self._woken = when
             self.sim.at(when, self.look)
@@ -144,17 +144,17 @@
         sim, spread = self.sim, self.spread
         assert spread is not None
         self._woken = float("inf")
-        probes, fell = spread.due(sim.now)
+        probes, fell = spread.check_responsiveness(sim.now)
         for probe in probes:
-            sim.ask(self, probe.id, probe.name)
+            sim.ask(self, probe.probe_id, probe.endpoint)
         for name in fell:
             for job in [j for j in sim.out.get((self.number, name), ()) if j.safe]:
-                if spread.budget.take(sim.now):
+                if spread.retry_budget.try_withdraw(sim.now):
                     sim.give_up(job)
                     job.avoid |= {name}
                     job.tries += 1
                     sim.counts["second tries"] += 1
-                    self.come(job)
+                    self.dispatch(job)
         self.wake()
 
     def plain(self, job: Job) -> Process:
@@ -193,12 +193,12 @@
         *,
         slots: int = 4,
         work: float = 0.3,
-        rules: Rules | None = None,
+        rules: BalancingRules | None = None,
         late: float = 0.0,
         differ: float = 1.0,
         aim: float = 1.5,
     ) -> None:
-        self.policy, self.rules, self.seed = policy, rules or Rules(), seed
+        self.policy, self.rules, self.seed = policy, rules or BalancingRules(), seed
         self.now, self.work, self.late, self.aim = 0.0, work, late, aim
         self.random = Random(seed * 7 + 1)
         self.arrivals = Random(seed)
@@ -242,7 +242,7 @@
         job = Job(front, self.arrivals.uniform(0.5, 1.5) * self.work, self.now, safe=self.arrivals.random() > 0.16)
         self.at(self.now + self.arrivals.expovariate(self.rate), self._arrive)
         self.counts["arrivals"] += 1
-        front.come(job)
+        front.dispatch(job)
 
     # ---- Ways
     def ask(self, front: Front, id: int, name: str) -> None:
@@ -258,7 +258,7 @@
                 process.stopped.append(answer)
                 return
             news = process.news(self.now)
-            self.at(self.now + WAY + self.late, lambda: front.told(id, news))
+            self.at(self.now + WAY + self.late, lambda: front.receive_answer(id, news))
 
         self.at(self.now + WAY, answer)
 
@@ -268,7 +268,7 @@
         front = job.front
         front.own[process.name] += 1
         if front.spread is not None:
-            front.spread.sent(self.now, process.name)
+            front.spread.attempt_started(self.now, process.name)
         self.out.setdefault((front.number, process.name), []).append(job)
         tries = job.tries  # as it is now: one that is given up on its way is not to arrive as the next try
         self.at(self.now + WAY, lambda: self._reach(job, process, tries))
@@ -292,17 +292,19 @@
         if job.tries != tries or job.over:
             return
         if (job.front.number, process.name) in self.cut:
-            return self.at(self.now + DIAL, lambda: self._back(job, process, Ending.UNREACHED, None, tries, job.sent))
+            return self.at(
+                self.now + DIAL, lambda: self._back(job, process, AttemptOutcome.UNREACHABLE, None, tries, job.sent)
+            )
         if process.dead:
-            return self._answer(job, process, Ending.UNREACHED, None)
+            return self._answer(job, process, AttemptOutcome.UNREACHABLE, None)
         if process.stopped is not None:
             process.stopped.append(lambda: self._reached(job, process, tries))
             return
         process.got.append(self.now)
         if process.fails or process.open >= BOUND * process.slots:
-            ending = Ending.FAILED if process.fails == "error" else Ending.REFUSED
-            if ending is Ending.FAILED:
-                process.failing += FAILING * (1 - process.failing)
+            ending = AttemptOutcome.FAILED if process.fails == "error" else AttemptOutcome.REJECTED
+            if ending is AttemptOutcome.FAILED:
+                process.failing += FAILURE_SMOOTHING * (1 - process.failing)
             return self._answer(job, process, ending, process.news(self.now))
         self._account()
         self._count(process, -1)
@@ -330,41 +332,43 @@
         self._count(process, 1)
         if self.policy == "idle first" and process.open < process.slots:
             self.random.choice(self.fronts).idle.append(process)
-        self._answer(job, process, Ending.SERVED, process.news(self.now))
+        self._answer(job, process, AttemptOutcome.SERVED, process.news(self.now))
 
-    def _answer(self, job: Job, process: Process, ending: Ending, news: LoadReport | None) -> None:
+    def _answer(self, job: Job, process: Process, ending: AttemptOutcome, news: LoadReport | None) -> None:
         tries, sent = job.tries, job.sent
         self.at(self.now + WAY, lambda: self._back(job, process, ending, news, tries, sent))
 
     def _back(
-        self, job: Job, process: Process, ending: Ending, news: LoadReport | None, tries: int, sent: float
+        self, job: Job, process: Process, ending: AttemptOutcome, news: LoadReport | None, tries: int, sent: float
     ) -> None:
         if job.over or job.tries != tries:
             return
         self._let_go(job, process, ending, sent)
         front = job.front
         if front.spread is not None and news is not None:
-            front.spread.answered(self.now, process.name, None if self.late else news)
-        again = ending in (Ending.REFUSED, Ending.UNREACHED) and job.tries < 3
-        if again and (front.spread is None or front.spread.budget.take(self.now)):
+            front.spread.receive_response_report(self.now, process.name, None if self.late else news)
+        again = ending in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE) and job.tries < 3
+        if again and (front.spread is None or front.spread.retry_budget.try_withdraw(self.now)):
             job.tries += 1
             job.avoid |= {process.name}
             self.counts["second tries"] += 1
-            return front.come(job)
-        self.finish(job, ending is Ending.SERVED)
+            return front.dispatch(job)
+        self.finish(job, ending is AttemptOutcome.SERVED)
 
-    def _let_go(self, job: Job, process: Process, ending: Ending, sent: float) -> None:
+    def _let_go(self, job: Job, process: Process, ending: AttemptOutcome, sent: float) -> None:
         front = job.front
         front.own[process.name] -= 1
         self.out[front.number, process.name].remove(job)
         if front.spread is not None:
-            front.spread.ended(self.now, process.name, sent, ending, PUSHBACK if ending is Ending.REFUSED else 0.0)
+            front.spread.attempt_ended(
+                self.now, process.name, sent, ending, PUSHBACK if ending is AttemptOutcome.REJECTED else 0.0
+            )
 
     def give_up(self, job: Job) -> None:
         """The front closes the connection: what waits is dropped, what runs is stopped."""
         process = job.process
         assert process is not None
-        self._let_go(job, process, Ending.LEFT, job.sent)
+        self._let_go(job, process, AttemptOutcome.ABANDONED, job.sent)
         self._account()
         self._count(process, -1)
         if job in process.waiting:
@@ -406,7 +410,7 @@
         self._count(process, -1)
         process.dead = True
         for job in [*process.waiting, *process.running.values()]:
-            self._answer(job, process, Ending.FAILED, None)
+            self._answer(job, process, AttemptOutcome.FAILED, None)
         process.waiting.clear()
         process.running.clear()
 
@@ -431,7 +435,7 @@
         if process.dead or process.stopped is not None or process.fails:
             return float("inf")
         speed = process.speed * process.factor * process.warm(self.now)
-        return wait(process.open + process.coming, process.slots, speed)
+        return queueing_cost(process.open + process.coming, process.slots, speed)
 
     def busiest(self, window: float = 1.0) -> float:
         """The mean over windows of the largest share of arrivals for its speed, where an even share is 1."""
--- a/lapishaven/load_balancing/endpoint_state.py
+++ b/lapishaven/load_balancing/endpoint_state.py
@@ -1,104 +1,159 @@
-"""What a chooser knows of one process: its last word, what was sent there since, and how that ended."""
+"""What a load balancer knows of one endpoint: its last report, what was sent there since, and how that ended."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from math import exp
 
-from lapishaven.load_balancing.failure_detector import Asked
-from lapishaven.load_balancing.load_report import LoadReport, newer
-from lapishaven.load_balancing.model import Ending, Rules
+from lapishaven.load_balancing.choice import AttemptOutcome
+from lapishaven.load_balancing.endpoint_cost import queueing_cost
+from lapishaven.load_balancing.failure_detector import OutstandingProbe
+from lapishaven.load_balancing.load_report import LoadReport, is_newer
+from lapishaven.load_balancing.rules import BalancingRules
 
-EVEN = 0.1  # how much the load counts where a slot is free all the same
-EXCESS = 1.5  # times what was expected that are chance; more is load that a process does not tell of
-LEARN, MOST_EXCESS = 0.15, 8.0
-IDLE = 0.5  # estimated in hand below which a process is without work, and is chosen before any other
-
-
-def wait(load: float, slots: int, speed: float) -> float:
-    """The cost of one more at a process with ``load`` in hand: how long it would wait there; where it would not wait,
-    how full the process is for its speed, which counts for less than any wait. So a free slot, also a slow one, comes
-    first, and one without any work before that."""
-    each = (load + 1) / slots
-    if load < IDLE:
-        return EVEN * EVEN * each / speed
-    return (max(0.0, each - 1.0) + EVEN * each) / speed
+NEVER = float("-inf")
+TOLERATED_SLOWDOWN = 1.5  # up to which slow requests are chance; more is load that the endpoint does not report
+SLOWDOWN_SMOOTHING = 0.15  # weight of a new sample
+MAX_SLOWDOWN_SAMPLE = 8.0
+MIN_DECAY_S = 1e-3
 
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """``at``: when the question was sent that the last word answers, so that what was sent later is not in it."""
+    """Times are in seconds of the caller's clock.
+
+    Attributes:
+        name: ``HOST:PORT``.
+        report: its last load report.
+        report_as_of: when that was asked for, so that no request sent later is counted in it.
+        heard: when anything last came from it.
+        unreported_sends: when each of our requests was sent that the last report cannot have counted.
+        open: our requests in flight there.
+        report_uses_left: requests that may still be sent on the strength of the cached report.
+        retry_after: the end of the time for which it asked to be left alone.
+        consecutive_failures: attempts that failed in a row.
+        ejections: in a row, without a served request between them.
+        ejected_until: the end of its last ejection.
+        on_trial: whether it gets one attempt at a time, after an ejection.
+        phantom_requests: until when each request that ended too soon counts as in flight.
+        asked: the probe that it has not answered.
+        suspected: since when it is suspected to be unresponsive.
+        expected_durations: how long each of our requests was expected to take, in durations of a typical one, by the
+            time that it was sent.
+        slowdown: how many times as long as expected its requests took, as a running mean.
+    """
 
     name: str
-    news: LoadReport | None = None
-    at: float = float("-inf")
-    heard: float = float("-inf")  # when anything last came from it
-    sends: list[float] = field(default_factory=list)  # of ours that the last word cannot have counted
-    open: int = 0  # of ours, in hand there
-    uses: int = 0  # of the last word, in the pool
-    away: float = float("-inf")  # pushed back until
-    faults: int = 0  # in a row
-    outs: int = 0
-    out: float = float("-inf")  # cast out until
-    trial: bool = False  # one attempt after a time out
-    ghosts: list[float] = field(default_factory=list)  # until when what ended too soon counts as in hand
-    asked: Asked | None = None
-    suspected: float | None = None  # since when
-    expected: dict[float, float] = field(default_factory=dict)  # usual spans that each of ours was to take, by its send
-    excess: float = 1.0  # how many times what was expected its requests took of late
-
-    def hear(self, now: float, asked: float, news: LoadReport | None) -> bool:
-        """A word that answers a question of ``asked``; whether it was news."""
+    report: LoadReport | None = None
+    report_as_of: float = NEVER
+    heard: float = NEVER
+    unreported_sends: list[float] = field(default_factory=list)
+    open: int = 0
+    report_uses_left: int = 0
+    retry_after: float = NEVER
+    consecutive_failures: int = 0
+    ejections: int = 0
+    ejected_until: float = NEVER
+    on_trial: bool = False
+    phantom_requests: list[float] = field(default_factory=list)
+    asked: OutstandingProbe | None = None
+    suspected: float | None = None
+    expected_durations: dict[float, float] = field(default_factory=dict)
+    slowdown: float = 1.0
+
+    def receive_report(self, now: float, as_of: float, report: LoadReport | None) -> bool:
+        """Record that something came, with or without a report that was asked for at ``as_of``; whether it was news."""
         self.heard = now
-        if news is None or not newer(news, self.news):
+        if report is None or not is_newer(report, self.report):
             return False
-        if self.news is not None and news.start != self.news.start:
-            self.faults = self.outs = 0
-            self.ghosts.clear()
-            self.out = self.away = float("-inf")
-        self.news, self.at = news, asked
-        self.sends = [sent for sent in self.sends if sent >= asked]
+        if self.report is not None and report.incarnation != self.report.incarnation:
+            self._forget_faults()
+        self.report = report
+        self.report_as_of = as_of
+        self.unreported_sends = [sent_at for sent_at in self.unreported_sends if sent_at >= as_of]
         return True
 
+    def _forget_faults(self) -> None:
+        """The process was restarted."""
+        self.consecutive_failures = 0
+        self.ejections = 0
+        self.phantom_requests.clear()
+        self.ejected_until = NEVER
+        self.retry_after = NEVER
+
+    def accepts_requests(self, now: float) -> bool:
+        """Whether it may be sent to, as far as its own words and its failures go."""
+        if self.is_draining() or self.retry_after > now or self.ejected_until > now:
+            return False
+        return not (self.on_trial and self.open)
+
+    def is_draining(self) -> bool:
+        """Whether it asked for no more requests."""
+        return self.report is not None and self.report.desired_share <= 0
+
+    def desired_share(self) -> float:
+        """The part of its full share of the requests that it asks for."""
+        return self.report.desired_share if self.report is not None else 1.0
+
     def slots(self) -> int:
-        return self.news.slots if self.news is not None else 1
+        """How many requests it works on at one time."""
+        return self.report.slots if self.report is not None else 1
 
-    def load(self, now: float, mean: float, usual: float, rules: Rules) -> float:
-        """Requests in hand there, as far as can be known: the last word falls towards ``mean`` (in hand for a slot)
-        with its age, what was sent since is on top, and so is what ended there too soon to be good."""
+    def estimated_load(self, now: float, load_per_slot: float, request_s: float, rules: BalancingRules) -> float:
+        """Its requests in flight, as far as can be known.
+
+        The last report decays towards the fleet's mean ``load_per_slot`` with its age. To that come our requests sent
+        since, those that ended too soon, and load that shows only in how long requests take.
+        """
         slots = self.slots()
-        if self.news is None:
-            told = mean * slots
+        if self.report is None:
+            reported = load_per_slot * slots
         else:
-            trust = exp(-max(0.0, now - self.at) / max(1e-3, rules.memory * usual))
-            told = trust * self.news.load + (1 - trust) * max(mean * slots, float(self.open))
-        if self.ghosts:
-            self.ghosts = [until for until in self.ghosts if until > now]
-        unsaid = max(0.0, self.excess - EXCESS) * slots
-        return told + len(self.sends) + len(self.ghosts) + unsaid
-
-    def cost(self, now: float, mean: float, speed: float, usual: float, rules: Rules) -> float:
-        """What another one would wait there; ``speed``: of those that do not know their own."""
-        own = self.news.speed if self.news is not None else 0.0
-        return wait(self.load(now, mean, usual, rules), self.slots(), own or speed)
-
-    def sent(self, now: float, mean: float, usual: float, rules: Rules) -> None:
-        self.expected[now] = max(1.0, (self.load(now, mean, usual, rules) + 1) / self.slots())
+            decay_s = max(MIN_DECAY_S, rules.report_decay_requests * request_s)
+            trust = exp(-max(0.0, now - self.report_as_of) / decay_s)
+            without_report = max(load_per_slot * slots, float(self.open))
+            reported = trust * self.report.weighted_load + (1 - trust) * without_report
+        if self.phantom_requests:
+            self.phantom_requests = [until for until in self.phantom_requests if until > now]
+        unreported = max(0.0, self.slowdown - TOLERATED_SLOWDOWN) * slots
+        return reported + len(self.unreported_sends) + len(self.phantom_requests) + unreported
+
+    def cost(
+        self, now: float, load_per_slot: float, mean_speed: float, request_s: float, rules: BalancingRules
+    ) -> float:
+        """The cost of one more request; ``mean_speed`` stands in where its own is not known."""
+        load = self.estimated_load(now, load_per_slot, request_s, rules)
+        return queueing_cost(load, self.slots(), self._own_speed() or mean_speed)
+
+    def _own_speed(self) -> float:
+        """0 while it is not known."""
+        return self.report.speed if self.report is not None else 0.0
+
+    def attempt_started(self, now: float, load_per_slot: float, request_s: float, rules: BalancingRules) -> None:
+        """A request was sent there."""
+        load = self.estimated_load(now, load_per_slot, request_s, rules)
+        self.expected_durations[now] = max(1.0, (load + 1) / self.slots())
         self.open += 1
-        self.sends.append(now)
-        self.uses -= 1
+        self.unreported_sends.append(now)
+        self.report_uses_left -= 1
 
-    def ended(self, now: float, sent: float, ending: Ending, usual: float, speed: float) -> None:
-        """An attempt that was sent at ``sent`` ended; ``speed``: the mean one."""
+    def attempt_ended(
+        self, now: float, sent_at: float, outcome: AttemptOutcome, request_s: float, mean_speed: float
+    ) -> None:
+        """The request that was sent at ``sent_at`` ended."""
         self.open = max(0, self.open - 1)
-        expected = self.expected.pop(sent, 1.0)
-        if sent in self.sends:
-            self.sends.remove(sent)
-        if ending is Ending.SERVED:
-            self.faults = self.outs = 0
-            own = self.news.speed if self.news is not None else 0.0
-            took = (now - sent) / (usual * (speed / own if own else 1.0)) if usual else 1.0
-            self.excess += LEARN * (min(took / expected, MOST_EXCESS) - self.excess)
-        elif ending is not Ending.LEFT:
-            # One that turns away or fails at once looks idle: what it did not do counts as if it were in hand.
-            self.ghosts.append(now + max(usual - (now - sent), 0.0) + usual)
+        expected = self.expected_durations.pop(sent_at, 1.0)
+        if sent_at in self.unreported_sends:
+            self.unreported_sends.remove(sent_at)
+        if outcome is AttemptOutcome.SERVED:
+            self._learn_slowdown(now - sent_at, expected, request_s, mean_speed)
+        elif outcome is not AttemptOutcome.ABANDONED:
+            # An endpoint that rejects or fails at once would look idle, so what it did not do counts as in flight.
+            self.phantom_requests.append(now + max(request_s - (now - sent_at), 0.0) + request_s)
+
+    def _learn_slowdown(self, duration_s: float, expected: float, request_s: float, mean_speed: float) -> None:
+        took = 1.0
+        if request_s:
+            own_speed = self._own_speed()
+            took = duration_s / (request_s * (mean_speed / own_speed if own_speed else 1.0))
+        self.slowdown += SLOWDOWN_SMOOTHING * (min(took / expected, MAX_SLOWDOWN_SAMPLE) - self.slowdown)
--- /dev/null
+++ b/lapishaven/load_balancing/endpoint_status.py
@@ -0,0 +1,49 @@
+"""What operators are shown of an endpoint. Its words are part of the metrics and of ``lapishaven spread status``."""
+
+from __future__ import annotations
+
+from enum import Enum
+from typing import Any
+
+from lapishaven.load_balancing.endpoint_state import EndpointState
+
+
+class EndpointStatus(Enum):
+    """Whether requests are sent there, and why not."""
+
+    OK = "ok"
+    UNRESPONSIVE = "silent"
+    EJECTED = "out"
+    RETRY_AFTER = "pushed back"  # it asked to be left alone for a while
+    DRAINING = "leaves"
+
+
+def status_of(now: float, endpoint: EndpointState, suspected: bool) -> EndpointStatus:
+    """The first reason that applies; ``suspected``: whether it is taken for unresponsive."""
+    if suspected:
+        return EndpointStatus.UNRESPONSIVE
+    if endpoint.ejected_until > now:
+        return EndpointStatus.EJECTED
+    if endpoint.retry_after > now:
+        return EndpointStatus.RETRY_AFTER
+    if endpoint.is_draining():
+        return EndpointStatus.DRAINING
+    return EndpointStatus.OK
+
+
+def describe(now: float, endpoint: EndpointState, suspected: bool, load: float, cost: float) -> dict[str, Any]:
+    """One row of ``spread status``, by its column names."""
+    report = endpoint.report
+    return {
+        "process": endpoint.name,
+        "standing": status_of(now, endpoint, suspected).value,
+        "in_hand": report.in_flight if report is not None else None,
+        "slots": endpoint.slots(),
+        "speed": round(report.speed, 2) if report is not None else None,
+        "warm": round(report.desired_share, 2) if report is not None else None,
+        "age_s": round(now - endpoint.report_as_of, 3) if report is not None else None,
+        "ours": endpoint.open,
+        "estimate": round(load, 2),
+        "cost": round(cost, 3),
+        "faults": endpoint.consecutive_failures,
+    }
--- a/lapishaven/load_balancing/failure_detector.py
+++ b/lapishaven/load_balancing/failure_detector.py
@@ -1,9 +1,9 @@
-"""Who is silent: judged by every question that is out to a process, whoever asked and for what.
+"""Detection of unresponsive endpoints by probes that go unanswered.
 
-An answer to a question is made by the process's loop at once, whatever it works at, so one that does not come within
-``Rules.silent`` is silence and no load. One that had been asked before it fell silent, and one that is asked because
-something of ours is in hand there, count alike. A suspect gets nothing but a question, less and less often, until any
-word comes from it. Where more than ``Rules.panic`` of those asked are silent it is this machine that is slow.
+An endpoint's event loop answers a probe at once, whatever it works on, so a missing answer means that its process does
+not run, and not that it is loaded. Probes for a choice and health checks count alike. A suspected endpoint gets nothing
+but probes, at growing intervals, until anything comes from it. When most probes go unanswered the fault is likely on
+this side, and nobody more is suspected.
 """
 
 from __future__ import annotations
@@ -15,115 +15,144 @@
 from random import Random
 from typing import Generic, Protocol, TypeVar
 
-from lapishaven.load_balancing.model import Rules
+from lapishaven.load_balancing.rules import BalancingRules
 
-RECENT = 32  # judgements by which panic is told
-AGAIN_MOST = 2.0  # s between questions to a suspect
-FAR = 6.0  # ways that an answer may take before it is late
-OFTEN = 0.75  # of a usual request's span, between questions to a process that has one in hand
+RECENT_PROBES = 32  # by which it is told whether most go unanswered
+MIN_RECENT_PROBES = RECENT_PROBES // 4
+MAX_PROBE_INTERVAL_S = 2.0  # to a suspected endpoint
+PROBE_BACKOFF = 1.5  # factor from one interval to the next
+TIMEOUT_IN_ONE_WAY_DELAYS = 6.0
+INTERVAL_IN_REQUESTS = 0.75  # of a typical request's duration, between probes of an endpoint that has one in flight
+CLOCK_TOLERANCE_S = 1e-9
+INTERVAL_TOLERANCE = 0.89  # below the least jitter of a check, so that a check that comes early still counts
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
-    """A question that waits for its answer."""
+class OutstandingProbe:
+    """A probe that waits for its answer. ``at``: when it was sent, in s. ``tries``: unanswered ones before it."""
 
     at: float
     tries: int = 0
 
 
 class Watched(Protocol):
-    """A process as far as its silence goes."""
+    """An endpoint as the failure detector sees it."""
 
-    heard: float  # when anything last came from it
-    open: int  # of ours, in hand there
-    asked: Asked | None
-    suspected: float | None  # since when
+    heard: float  # when anything last came from it, in s
+    open: int  # our requests in flight there
+    asked: OutstandingProbe | None
+    suspected: float | None  # since when, in s
 
 
-W = TypeVar("W", bound=Watched)
+Endpoint = TypeVar("Endpoint", bound=Watched)
 
 
-class FailureDetector(Generic[W]):
-    """Told of questions, words and attempts; ``due`` gives whom to ask and who fell silent."""
+class FailureDetector(Generic[Endpoint]):
+    """Is notified of probes, answers and requests; ``due`` gives whom to probe and who became unresponsive.
 
-    def __init__(self, rules: Rules, random: Random) -> None:
-        self._rules, self._random = rules, random
-        self._heap: list[tuple[float, int, W]] = []  # when to look at whom
-        self._count = 0
-        self._recent: deque[bool] = deque(maxlen=RECENT)  # whether each of the last questions went unanswered
-        self.suspects: set[W] = set()
+    Attributes:
+        suspects: endpoints that are suspected to be unresponsive.
+        panics: how often nobody was suspected because most probes went unanswered.
+        watch: s without an answer or report after which an endpoint with requests in flight is probed.
+        silent: s after which an unanswered probe makes its endpoint suspected.
+    """
+
+    def __init__(self, rules: BalancingRules, random: Random) -> None:
+        self._rules = rules
+        self._random = random
+        self._checks: list[tuple[float, int, Endpoint]] = []  # a heap: when to check, order of entry, whom
+        self._check_count = 0
+        self._recent_unanswered: deque[bool] = deque(maxlen=RECENT_PROBES)
+        self.suspects: set[Endpoint] = set()
         self.panics = 0
-        self.watch = rules.watch  # s, as it fits what a usual request takes
-        self.silent = rules.silent  # s, as it fits the way
+        self.watch = rules.watch_interval_s
+        self.silent = rules.probe_timeout_s
 
     def usual(self, span: float) -> None:
-        """What a usual request takes: no more than about one question is asked while it is in hand."""
-        self.watch = max(self._rules.watch, OFTEN * span)
+        """Fit the probe interval to the duration of a typical request, in s: about one probe for each of them."""
+        self.watch = max(self._rules.watch_interval_s, INTERVAL_IN_REQUESTS * span)
 
     def way(self, span: float) -> None:
-        """How long a question takes one way: where all answers come late, late is not silent."""
-        self.silent = max(self._rules.silent, FAR * span)
+        """Fit the probe timeout to the one-way network delay, in s: where all answers are late, late is no failure."""
+        self.silent = max(self._rules.probe_timeout_s, TIMEOUT_IN_ONE_WAY_DELAYS * span)
 
-    def _look(self, when: float, known: W) -> None:
-        self._count += 1
-        heappush(self._heap, (when, self._count, known))
+    def _schedule_check(self, when: float, endpoint: Endpoint) -> None:
+        self._check_count += 1
+        heappush(self._checks, (when, self._check_count, endpoint))
 
     @property
     def panic(self) -> bool:
-        return len(self._recent) >= RECENT // 4 and sum(self._recent) > self._rules.panic * len(self._recent)
-
-    def asked(self, now: float, known: W) -> None:
-        if known.asked is None:
-            known.asked = Asked(now)
-            self._look(now + self.silent, known)
-
-    def sent(self, now: float, known: W) -> None:
-        """Something of ours is in hand there from now on."""
-        self._look(now + self.watch * self._random.uniform(0.9, 1.1), known)
-
-    def heard(self, known: W) -> bool:
-        """Any word; whether it was a suspect until now."""
-        if known.asked is not None:
-            self._recent.append(False)
-            known.asked = None
-        known.suspected = None
-        was = known in self.suspects
-        self.suspects.discard(known)
-        return was
-
-    def forget(self, known: W) -> None:
-        self.suspects.discard(known)
-        known.asked = known.suspected = None
+        """Whether so many probes go unanswered that the fault is likely on this side."""
+        recent = self._recent_unanswered
+        return len(recent) >= MIN_RECENT_PROBES and sum(recent) > self._rules.panic_fraction * len(recent)
+
+    def asked(self, now: float, endpoint: Endpoint) -> None:
+        """The endpoint is probed."""
+        if endpoint.asked is None:
+            endpoint.asked = OutstandingProbe(now)
+            self._schedule_check(now + self.silent, endpoint)
+
+    def sent(self, now: float, endpoint: Endpoint) -> None:
+        """A request was sent to the endpoint."""
+        self._schedule_check(now + self.watch * self._random.uniform(0.9, 1.1), endpoint)
+
+    def heard(self, endpoint: Endpoint) -> bool:
+        """Anything came from the endpoint; whether it was suspected until now."""
+        if endpoint.asked is not None:
+            self._recent_unanswered.append(False)
+            endpoint.asked = None
+        endpoint.suspected = None
+        was_suspected = endpoint in self.suspects
+        self.suspects.discard(endpoint)
+        return was_suspected
+
+    def forget(self, endpoint: Endpoint) -> None:
+        """The endpoint was removed."""
+        self.suspects.discard(endpoint)
+        endpoint.asked = None
+        endpoint.suspected = None
 
     def next_at(self) -> float:
-        return self._heap[0][0] if self._heap else float("inf")
-
-    def due(self, now: float, there: Callable[[W], bool]) -> tuple[list[W], list[W]]:
-        """Whom to ask now, and who has just fallen silent. ``there``: whether it is still a member."""
-        ask: list[W] = []
-        fell: list[W] = []
-        while self._heap and self._heap[0][0] <= now:
-            known = heappop(self._heap)[2]
-            if not there(known):
+        """When ``due`` should be called next, in s; infinite if there is nothing to check."""
+        return self._checks[0][0] if self._checks else float("inf")
+
+    def due(self, now: float, there: Callable[[Endpoint], bool]) -> tuple[list[Endpoint], list[Endpoint]]:
+        """Whom to probe now, and who has just become unresponsive. ``there``: whether an endpoint still exists."""
+        to_probe: list[Endpoint] = []
+        newly_suspected: list[Endpoint] = []
+        while self._checks and self._checks[0][0] <= now:
+            endpoint = heappop(self._checks)[2]
+            if not there(endpoint):
                 continue
-            asked = known.asked
-            if asked is not None and now - asked.at >= self.silent - 1e-9:
-                self._recent.append(True)
-                if known not in self.suspects:
-                    if self.panic:
-                        self.panics += 1
-                    else:
-                        known.suspected = asked.at
-                        self.suspects.add(known)
-                        fell.append(known)
-                known.asked = Asked(now, asked.tries + 1)
-                ask.append(known)
-                span = min(AGAIN_MOST, self.silent * 1.5 ** (asked.tries + 1))
-                self._look(now + span * self._random.uniform(0.8, 1.2), known)
-            elif asked is None and known.open and now - known.heard >= self.watch * 0.89:
-                known.asked = Asked(now)
-                ask.append(known)
-                self._look(now + self.silent, known)
-            elif asked is None and known.open:
-                self._look(known.heard + self.watch * self._random.uniform(0.9, 1.1), known)
-        return ask, fell
+            probe = endpoint.asked
+            if probe is not None:
+                if now - probe.at >= self.silent - CLOCK_TOLERANCE_S:
+                    if self._probe_timed_out(endpoint, probe):
+                        newly_suspected.append(endpoint)
+                    self._probe_again(now, endpoint, probe)
+                    to_probe.append(endpoint)
+            elif endpoint.open and now - endpoint.heard >= self.watch * INTERVAL_TOLERANCE:
+                self.asked(now, endpoint)
+                to_probe.append(endpoint)
+            elif endpoint.open:
+                jitter = self._random.uniform(0.9, 1.1)
+                self._schedule_check(endpoint.heard + self.watch * jitter, endpoint)
+        return to_probe, newly_suspected
+
+    def _probe_timed_out(self, endpoint: Endpoint, probe: OutstandingProbe) -> bool:
+        """Whether the endpoint is suspected from now on, and was not before."""
+        self._recent_unanswered.append(True)
+        if endpoint in self.suspects:
+            return False
+        if self.panic:
+            self.panics += 1
+            return False
+        endpoint.suspected = probe.at
+        self.suspects.add(endpoint)
+        return True
+
+    def _probe_again(self, now: float, endpoint: Endpoint, probe: OutstandingProbe) -> None:
+        tries = probe.tries + 1
+        endpoint.asked = OutstandingProbe(now, tries)
+        interval_s = min(MAX_PROBE_INTERVAL_S, self.silent * PROBE_BACKOFF**tries)
+        self._schedule_check(now + interval_s * self._random.uniform(0.8, 1.2), endpoint)
--- a/lapishaven/load_balancing/load_reporter.py
+++ b/lapishaven/load_balancing/load_reporter.py
@@ -1,84 +1,112 @@
-"""What a process says of itself: in hand by class, measured speed, how warm it is, whether it leaves. Pure."""
+"""Measures what a process reports of itself: load by class, speed, slow start, failures. Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from math import exp
 
-from lapishaven.load_balancing.load_report import U8, LoadReport
+from lapishaven.load_balancing.load_report import MAX_U8, LoadReport
 
-MEMORY = 10.0  # s over which speed is measured
-ENOUGH = 1.0  # s of a slot's work before a speed is told
-CLASS = 0.05  # part that a run counts in its class's mean
-FAILING = 0.1  # part that a run counts in what is told of failures
-LEAST = 1.0 / U8  # of its share, which one that fails throughout still wants: else it would never be heard of again
-FORGIVEN = 5.0  # s in which that falls to a third with nothing run
+SPEED_WINDOW_S = 10.0  # over which speed is measured
+MIN_SLOT_SECONDS = 1.0  # of work before a speed is reported
+DURATION_SMOOTHING = 0.05  # weight of a new run in the mean duration of its class
+FAILURE_SMOOTHING = 0.1  # weight of a new run in the part of runs that fail
+FAILURE_DECAY_S = 5.0  # in which that part falls to 1/e when nothing runs
+MIN_SHARE = 1.0 / MAX_U8  # asked for even if every run fails: without requests it could not recover
 
 
 class LoadReporter:
-    """Told of every run's start and end. ``start``: drawn for this life. ``warm_span``: s until it wants its full
-    share, from ``warm_from`` of it at first; 0 where it starts warm."""
+    """Is notified of every run's start and end, and makes reports.
 
-    def __init__(self, start: int, slots: int, now: float, warm_from: float = 1.0, warm_span: float = 0.0) -> None:
-        self._start, self._slots, self._born = start, slots, now
-        self._warm_from, self._warm_span = warm_from, warm_span
-        self._number = 0
-        self._since = now
-        self._busy = self._done = 0.0  # slot seconds and usual requests, both forgotten alike
-        self._running: dict[str, tuple[int, float]] = {}
-        self._spans: dict[int, float] = {}  # mean span of a class's runs
-        self._usual = 0.0
+    Parameters:
+        incarnation: drawn for this start of the process.
+        slots: requests that it works on at one time.
+        now: the current time in s.
+        warm_from: the part of its full share that it asks for at first.
+        warm_span: s of slow start, after which it asks for its full share; 0 for no slow start.
+    """
+
+    def __init__(
+        self, incarnation: int, slots: int, now: float, warm_from: float = 1.0, warm_span: float = 0.0
+    ) -> None:
+        self._incarnation = incarnation
+        self._slots = slots
+        self._started_at = now
+        self._initial_share = warm_from
+        self._slow_start_s = warm_span
+        self._sequence = 0
+        self._updated_at = now
+        # Slot seconds of work and the typical requests served in them; both decay alike.
+        self._busy_slot_s = 0.0
+        self._served = 0.0
+        self._running: dict[str, tuple[int, float]] = {}  # class and start by run
+        self._class_duration_s: dict[int, float] = {}
+        self._typical_duration_s = 0.0  # 0 while nothing was served
         self._failing = 0.0  # part of the last runs that failed
-        self.leaving = False
+        self.draining = False
 
-    def _flow(self, now: float) -> None:
-        span = now - self._since
-        if span > 0:
-            kept = max(0.0, 1.0 - span / MEMORY)
-            self._busy = self._busy * kept + span * min(self._slots, len(self._running))
-            self._done *= kept
-            self._failing *= exp(-span / FORGIVEN)
-            self._since = now
+    def _decay(self, now: float) -> None:
+        elapsed_s = now - self._updated_at
+        if elapsed_s <= 0:
+            return
+        remaining = max(0.0, 1.0 - elapsed_s / SPEED_WINDOW_S)
+        self._busy_slot_s = self._busy_slot_s * remaining + elapsed_s * min(self._slots, len(self._running))
+        self._served *= remaining
+        self._failing *= exp(-elapsed_s / FAILURE_DECAY_S)
+        self._updated_at = now
 
-    def size(self, cls: int) -> float:
-        """What a request of the class counts beside a usual one."""
-        return self._spans.get(cls, self._usual) / self._usual if self._usual else 1.0
+    def relative_cost(self, class_index: int) -> float:
+        """The duration of a request of the class, in durations of a typical one."""
+        if not self._typical_duration_s:
+            return 1.0
+        return self._class_duration_s.get(class_index, self._typical_duration_s) / self._typical_duration_s
 
-    def started(self, now: float, handle: str, cls: int) -> None:
-        self._flow(now)
-        self._running[handle] = cls, now
+    def run_started(self, now: float, handle: str, class_index: int) -> None:
+        """A run of the class began; ``handle`` names it until it ends."""
+        self._decay(now)
+        self._running[handle] = class_index, now
 
-    def ended(self, now: float, handle: str, served: bool, failed: bool) -> None:
-        """A run that was stopped is neither served nor failed."""
-        self._flow(now)
-        found = self._running.pop(handle, None)
-        if found is None:
-            return
-        self._failing += FAILING * (float(failed) - self._failing)
-        if not served:
+    def run_ended(self, now: float, handle: str, served: bool, failed: bool) -> None:
+        """A run ended. One that was cancelled is neither served nor failed."""
+        self._decay(now)
+        run = self._running.pop(handle, None)
+        if run is None:
             return
-        cls, began = found
-        span = now - began
-        known = self._spans.get(cls, span)
-        self._spans[cls] = known + CLASS * (span - known)
-        self._usual += CLASS * (span - self._usual) if self._usual else span
-        self._done += self.size(cls)
+        self._failing += FAILURE_SMOOTHING * (float(failed) - self._failing)
+        if served:
+            class_index, started_at = run
+            self._learn_duration(class_index, now - started_at)
 
-    def news(self, now: float, in_hand: Mapping[int, int]) -> LoadReport:
-        """``in_hand``: how many requests it has of each class, waiting or running."""
-        self._flow(now)
-        self._number += 1
-        speed = self._done / self._busy if self._busy >= ENOUGH else 0.0
-        warm = 1.0
-        if self._warm_span:
-            age = (now - self._born) / self._warm_span
-            warm = min(1.0, self._warm_from + (1.0 - self._warm_from) * age)
+    def _learn_duration(self, class_index: int, duration_s: float) -> None:
+        mean_s = self._class_duration_s.get(class_index, duration_s)
+        self._class_duration_s[class_index] = mean_s + DURATION_SMOOTHING * (duration_s - mean_s)
+        if self._typical_duration_s:
+            self._typical_duration_s += DURATION_SMOOTHING * (duration_s - self._typical_duration_s)
+        else:
+            self._typical_duration_s += duration_s
+        self._served += self.relative_cost(class_index)
+
+    def report(self, now: float, in_flight: Mapping[int, int]) -> LoadReport:
+        """The next report; ``in_flight``: how many requests of each class are queued or running."""
+        self._decay(now)
+        self._sequence += 1
+        weighted_load = sum(count * self.relative_cost(class_index) for class_index, count in in_flight.items())
+        speed = self._served / self._busy_slot_s if self._busy_slot_s >= MIN_SLOT_SECONDS else 0.0
         return LoadReport(
-            self._start,
-            self._number,
-            sum(in_hand.values()),
-            sum(n * self.size(cls) for cls, n in in_hand.items()),
+            self._incarnation,
+            self._sequence,
+            sum(in_flight.values()),
+            weighted_load,
             self._slots,
             speed,
-            0.0 if self.leaving else max(warm * (1.0 - self._failing), LEAST),
+            self._desired_share(now),
         )
+
+    def _desired_share(self, now: float) -> float:
+        if self.draining:
+            return 0.0
+        share = 1.0
+        if self._slow_start_s:
+            age = (now - self._started_at) / self._slow_start_s
+            share = min(1.0, self._initial_share + (1.0 - self._initial_share) * age)
+        return max(share * (1.0 - self._failing), MIN_SHARE)
--- a/lapishaven/load_balancing/retry_budget.py
+++ b/lapishaven/load_balancing/retry_budget.py
@@ -1,29 +1,35 @@
-"""How many second tries there may be: a part of the first ones, more for a while after several fell silent at once."""
+"""How many retries there may be, as a part of the first attempts: a token bucket like Finagle's ``RetryBudget``."""
 
 from __future__ import annotations
 
-from lapishaven.load_balancing.model import Rules
+from lapishaven.load_balancing.rules import BalancingRules
 
-MOST = 20.0  # second tries that may be saved up
-START = 1.0
+MAX_BALANCE = 20.0  # retries that may be saved up
+INITIAL_BALANCE = 1.0
 
 
 class RetryBudget:
-    def __init__(self, rules: Rules) -> None:
-        self._rules, self._left, self._high = rules, START, float("-inf")
-
-    def first(self, now: float) -> None:
-        part = self._rules.budget_high if now < self._high else self._rules.budget
-        self._left = min(MOST, self._left + part)
-
-    def raised(self, now: float, silent: int) -> None:
-        """So many are silent: what waits on them may be tried elsewhere, for a bounded time."""
-        if silent > 1 and now >= self._high:
-            self._high = now + self._rules.high_span
-            self._left = max(self._left, MOST / 2)
-
-    def take(self, now: float) -> bool:
-        if self._left < 1.0:
+    """Each first attempt deposits ``retry_ratio`` of a retry, and each retry withdraws one."""
+
+    def __init__(self, rules: BalancingRules) -> None:
+        self._rules = rules
+        self._balance = INITIAL_BALANCE
+        self._raised_until = float("-inf")
+
+    def deposit(self, now: float) -> None:
+        """A first attempt is made."""
+        ratio = self._rules.raised_retry_ratio if now < self._raised_until else self._rules.retry_ratio
+        self._balance = min(MAX_BALANCE, self._balance + ratio)
+
+    def raise_ratio(self, now: float, suspects: int) -> None:
+        """Allow more retries for a while if several endpoints are unresponsive, as what waits on them is retried."""
+        if suspects > 1 and now >= self._raised_until:
+            self._raised_until = now + self._rules.raised_ratio_s
+            self._balance = max(self._balance, MAX_BALANCE / 2)
+
+    def try_withdraw(self, now: float) -> bool:
+        """Whether a retry may be made; if so it is paid for."""
+        if self._balance < 1.0:
             return False
-        self._left -= 1.0
+        self._balance -= 1.0
         return True
--- a/lapishaven/load_balancing/weighted_sampler.py
+++ b/lapishaven/load_balancing/weighted_sampler.py
@@ -1,8 +1,8 @@
-"""Drawing one of many by weight, with weights that change with every word heard.
+"""Sampling by weight with weights that change all the time.
 
-By rejection: a member is drawn evenly and taken with its weight over the largest. A change is one store, a draw takes
-as many turns as the largest weight is over the mean one (two or three for boxes of 0.5 to 1.3), whatever the size;
-``benchmarks/spread.py`` has it beside a scan, an alias table and a tree.
+By rejection: an item is drawn evenly and accepted with its weight over the largest. A change of weight is one store; a
+draw takes as many rounds as the largest weight is over the mean one, whatever the number of items.
+``benchmarks/spread.py`` compares it with a scan, an alias table and a tree.
 """
 
 from __future__ import annotations
@@ -10,64 +10,70 @@
 from collections.abc import Iterable
 from random import Random
 
-TURNS = 64  # after which the last one drawn is taken all the same
+MAX_ROUNDS = 64  # after which the last item drawn is accepted
 
 
 class WeightedSampler:
-    """Members by name, each with a weight above 0."""
+    """Items by name, each with a weight above 0."""
 
     def __init__(self) -> None:
         self._names: list[str] = []
         self._weights: list[float] = []
-        self._places: dict[str, int] = {}
-        self._most = 0.0
-        self._lowered = 0  # changes since the largest weight was looked for
+        self._positions: dict[str, int] = {}
+        self._max_weight = 0.0  # or more, until it is looked up again
+        self._decreases = 0  # removals and lowered weights since then
 
     def __len__(self) -> int:
         return len(self._names)
 
     def __contains__(self, name: object) -> bool:
-        return name in self._places
+        return name in self._positions
 
-    def put(self, name: str, weight: float) -> None:
-        place = self._places.get(name)
-        if place is None:
-            self._places[name] = len(self._names)
+    def set_weight(self, name: str, weight: float) -> None:
+        """Add an item, or change its weight."""
+        position = self._positions.get(name)
+        if position is None:
+            self._positions[name] = len(self._names)
             self._names.append(name)
             self._weights.append(weight)
         else:
-            old, self._weights[place] = self._weights[place], weight
-            self._lowered += weight < old
-        self._most = max(self._most, weight)
-        self._look()
+            self._decreases += weight < self._weights[position]
+            self._weights[position] = weight
+        self._max_weight = max(self._max_weight, weight)
+        self._refresh_max_weight()
 
-    def drop(self, name: str) -> None:
-        """The last one takes its place."""
-        place = self._places.pop(name, None)
-        if place is None:
+    def remove(self, name: str) -> None:
+        """Take an item away, if it is there. The last item moves to its position."""
+        position = self._positions.pop(name, None)
+        if position is None:
             return
-        last, weight = self._names.pop(), self._weights.pop()
-        if last != name:
-            self._names[place], self._places[last], self._weights[place] = last, place, weight
-        self._lowered += 1
-        self._look()
+        last_name = self._names.pop()
+        last_weight = self._weights.pop()
+        if last_name != name:
+            self._names[position] = last_name
+            self._weights[position] = last_weight
+            self._positions[last_name] = position
+        self._decreases += 1
+        self._refresh_max_weight()
 
-    def _look(self) -> None:
-        """The largest weight may be too large for a while, which costs turns and nothing else."""
-        if self._lowered > len(self._weights):
-            self._most, self._lowered = max(self._weights, default=0.0), 0
+    def _refresh_max_weight(self) -> None:
+        """Look up the largest weight once in a while: one that is too large costs rounds and nothing else."""
+        if self._decreases > len(self._weights):
+            self._max_weight = max(self._weights, default=0.0)
+            self._decreases = 0
 
     def names(self) -> Iterable[str]:
+        """All items."""
         return iter(self._names)
 
-    def take(self, random: Random) -> str:
-        """One by weight; ``IndexError`` where there is none."""
-        names, weights, most = self._names, self._weights, self._most
+    def sample(self, random: Random) -> str:
+        """An item at random by weight. Raises ``IndexError`` if there are none."""
+        names, weights, max_weight = self._names, self._weights, self._max_weight
         count = len(names)
         if not count:
-            raise IndexError("nothing to draw from")
-        for _ in range(TURNS):
-            place = int(random.random() * count)
-            if random.random() * most <= weights[place]:
+            raise IndexError("nothing to sample from")
+        for _ in range(MAX_ROUNDS):
+            position = int(random.random() * count)
+            if random.random() * max_weight <= weights[position]:
                 break
-        return names[place]
+        return names[position]
--- a/lapishaven/proto/load.py
+++ b/lapishaven/proto/load.py
@@ -13,23 +13,23 @@
 LENGTH = HEAD.size + WORD_LIMIT
 
 
-def ask(id: int) -> bytes:
+def encode_probe(id: int) -> bytes:
     """A question; ``id`` comes back with its answer."""
     return HEAD.pack(ASK, id).ljust(LENGTH, b"\0")
 
 
-def asked(data: bytes) -> int:
+def decode_probe(data: bytes) -> int:
     """The id of a question; raises ``ProtocolError``."""
     if len(data) != LENGTH or data[:4] != ASK:
         raise ProtocolError("no question for the load")
     return int(HEAD.unpack_from(data)[1])
 
 
-def answer(id: int, word: bytes) -> bytes:
+def encode_answer(id: int, word: bytes) -> bytes:
     return HEAD.pack(ANSWER, id) + word[:WORD_LIMIT]
 
 
-def answered(data: bytes) -> tuple[int, bytes]:
+def decode_answer(data: bytes) -> tuple[int, bytes]:
     """The id and the word of an answer; raises ``ProtocolError``."""
     if not HEAD.size < len(data) <= LENGTH or data[:4] != ANSWER:
         raise ProtocolError("no answer to a question for the load")
--- a/lapishaven/server.py
+++ b/lapishaven/server.py
@@ -43,7 +43,7 @@
 if TYPE_CHECKING:
     from lapishaven.backends.load_balanced import LoadBalancedBackend
     from lapishaven.frontends.load_endpoint import LoadEndpoint
-    from lapishaven.load_balancing.settings import Settings as SpreadSettings
+    from lapishaven.load_balancing.settings import BalancingSettings as SpreadSettings
     from lapishaven.pools import Pools, PoolSettings
 
 RESERVE = 32  # descriptors for the program itself: streams, epoll, doors, links and those on their way out
@@ -128,7 +128,7 @@
             # Not the same in another life of the same configuration: the interpreter still knows the names of its runs.
             random = Random(f"{config.seed}/{os.getpid()}/{time.time_ns()}")
             self.load = self._load_door(front) if front.load else None
-            word = self.load.word if self.load is not None else None
+            word = self.load.header_value if self.load is not None else None
             self.listeners.append(
                 self._listen(front.listen, lambda sock: uwsgi.Session(self, sock, front, random, word))
             )
@@ -197,7 +197,7 @@
             if not self.draining:
                 self.listeners[0].open()
             if self.load is not None:
-                self.load.up(
+                self.load.start_reporting(
                     settings.slow_start_initial_speed if cold else 1.0,
                     settings.slow_start_span - up_for if cold else 0.0,
                 )
@@ -212,7 +212,7 @@
 
     def finished(self, handle: str, outcome: Outcome, spent: float, result: bytes) -> None:
         if self.load is not None:
-            self.load.ended(handle, outcome)
+            self.load.run_ended(handle, outcome)
         if self.broker is not None:
             self.broker.finished(handle, outcome, spent, result)
 
@@ -227,7 +227,7 @@
         elif self.fleet is not None and event == "answered":
             self.fleet.request_not_served(detail == AnswerKind.REJECTED.value)
         if self.load is not None and event == "started":
-            self.load.started(sub.attempt_id, sub.class_index)
+            self.load.run_started(sub.attempt_id, sub.class_index)
         if self.store is not None:
             cls = self.config.settings.classes[sub.class_index].name
             self.store.record(LogEntry(event, sub.attempt_id, cls, sub.idempotency_key, sub.team, sub.service, detail))
@@ -305,7 +305,7 @@
         if files.backend is not None:
             moves["uwsgi"] = files.backend.address
         if files.spread is not None and self.spreading is not None:
-            self.spreading.take(files.spread.addresses)
+            self.spreading.set_addresses(files.spread.addresses)
         for name, driver in self.drivers.items():
             if name in moves:
                 driver.change_address(moves[name])
@@ -333,7 +333,7 @@
         if self.fleet is not None:
             self.fleet.drain()
         if self.load is not None:
-            self.load.leave()
+            self.load.drain()
         if self.config.inherited is not None:
             # An upgrade: the new process serves the shared socket and reports to the catalog from now on.
             self.listeners[0].close()
@@ -390,7 +390,7 @@
         if self.keeper is not None:
             self.counters.groups[self.keeper.label] = Counter(self.keeper.state())
         if self.spreading is not None:
-            self.counters.groups["spread choices"] = Counter(self.spreading.spread.counts)
+            self.counters.groups["spread choices"] = Counter(self.spreading.balancer.counts)
         if self.fleet is not None:
             self.counters.groups["ownership"] = Counter(self.fleet.state())
         self.log(self.counters.line())
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -4,6 +4,7 @@
 
 from collections import Counter
 from contextlib import suppress
+from dataclasses import fields
 from pathlib import Path
 from random import Random
 
@@ -13,43 +14,46 @@
 
 from lapishaven.lab.load_balancing_cases import AT, CASES, build, play
 from lapishaven.load_balancing import (
+    AttemptOutcome,
+    BalancingRules,
     Choice,
-    Ending,
     LoadBalancer,
     LoadReport,
     LoadReportError,
-    Rules,
+    decode,
+    encode,
+    is_newer,
     load_report,
-    newer,
-    pack,
-    unpack,
 )
-from lapishaven.load_balancing.endpoint_state import EndpointState, wait
+from lapishaven.load_balancing.endpoint_cost import queueing_cost
+from lapishaven.load_balancing.endpoint_state import EndpointState
 from lapishaven.load_balancing.load_reporter import LoadReporter
 from lapishaven.load_balancing.retry_budget import RetryBudget
-from lapishaven.load_balancing.settings import SpreadError, load
+from lapishaven.load_balancing.settings import NUMBERS, BalancingSettingsError, load_settings
 from lapishaven.load_balancing.weighted_sampler import WeightedSampler
 from lapishaven.proto import ProtocolError
-from lapishaven.proto import load as questions
+from lapishaven.proto import load as load_protocol
 
 
-def word(number: int, open_: int, start: int = 1, slots: int = 4, speed: float = 1.0, warm: float = 1.0) -> LoadReport:
+def new_report(
+    number: int, open_: int, start: int = 1, slots: int = 4, speed: float = 1.0, warm: float = 1.0
+) -> LoadReport:
     return LoadReport(start, number, open_, float(open_), slots, speed, warm)
 
 
-def chooser(count: int = 4, **rules: float) -> LoadBalancer:
-    spread = LoadBalancer(Rules(**rules), Random(3))  # type: ignore[arg-type]
-    spread.members(f"p{n}" for n in range(count))
-    return spread
+def new_balancer(count: int = 4, **rules: float) -> LoadBalancer:
+    balancer = LoadBalancer(BalancingRules(**rules), Random(3))  # type: ignore[arg-type]
+    balancer.set_endpoints(f"p{n}" for n in range(count))
+    return balancer
 
 
-def choose(spread: LoadBalancer, now: float, loads: dict[str, LoadReport]) -> str | None:
+def choose(balancer: LoadBalancer, now: float, loads: dict[str, LoadReport]) -> str | None:
     """A choice whose questions are answered 1 ms later, by those that are in ``loads``."""
-    choice = spread.begin(now)
-    for probe in choice.ask:
-        if probe.name in loads:
-            spread.heard(now + 0.001, probe.id, loads[probe.name])
-    return spread.settle(now + 0.001 if choice.complete else choice.until, choice)
+    choice = balancer.begin_choice(now)
+    for probe in choice.probes:
+        if probe.endpoint in loads:
+            balancer.receive_probe_answer(now + 0.001, probe.probe_id, loads[probe.endpoint])
+    return balancer.finish_choice(now + 0.001 if choice.complete else choice.deadline, choice)
 
 
 # ---- Words
@@ -67,51 +71,55 @@
 ) -> None:
     """Guards the wire: 15 bytes, 20 characters, each figure within a step."""
     said = LoadReport(start, number, open_, load_, slots, speed, warm)
-    for back in (unpack(pack(said)), load_report.parse(load_report.text(said))):
-        assert (back.start, back.number, back.open, back.slots) == (start, number, open_, slots)
-        assert abs(back.load - load_) <= 1 / 32 and abs(back.warm - warm) <= 1 / 255
+    for back in (decode(encode(said)), load_report.decode_text(load_report.encode_text(said))):
+        assert (back.incarnation, back.sequence, back.in_flight, back.slots) == (start, number, open_, slots)
+        assert abs(back.weighted_load - load_) <= 1 / 32 and abs(back.desired_share - warm) <= 1 / 255
         assert abs(back.speed / speed - 1) < 0.03
-    assert len(pack(said)) <= 32 and len(load_report.text(said)) <= 32
+    assert len(encode(said)) <= 32 and len(load_report.encode_text(said)) <= 32
 
 
 @given(st.binary(max_size=64))
 def test_no_bytes_break_the_reading_of_words_and_questions(data: bytes) -> None:
     """Guards the loop from what strangers send to an open UDP port."""
-    for read in (unpack, questions.asked, questions.answered):
+    for read in (decode, load_protocol.decode_probe, load_protocol.decode_answer):
         with suppress(LoadReportError, ProtocolError):
             read(data)  # type: ignore[operator]
     with suppress(LoadReportError):
-        load_report.parse(data.decode("latin-1"))
-    assert len(questions.answer(1, pack(word(1, 1)))) <= len(questions.ask(1))  # no flood through an answer
+        load_report.decode_text(data.decode("latin-1"))
+    assert len(load_protocol.encode_answer(1, encode(new_report(1, 1)))) <= len(
+        load_protocol.encode_probe(1)
+    )  # no flood through an answer
 
 
 def test_old_words_are_told_from_new_ones_also_over_a_restart_and_a_wrap() -> None:
     """Guards against a late word that undoes a newer one."""
     known = EndpointState("p")
-    assert known.hear(1.0, 0.9, word(5, 3)) and not known.hear(1.1, 1.0, word(4, 9))
-    assert known.news is not None and known.news.open == 3
-    assert known.hear(1.2, 1.1, word(1, 0, start=2))
-    assert newer(word(2, 0), word(2**32 - 3, 0)) and not newer(word(2**32 - 3, 0), word(2, 0))
+    assert known.receive_report(1.0, 0.9, new_report(5, 3)) and not known.receive_report(1.1, 1.0, new_report(4, 9))
+    assert known.report is not None and known.report.in_flight == 3
+    assert known.receive_report(1.2, 1.1, new_report(1, 0, start=2))
+    assert is_newer(new_report(2, 0), new_report(2**32 - 3, 0)) and not is_newer(
+        new_report(2**32 - 3, 0), new_report(2, 0)
+    )
 
 
 def test_what_was_sent_since_the_question_is_on_top_and_old_news_falls_to_the_mean() -> None:
     """Guards against herds of one's own: a burst must not all go to what was empty a moment ago."""
-    known, rules = EndpointState("p"), Rules(memory=1.0)
-    known.hear(1.0, 0.9, word(1, 0))
+    known, rules = EndpointState("p"), BalancingRules(report_decay_requests=1.0)
+    known.receive_report(1.0, 0.9, new_report(1, 0))
     for n in range(3):
-        known.sent(1.0 + n / 1000, 0.5, 1.0, rules)
-    assert 2.5 < known.load(1.01, 0.5, 1.0, rules) < 3.5
-    known.hear(1.2, 1.1, word(2, 3))  # counts them
-    assert 2.5 < known.load(1.2, 0.5, 1.0, rules) < 3.5
+        known.attempt_started(1.0 + n / 1000, 0.5, 1.0, rules)
+    assert 2.5 < known.estimated_load(1.01, 0.5, 1.0, rules) < 3.5
+    known.receive_report(1.2, 1.1, new_report(2, 3))  # counts them
+    assert 2.5 < known.estimated_load(1.2, 0.5, 1.0, rules) < 3.5
     for n in range(3):
-        known.ended(1.3, 1.0 + n / 1000, Ending.SERVED, 1.0, 1.0)
-    known.excess = 1.0
-    assert abs(known.load(100.0, 0.5, 1.0, rules) - 2.0) < 0.01  # nothing is known any more: as all are
+        known.attempt_ended(1.3, 1.0 + n / 1000, AttemptOutcome.SERVED, 1.0, 1.0)
+    known.slowdown = 1.0
+    assert abs(known.estimated_load(100.0, 0.5, 1.0, rules) - 2.0) < 0.01  # nothing is known any more: as all are
 
 
 def test_a_free_slot_comes_before_any_wait_and_an_empty_process_before_that() -> None:
     """Guards against idle slow boxes beside requests that wait on fast ones."""
-    assert wait(0, 4, 0.5) < wait(2, 4, 1.3) < wait(3, 4, 0.5) < wait(4, 4, 1.3)
+    assert queueing_cost(0, 4, 0.5) < queueing_cost(2, 4, 1.3) < queueing_cost(3, 4, 0.5) < queueing_cost(4, 4, 1.3)
 
 
 # ---- Draws
@@ -122,21 +130,21 @@
 )
 def test_draws_follow_the_weights_through_changes(steps: list[tuple[int, float, bool]], seed: int) -> None:
     """Guards the structure: places that are moved by a removal, a largest weight that is gone."""
-    draw, model = WeightedSampler(), dict[str, float]()
+    sampler, model = WeightedSampler(), dict[str, float]()
     for number, weight, keep in steps:
         if keep:
-            draw.put(str(number), weight)
+            sampler.set_weight(str(number), weight)
             model[str(number)] = weight
         else:
-            draw.drop(str(number))
+            sampler.remove(str(number))
             model.pop(str(number), None)
-    assert sorted(draw.names()) == sorted(model) and len(draw) == len(model)
+    assert sorted(sampler.names()) == sorted(model) and len(sampler) == len(model)
     random = Random(seed)
     if not model:
         with pytest.raises(IndexError):
-            draw.take(random)
+            sampler.sample(random)
         return
-    counts = Counter(draw.take(random) for _ in range(4000))
+    counts = Counter(sampler.sample(random) for _ in range(4000))
     for name, weight in model.items():
         part = weight / sum(model.values())
         assert abs(counts[name] / 4000 - part) < 0.05
@@ -145,28 +153,28 @@
 # ---- Choices
 def test_the_emptier_of_those_asked_gets_it_and_choosers_that_start_alike_do_not_act_alike() -> None:
     """Guards the choice itself, and against all choosers of a second following one order."""
-    loads = {f"p{n}": word(1, 8 - n) for n in range(8)}
-    spread = chooser(8, pool=0)
+    loads = {f"p{n}": new_report(1, 8 - n) for n in range(8)}
+    balancer = new_balancer(8, cached_reports=0)
     for n in range(40):
-        asked = spread.begin(n * 1.0)
-        for probe in asked.ask:
-            spread.heard(n * 1.0, probe.id, word(n + 2, 8 - int(probe.name[1:])))
-        assert spread.settle(n * 1.0, asked) == max(probe.name for probe in asked.ask)
+        asked = balancer.begin_choice(n * 1.0)
+        for probe in asked.probes:
+            balancer.receive_probe_answer(n * 1.0, probe.probe_id, new_report(n + 2, 8 - int(probe.endpoint[1:])))
+        assert balancer.finish_choice(n * 1.0, asked) == max(probe.endpoint for probe in asked.probes)
     firsts = Counter()
     for seed in range(400):
-        other = LoadBalancer(Rules(), Random(seed))
-        other.members(loads)
-        firsts[choose(other, 0.0, {name: word(1, 0) for name in loads})] += 1
+        other = LoadBalancer(BalancingRules(), Random(seed))
+        other.set_endpoints(loads)
+        firsts[choose(other, 0.0, {name: new_report(1, 0) for name in loads})] += 1
     assert max(firsts.values()) < 1.6 * 400 / 8
 
 
 def test_answers_that_never_come_leave_a_choice_by_what_is_known() -> None:
     """Guards against a choice that waits for ever, and against one that is always the same without news."""
-    spread = chooser(6)
-    found = Counter(choose(spread, n * 0.02, {}) for n in range(5))
-    assert None not in found and spread.counts["blind"] == 5
-    empty = LoadBalancer(Rules(), Random(1))
-    assert empty.settle(0.0, empty.begin(0.0)) is None
+    balancer = new_balancer(6)
+    found = Counter(choose(balancer, n * 0.02, {}) for n in range(5))
+    assert None not in found and balancer.counts["blind"] == 5
+    empty = LoadBalancer(BalancingRules(), Random(1))
+    assert empty.finish_choice(0.0, empty.begin_choice(0.0)) is None
 
 
 def test_a_joiner_draws_the_part_that_it_wants_from_all_choosers_together() -> None:
@@ -174,25 +182,25 @@
     its fair part and more."""
     won = asked = 0
     for seed in range(3000):
-        spread = LoadBalancer(Rules(), Random(seed))
-        spread.members(f"p{n}" for n in range(4))
-        loads = {f"p{n}": word(1, 3) for n in range(3)} | {"p3": word(1, 0, warm=0.5)}
-        won += choose(spread, 0.0, loads) == "p3"
+        balancer = LoadBalancer(BalancingRules(), Random(seed))
+        balancer.set_endpoints(f"p{n}" for n in range(4))
+        loads = {f"p{n}": new_report(1, 3) for n in range(3)} | {"p3": new_report(1, 0, warm=0.5)}
+        won += choose(balancer, 0.0, loads) == "p3"
         asked += 1
     assert 0.7 * 0.5 / 4 < won / asked < 1.2 * 0.5 / 4
 
 
 def test_all_cold_serve_all_the_same() -> None:
     """Guards a fleet that is replaced at once: with nobody warm beside them, joiners are not left out."""
-    spread = chooser(3)
-    assert choose(spread, 0.0, {f"p{n}": word(1, n, warm=0.2) for n in range(3)}) is not None
+    balancer = new_balancer(3)
+    assert choose(balancer, 0.0, {f"p{n}": new_report(1, n, warm=0.2) for n in range(3)}) is not None
 
 
-@pytest.mark.parametrize("ending", [Ending.FAILED, Ending.REFUSED])
-def test_one_that_ends_at_once_does_not_draw_the_traffic(ending: Ending) -> None:
+@pytest.mark.parametrize("ending", [AttemptOutcome.FAILED, AttemptOutcome.REJECTED])
+def test_one_that_ends_at_once_does_not_draw_the_traffic(ending: AttemptOutcome) -> None:
     """Guards against the black hole: a process that fails or refuses at once is always empty."""
-    spread = chooser(4, out_part=0.0)
-    spread.usual = 0.5
+    balancer = new_balancer(4, max_ejected_fraction=0.0)
+    balancer.averages.request_s = 0.5
     got, now, open_ = Counter[str](), 0.0, list[tuple[float, str, float]]()
     held = Counter[str]()
     for n in range(2000):
@@ -200,14 +208,14 @@
         for due, name, sent in [each for each in open_ if each[0] <= now]:
             open_.remove((due, name, sent))
             held[name] -= 1
-            spread.ended(now, name, sent, Ending.SERVED)
-        loads = {f"p{k}": word(n + 1, held[f"p{k}"]) for k in range(4)}
-        name = choose(spread, now, loads)
+            balancer.attempt_ended(now, name, sent, AttemptOutcome.SERVED)
+        loads = {f"p{k}": new_report(n + 1, held[f"p{k}"]) for k in range(4)}
+        name = choose(balancer, now, loads)
         assert name is not None
         got[name] += 1
-        spread.sent(now, name)
+        balancer.attempt_started(now, name)
         if name == "p0":
-            spread.ended(now + 0.001, name, now, ending)
+            balancer.attempt_ended(now + 0.001, name, now, ending)
         else:
             held[name] += 1
             open_.append((now + 0.5, name, now))
@@ -216,89 +224,91 @@
 
 def test_failures_in_a_row_cast_out_but_never_more_than_the_stated_part() -> None:
     """Guards against a fault of this side (its network, its disk) that would leave it with nobody."""
-    spread = chooser(10, out_part=0.2)
+    balancer = new_balancer(10, max_ejected_fraction=0.2)
     for n in range(10):
         for k in range(5):
-            spread.sent(k * 0.01, f"p{n}")
-            spread.ended(k * 0.01, f"p{n}", k * 0.01, Ending.UNREACHED)
-    out = [known for known in spread.known.values() if known.out > 0.1]
+            balancer.attempt_started(k * 0.01, f"p{n}")
+            balancer.attempt_ended(k * 0.01, f"p{n}", k * 0.01, AttemptOutcome.UNREACHABLE)
+    out = [known for known in balancer.endpoints.states.values() if known.ejected_until > 0.1]
     assert len(out) == 2
     back = out[0]
-    assert not spread.usable(0.1, back) and spread.usable(back.out + 0.01, back)
-    spread.sent(back.out + 0.01, back.name)
-    assert not spread.usable(back.out + 0.02, back)  # one at a time, as a trial
-    spread.ended(back.out + 0.3, back.name, back.out + 0.01, Ending.SERVED)
-    assert spread.usable(back.out + 0.3, back)
+    assert not balancer.is_usable(0.1, back) and balancer.is_usable(back.ejected_until + 0.01, back)
+    balancer.attempt_started(back.ejected_until + 0.01, back.name)
+    assert not balancer.is_usable(back.ejected_until + 0.02, back)  # one at a time, as a trial
+    balancer.attempt_ended(back.ejected_until + 0.3, back.name, back.ejected_until + 0.01, AttemptOutcome.SERVED)
+    assert balancer.is_usable(back.ejected_until + 0.3, back)
 
 
 def test_pushback_holds_for_all_and_one_that_leaves_gets_nothing() -> None:
     """Guards a process that asked to be left alone from the next attempt of the same server."""
-    spread = chooser(2)
-    spread.sent(0.0, "p0")
-    spread.ended(0.1, "p0", 0.0, Ending.REFUSED, 0.5)
-    assert {choose(spread, 0.2 + n / 100, {f"p{k}": word(n + 1, 0) for k in (0, 1)}) for n in range(10)} == {"p1"}
-    spread.word(2.0, "p1", 2.0, word(99, 0, warm=0.0))
-    assert {choose(spread, 2.0 + n / 100, {"p0": word(n + 50, 9)}) for n in range(10)} == {"p0"}
+    balancer = new_balancer(2)
+    balancer.attempt_started(0.0, "p0")
+    balancer.attempt_ended(0.1, "p0", 0.0, AttemptOutcome.REJECTED, 0.5)
+    assert {choose(balancer, 0.2 + n / 100, {f"p{k}": new_report(n + 1, 0) for k in (0, 1)}) for n in range(10)} == {
+        "p1"
+    }
+    balancer.receive_report(2.0, "p1", 2.0, new_report(99, 0, warm=0.0))
+    assert {choose(balancer, 2.0 + n / 100, {"p0": new_report(n + 50, 9)}) for n in range(10)} == {"p0"}
 
 
 # ---- Silence
 def test_a_process_that_does_not_answer_is_a_suspect_within_a_fraction_of_a_second_until_it_speaks() -> None:
     """Guards both ends: what waits on the silent is found, and a word of any kind clears it."""
-    spread = chooser(3)
-    spread.sent(0.0, "p0")
+    balancer = new_balancer(3)
+    balancer.attempt_started(0.0, "p0")
     asks, fell, now = [], [], 0.0
     while not fell and now < 3.0:
-        now = spread.next_at()
-        more, fell = spread.due(now)
+        now = balancer.next_check_at()
+        more, fell = balancer.check_responsiveness(now)
         asks += more
-    assert [probe.name for probe in asks][:1] == ["p0"] and fell == ["p0"] and now < 0.6
-    assert spread.suspect("p0") is not None and not spread.usable(now, spread.known["p0"])
+    assert [probe.endpoint for probe in asks][:1] == ["p0"] and fell == ["p0"] and now < 0.6
+    assert balancer.suspected_since("p0") is not None and not balancer.is_usable(now, balancer.endpoints.states["p0"])
     count = 0
     while now < 10.0:  # less and less often
-        now = spread.next_at()
-        count += len(spread.due(now)[0])
+        now = balancer.next_check_at()
+        count += len(balancer.check_responsiveness(now)[0])
     assert 4 < count < 12
-    spread.word(now, "p0", now, None)
-    assert spread.suspect("p0") is None and spread.usable(now, spread.known["p0"])
+    balancer.receive_report(now, "p0", now, None)
+    assert balancer.suspected_since("p0") is None and balancer.is_usable(now, balancer.endpoints.states["p0"])
 
 
 def test_a_slow_machine_is_not_taken_for_silence() -> None:
     """Guards against panic: with most questions unanswered it is this side, and nobody more is suspected."""
-    spread, fell = chooser(40), []
+    balancer, fell = new_balancer(40), []
     for n in range(60):
         now = n * 0.05
-        spread.begin(now)
-        fell += spread.due(now)[1]
-    assert len(set(fell)) < 20 and spread.silence.panics > 0
+        balancer.begin_choice(now)
+        fell += balancer.check_responsiveness(now)[1]
+    assert len(set(fell)) < 20 and balancer.failure_detector.panics > 0
 
 
 def test_where_all_answers_come_late_late_is_not_silent() -> None:
     """Guards against suspects without end on a long way: the way is learned from answers, however late."""
-    spread, suspects = chooser(10), 0
+    balancer, suspects = new_balancer(10), 0
     pending: list[tuple[float, Choice]] = []
     for n in range(400):
         now = n * 0.05
-        choice = spread.begin(now)
+        choice = balancer.begin_choice(now)
         pending.append((now + 1.0, choice))
         for due, old in [each for each in pending if each[0] <= now]:
             pending.remove((due, old))
-            for probe in old.ask:
-                spread.heard(now, probe.id, word(n + 1, 1))
-        suspects += len(spread.due(now)[1]) if n > 200 else 0
-    assert suspects == 0 and 0.3 < spread.way < 0.8
+            for probe in old.probes:
+                balancer.receive_probe_answer(now, probe.probe_id, new_report(n + 1, 1))
+        suspects += len(balancer.check_responsiveness(now)[1]) if n > 200 else 0
+    assert suspects == 0 and 0.3 < balancer.averages.one_way_s < 0.8
 
 
 def test_second_tries_are_a_part_of_the_first_and_more_for_a_while_when_several_fall_silent() -> None:
     """Guards against storms of repeats, and against a fifth of the processes that fall silent at once."""
-    budget, taken = RetryBudget(Rules(budget=0.1)), 0
+    budget, taken = RetryBudget(BalancingRules(retry_ratio=0.1)), 0
     for n in range(1000):
-        budget.first(n * 0.01)
-        taken += budget.take(n * 0.01)
+        budget.deposit(n * 0.01)
+        taken += budget.try_withdraw(n * 0.01)
     assert 95 <= taken <= 105
-    budget.raised(10.0, 5)
-    more = sum(budget.take(10.0) for _ in range(50))
+    budget.raise_ratio(10.0, 5)
+    more = sum(budget.try_withdraw(10.0) for _ in range(50))
     assert 5 <= more <= 20
-    assert sum(budget.take(20.0) for _ in range(50)) <= 1
+    assert sum(budget.try_withdraw(20.0) for _ in range(50)) <= 1
 
 
 # ---- What a process says
@@ -306,30 +316,35 @@
     """Guards the word itself: a box twice as fast says so, whatever it is loaded with."""
     speeds = {}
     for factor in (1.0, 2.0):
-        teller, now = LoadReporter(7, 2, 0.0), 0.0
+        reporter, now = LoadReporter(7, 2, 0.0), 0.0
         for n in range(40):
-            teller.started(now, f"a{n}", 0)
-            teller.started(now, f"b{n}", 1)
-            teller.ended(now + 0.1 / factor, f"a{n}", True, False)
-            teller.ended(now + 0.3 / factor, f"b{n}", True, False)
+            reporter.run_started(now, f"a{n}", 0)
+            reporter.run_started(now, f"b{n}", 1)
+            reporter.run_ended(now + 0.1 / factor, f"a{n}", True, False)
+            reporter.run_ended(now + 0.3 / factor, f"b{n}", True, False)
             now += 1.0
-        said = teller.news(now, {0: 2, 1: 1})
+        said = reporter.report(now, {0: 2, 1: 1})
         speeds[factor] = said.speed
-        assert said.open == 3 and 2.2 < said.load < 2.8 and said.warm > 0.99
+        assert said.in_flight == 3 and 2.2 < said.weighted_load < 2.8 and said.desired_share > 0.99
         for n in range(30):
-            teller.started(now, f"c{n}", 0)
-            teller.ended(now, f"c{n}", False, True)
-        assert teller.news(now, {}).warm < 0.1
-        assert teller.news(now + 60.0, {}).warm > 0.9
-        teller.leaving = True
-        assert teller.news(now, {}).warm == 0.0
+            reporter.run_started(now, f"c{n}", 0)
+            reporter.run_ended(now, f"c{n}", False, True)
+        assert reporter.report(now, {}).desired_share < 0.1
+        assert reporter.report(now + 60.0, {}).desired_share > 0.9
+        reporter.draining = True
+        assert reporter.report(now, {}).desired_share == 0.0
     assert 1.9 < speeds[2.0] / speeds[1.0] < 2.1
 
 
 def test_a_process_that_starts_cold_wants_its_share_by_and_by() -> None:
     """Guards a cold process by its own word."""
-    teller = LoadReporter(1, 4, 100.0, 0.25, 10.0)
-    assert [round(teller.news(100.0 + age, {}).warm, 2) for age in (0, 5, 10, 20)] == [0.25, 0.62, 1.0, 1.0]
+    reporter = LoadReporter(1, 4, 100.0, 0.25, 10.0)
+    assert [round(reporter.report(100.0 + age, {}).desired_share, 2) for age in (0, 5, 10, 20)] == [
+        0.25,
+        0.62,
+        1.0,
+        1.0,
+    ]
 
 
 # ---- In simulated time
@@ -375,8 +390,8 @@
     content = Path("deploy/spread.toml").read_text()
     assert old in content
     path.write_text(content.replace(old, new))
-    with pytest.raises(SpreadError, match=text) as found:
-        load(str(path))
+    with pytest.raises(BalancingSettingsError, match=text) as found:
+        load_settings(str(path))
     assert "\n" not in str(found.value)
 
 
@@ -385,10 +400,10 @@
     path, names = tmp_path / "spread.toml", tmp_path / "names"
     names.write_text("# the tier\n127.0.0.1:1\n\n127.0.0.1:2  # old box\n")
     path.write_text(f'[processes]\nfile = "{names}"\n')
-    assert load(str(path)).addresses == (("127.0.0.1", 1), ("127.0.0.1", 2))
+    assert load_settings(str(path)).addresses == (("127.0.0.1", 1), ("127.0.0.1", 2))
     names.unlink()
-    with pytest.raises(SpreadError, match="cannot read"):
-        load(str(path))
+    with pytest.raises(BalancingSettingsError, match="cannot read"):
+        load_settings(str(path))
 
 
 def test_one_that_is_given_up_on_its_way_does_not_arrive_as_its_next_try() -> None:
@@ -397,3 +412,10 @@
     sim = build(CASES["a fifth killed, back cold"], "ours", 50, 100, 6111)
     sim.run(AT + 0.6)
     assert sim.now == AT + 0.6
+
+
+def test_each_numeric_key_sets_a_field_of_the_rules() -> None:
+    """Guards the table of keys from a field that is renamed without it."""
+    set_by_file = [key.field for keys in NUMBERS.values() for key in keys.values()]
+    assert len(set_by_file) == len(set(set_by_file))
+    assert {each.name for each in fields(BalancingRules)} - set(set_by_file) == {"initial_request_s"}
--- a/tests/test_load_balancing_tier.py
+++ b/tests/test_load_balancing_tier.py
@@ -12,7 +12,7 @@
 from lapishaven.lab.field import Field
 from lapishaven.lab.field.tier import Call, Tier
 from lapishaven.load_balancing import command
-from lapishaven.load_balancing.settings import SpreadError
+from lapishaven.load_balancing.settings import BalancingSettingsError
 
 STOPS = 2.2  # s, more than any aim
 
@@ -146,7 +146,7 @@
         figures = command.fetch(where, "/v1/metrics").decode()
         assert 'server_spread_processes{standing="silent"} 1' in figures and "server_spread_probes " in figures
         field.wake("b2")
-        with pytest.raises(SpreadError, match="does not spread"):
+        with pytest.raises(BalancingSettingsError, match="does not spread"):
             command.status(f"127.0.0.1:{tier.controls['b0']}", False)
-        with pytest.raises(SpreadError, match="cannot ask"):
+        with pytest.raises(BalancingSettingsError, match="cannot ask"):
             command.status("127.0.0.1:1", False)
