--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -26,8 +26,8 @@
 from lapishaven.lab.field import Field
 from lapishaven.lab.field.tier import Call, Tier
 from lapishaven.ledger.command import audit
-from lapishaven.ledger.database import LedgerDatabase, Op, Told
-from lapishaven.ledger.transitions import Event
+from lapishaven.ledger.database import LedgerDatabase, Operation, OperationOutcome
+from lapishaven.ledger.transitions import EffectEvent
 from lapishaven.ledger.writer import Writer
 
 MODULE = "benchmarks.record"
@@ -174,7 +174,7 @@
     }
 
 
-def _come(event: threading.Event, told: Told | None) -> None:
+def _come(event: threading.Event, told: OperationOutcome | None) -> None:
     event.set()
 
 
@@ -183,7 +183,7 @@
     from lapishaven.ledger import writer as module
 
     folder = Path(tempfile.mkdtemp(prefix="lapishaven-record-"))
-    old, module.GROUP = module.GROUP, most
+    old, module.MAX_GROUP = module.MAX_GROUP, most
     writer = Writer(LedgerDatabase(str(folder / "record.db")), lambda count, good: None)
     spans: list[float] = []
     until = time.monotonic() + seconds
@@ -193,7 +193,7 @@
         while time.monotonic() < until:
             n += 1
             began, come = time.monotonic(), threading.Event()
-            writer.put(Op(Event.INTEND, "c", f"{number}/{n}", "s", 0.0), partial(_come, come))
+            writer.submit(Operation(EffectEvent.INTEND, "c", f"{number}/{n}", "s", 0.0), partial(_come, come))
             come.wait(10.0)
             spans.append(time.monotonic() - began)
 
@@ -203,7 +203,7 @@
     for thread in waiting:
         thread.join()
     writer.close(5.0)
-    module.GROUP = old
+    module.MAX_GROUP = old
     return {
         "group": most,
         "durable_per_s": round(len(spans) / seconds),
--- a/lapishaven/cli/serve.py
+++ b/lapishaven/cli/serve.py
@@ -74,12 +74,12 @@
 
     from lapishaven.ledger.database import LedgerDatabase, LedgerError
     from lapishaven.ledger.recorder import Recorder
-    from lapishaven.ledger.settings import LedgerSettingsError, load
+    from lapishaven.ledger.settings import LedgerSettingsError, load_settings
 
     try:
-        rules = load(path)
+        rules = load_settings(path)
         start = f"{name}:{os.getpid()}:{time.time_ns()}"
-        return Recorder(LedgerDatabase(rules.file), start, rules.meters, rules.usual, rules.rules)
+        return Recorder(LedgerDatabase(rules.file), start, rules.meters, rules.default_meter, rules.backpressure)
     except (LedgerSettingsError, LedgerError) as error:
         fail(str(error))
 
@@ -190,13 +190,14 @@
         print(f"keyed results in {rules.directory}, for {rules.life_s:g} s, up to {rules.limit}")
     if record is not None and record.endswith(".toml"):
         from lapishaven.ledger.settings import LedgerSettingsError
-        from lapishaven.ledger.settings import load as load_record
+        from lapishaven.ledger.settings import load_settings as load_record
 
         try:
             kept_in = load_record(record)
         except LedgerSettingsError as error:
             fail(str(error))
-        print(f"record in {kept_in.file}, up to {kept_in.rules.most} entries waiting, meters for {len(kept_in.meters)}")
+        limits = f"up to {kept_in.backpressure.max_waiting} entries waiting, meters for {len(kept_in.meters)}"
+        print(f"record in {kept_in.file}, {limits}")
     if ownership is not None:
         from lapishaven.ownership.settings import OwnershipError
         from lapishaven.ownership.settings import load as load_ownership
--- a/lapishaven/idempotency/__init__.py
+++ b/lapishaven/idempotency/__init__.py
@@ -1,6 +1,6 @@
-"""Keyed results over restarts: what a repeat of an effect is told, whichever life of the server ran it."""
+"""Results by idempotency key that outlive a restart, so that a repeat is answered whichever process ran the effect."""
 
-from lapishaven.idempotency.result_index import Entry, ResultIndex, Standing
+from lapishaven.idempotency.result_index import EffectState, Entry, ResultIndex
 from lapishaven.idempotency.result_store import DurableResults
 
-__all__ = ["Entry", "DurableResults", "ResultIndex", "Standing"]
+__all__ = ["DurableResults", "EffectState", "Entry", "ResultIndex"]
--- a/lapishaven/idempotency/result_store.py
+++ b/lapishaven/idempotency/result_store.py
@@ -1,4 +1,4 @@
-"""Keyed results in the embedded store, off the event path: the store's thread tells when a thing is durable."""
+"""Results by idempotency key in the embedded store. The store's own thread writes, so the event loop never waits."""
 
 from __future__ import annotations
 
@@ -11,152 +11,168 @@
 
 from lapishaven.core.ports import KnownEffect
 from lapishaven.core.requests import Submission
-from lapishaven.idempotency.result_index import Entry, ResultIndex, Standing, decode, encode
-from lapishaven.net.wake import Wake
+from lapishaven.idempotency.result_index import Entry, ResultIndex, decode, encode
+from lapishaven.net.completion_queue import CompletionQueue
 from lapishaven.storage import Store, StoreError, StoreFull
 
-STALL = 0.5  # s for which the store has made nothing durable, after which no new run is taken on
-RETRY = 1.0  # s to keep away while nothing better is known
-SWEEP = 10.0  # s between two looks for what is past its life
+MAX_EFFECTS = 100_000
+STALL_S = 0.5  # age of the oldest write from which no new run is admitted
+RETRY_AFTER_S = 1.0  # told while nothing better is known
+EXPIRY_INTERVAL_S = 10.0  # between two removals of what is past its lifetime
 
 
 class DurableResults:
-    """The Broker's keeper. ``ready`` is a descriptor that has something to read once ``told`` should be called."""
+    """Records effects in the store and answers repeats of them. See ``core.ports.DurableResultStore``.
+
+    Parameters:
+        store: belongs to this object from now on.
+        life: s for which an effect is remembered since it began.
+        limit: effects that are remembered; past it no new one is admitted.
+        wall: Unix seconds.
+    """
 
     label = "storage"
 
-    def __init__(self, store: Store, life: float, limit: int = 100_000, wall: Callable[[], float] = time.time) -> None:
-        self.store, self.limit, self._wall = store, limit, wall
-        self.ledger = ResultIndex(life)
-        self._ends: deque[Callable[[], None]] = deque()
-        self._pending: deque[float] = deque()  # since when each is under way
-        self._wake = Wake()
-        self._lock = threading.Lock()
-        self._swept = wall()
+    def __init__(
+        self, store: Store, life: float, limit: int = MAX_EFFECTS, wall: Callable[[], float] = time.time
+    ) -> None:
+        self.store = store
+        self.limit = limit
+        self._wall = wall
+        self.index = ResultIndex(life)
+        self._completions = CompletionQueue()
+        self._write_lock = threading.Lock()  # of _writes_since
+        self._writes_since: deque[float] = deque()  # when each write under way was begun, oldest first
+        self._expired_at = wall()
         for name, value, _ in store.scan():
             with suppress(ValueError):
-                self.ledger.load(name, decode(value))
+                self.index.restore(name, decode(value))
 
     @property
     def ready(self) -> int:
-        return self._wake.reader
+        """A descriptor that is readable when ``process_completions`` should be called."""
+        return self._completions.ready
 
     @staticmethod
-    def name(cls: str, key: str) -> bytes:
+    def store_key(cls: str, key: str) -> bytes:
+        """The key under which an effect is stored."""
         return f"{cls}\0{key}".encode()
 
+    # ---- The core's port
     def find(self, cls: str, key: str) -> Entry:
-        """What a repeat of the effect is to be told."""
-        return self.ledger.find(self._wall(), self.name(cls, key))
+        """What is known of an effect."""
+        return self.index.find(self._wall(), self.store_key(cls, key))
 
     def record_intent(
         self, cls: str, key: str, sub: Submission, then: Callable[[bool | KnownEffect], None]
     ) -> float | None:
-        """Have the intent made durable; ``then`` is told whether it was. Seconds to stay away if it is not even
-        tried: the bound is reached, or the store stands still."""
-        wall, name = self._wall(), self.name(cls, key)
-        if wall - self._swept > SWEEP:
-            self._swept = wall
-            self.ledger.sweep(wall)
-        if len(self.ledger) >= self.limit:
-            self.ledger.sweep(wall)
-            if len(self.ledger) >= self.limit:
-                return self.ledger.frees_in(wall) or RETRY
-        with self._lock:
-            stalled = self._pending and time.monotonic() - self._pending[0] > STALL
-        if stalled:
-            return RETRY
+        """Make the intent durable; ``then`` gets whether it is.
+
+        Returns seconds after which to retry if it is not even tried, else ``None``.
+        """
+        wall = self._wall()
+        name = self.store_key(cls, key)
+        retry_after = self._retry_after(wall)
+        if retry_after is not None:
+            return retry_after
         try:
-            future = self.store.put(name, encode(wall, None), wall + self.ledger.life)
+            future = self.store.put(name, encode(wall, None), wall + self.index.lifetime_s)
         except StoreFull as full:
-            return full.frees_in or RETRY
+            return full.frees_in or RETRY_AFTER_S
         except (StoreError, ValueError):
-            return RETRY
-        self.ledger.intend(wall, name)
-        self._when(future, then)
+            return RETRY_AFTER_S
+        self.index.mark_running(wall, name)
+        self._notify_when_durable(future, then)
         return None
 
+    def _retry_after(self, wall: float) -> float | None:
+        """Why no new effect is admitted, as the seconds until one might be; ``None`` if one is."""
+        if wall - self._expired_at > EXPIRY_INTERVAL_S:
+            self._expired_at = wall
+            self.index.remove_expired(wall)
+        if len(self.index) >= self.limit:
+            self.index.remove_expired(wall)
+            if len(self.index) >= self.limit:
+                return self.index.next_expiry_in(wall) or RETRY_AFTER_S
+        with self._write_lock:
+            stalled = self._writes_since and time.monotonic() - self._writes_since[0] > STALL_S
+        return RETRY_AFTER_S if stalled else None
+
     def record_result(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None:
-        """Have the result made durable; ``then`` is told whether it was."""
-        name = self.name(cls, key)
-        since = self.ledger.find(self._wall(), name).since
+        """Make the result durable; ``then`` gets whether it is."""
+        name = self.store_key(cls, key)
+        since = self.index.find(self._wall(), name).since
         try:
-            future = self.store.put(name, encode(since, result), since + self.ledger.life)
+            future = self.store.put(name, encode(since, result), since + self.index.lifetime_s)
         except (StoreError, ValueError):
-            self.ledger.failed(name)
-            self._post(lambda: then(False))
+            self.index.mark_uncertain(name)
+            self._completions.post(lambda: then(False))
             return
 
-        def recorded(good: bool) -> None:
-            if good:
-                self.ledger.done(self._wall(), name, result)
+        def written(durable: bool) -> None:
+            if durable:
+                self.index.mark_completed(self._wall(), name, result)
             else:
-                self.ledger.failed(name)
-            then(good)
+                self.index.mark_uncertain(name)
+            then(durable)
 
-        self._when(future, recorded)
+        self._notify_when_durable(future, written)
 
     def record_failure(self, cls: str, key: str) -> None:
-        """It ran and gave no result; the intent that is durable says just that."""
-        self.ledger.failed(self.name(cls, key))
+        """It ran and gave no result; the intent that is stored says just that."""
+        self.index.mark_uncertain(self.store_key(cls, key))
 
     def cancel_intent(self, cls: str, key: str) -> None:
         """It provably never ran: its key is free."""
-        name = self.name(cls, key)
-        self.ledger.void(name)
+        name = self.store_key(cls, key)
+        self.index.remove(name)
         with suppress(StoreError):
             self.store.delete(name)
 
     def uncertain_effects(self) -> list[tuple[str, str, float]]:
-        """Class, key and age in seconds of what an earlier life may have run."""
-        found, wall = [], self._wall()
-        for name, entry in self.ledger.doubts():
+        """Class, key and age in seconds of what may have run without a result."""
+        wall = self._wall()
+        found = []
+        for name, entry in self.index.uncertain_entries():
             cls, _, key = name.decode().partition("\0")
             found.append((cls, key, max(0.0, wall - entry.since)))
         return found
 
+    def process_completions(self) -> None:
+        """On the event loop: notify of what became durable since."""
+        self._completions.run_pending()
+
     def state(self) -> dict[str, int]:
         """Gauges by name, for operators."""
-        syncs = sorted(self.store.stats.syncs)
+        stats = self.store.stats
+        syncs = sorted(stats.syncs)
         return {
-            "effects": len(self.ledger),
-            "in doubt": sum(1 for _ in self.ledger.doubts()),
-            "commits": self.store.stats.commits,
-            "refused": self.store.stats.refused,
-            "failed": self.store.stats.failed,
+            "effects": len(self.index),
+            "in doubt": sum(1 for _ in self.index.uncertain_entries()),
+            "commits": stats.commits,
+            "refused": stats.refused,
+            "failed": stats.failed,
             "damaged": len(self.store.damage),
             "bytes": self.store.disk_bytes,
             "fsync p99 us": round(syncs[int(len(syncs) * 0.99)] * 1e6) if syncs else 0,
         }
 
-    def _when(self, future: Future[int], then: Callable[[bool], None]) -> None:
-        with self._lock:
-            self._pending.append(time.monotonic())
-
-        def over(ended: Future[int]) -> None:
-            with self._lock:
-                if self._pending:
-                    self._pending.popleft()  # they end in their order
-            good = ended.exception() is None
-            self._post(lambda: then(good))
-
-        future.add_done_callback(over)
-
-    def _post(self, what: Callable[[], None]) -> None:
-        self._ends.append(what)
-        self._wake.poke()
-
-    def process_completions(self) -> None:
-        """On the event path: carry out what was told since."""
-        self._wake.drain()
-        while self._ends:
-            self._ends.popleft()()
-
     def close(self) -> None:
-        """All that was begun is durable after this."""
+        """Close the store. All that was begun is durable after this."""
         self.store.close()
-        self.process_completions()
-        self._wake.close()
-
-
-__all__ = ["DurableResults", "Standing"]
+        self._completions.close()
+
+    # ---- From the store's thread
+    def _notify_when_durable(self, future: Future[int], then: Callable[[bool], None]) -> None:
+        """Have ``then`` called on the event loop with whether the write is durable."""
+        with self._write_lock:
+            self._writes_since.append(time.monotonic())
+
+        def ended(future: Future[int]) -> None:
+            with self._write_lock:
+                if self._writes_since:
+                    self._writes_since.popleft()  # writes end in their order
+            durable = future.exception() is None
+            self._completions.post(lambda: then(durable))
+
+        future.add_done_callback(ended)
--- a/lapishaven/lab/ledger_model.py
+++ b/lapishaven/lab/ledger_model.py
@@ -9,25 +9,25 @@
 from __future__ import annotations
 
 from lapishaven.lab.modelcheck import Model, Rule, Var, Vars, n
-from lapishaven.ledger.transitions import TABLE, Event, Standing, Verdict
+from lapishaven.ledger.transitions import TRANSITIONS, Decision, EffectEvent, EffectState
 
 import z3  # isort: skip
 
-STANDINGS = list(Standing)
+STANDINGS = list(EffectState)
 IDLE, ASKED, MAY_RUN, RUNS, ENDED, TOLD, UNRUN, VOIDS, FAILS = range(9)
 NAMES = ("row", "holder", "fresh", "s0", "s1", "p0", "p1", "ran0", "ran1", "runs", "charges", "owed", "hollow", "lied")
 CRASHES = 3
 
 
-def _row(standing: Standing) -> Var:
+def _row(standing: EffectState) -> Var:
     return n(STANDINGS.index(standing))
 
 
-def _judged(v: Vars, event: Event, own: Var, verdict: Verdict) -> Var:
+def _judged(v: Vars, event: EffectEvent, own: Var, verdict: Decision) -> Var:
     """Whether the table gives this verdict."""
     cases = [
         z3.And(v["row"] == _row(standing), own == mine)
-        for (standing, asked, mine), (found, _) in TABLE.items()
+        for (standing, asked, mine), (found, _) in TRANSITIONS.items()
         if asked is event and found is verdict
     ]
     return z3.Or(cases) if cases else z3.BoolVal(False)
@@ -39,18 +39,18 @@
     found = []
     for i in "01":
         p, start, ran = v[f"p{i}"], v[f"s{i}"], v[f"ran{i}"]
-        own = z3.And(v["holder"] == start, v["row"] != _row(Standing.NONE))
+        own = z3.And(v["holder"] == start, v["row"] != _row(EffectState.ABSENT))
 
         def step(name: str, at: int, when: Var, then: Vars, i: str = i, p: Var = p) -> None:
             found.append(Rule(f"{name} {i}", z3.And(p == n(at), when), then))
 
         yes = z3.BoolVal(True)
-        free = _judged(v, Event.INTEND, own, Verdict.DO)
+        free = _judged(v, EffectEvent.INTEND, own, Decision.APPLY)
         if "look before intent" in out:
             free = yes
-        kept = z3.And(z3.Not(free), _judged(v, Event.INTEND, own, Verdict.KEPT))
-        taken = {"row": _row(Standing.INTENDED), "holder": start}
-        solid = z3.And(v["row"] == _row(Standing.DONE), v["charges"] == 1)
+        kept = z3.And(z3.Not(free), _judged(v, EffectEvent.INTEND, own, Decision.ALREADY_COMPLETED))
+        taken = {"row": _row(EffectState.INTENDED), "holder": start}
+        solid = z3.And(v["row"] == _row(EffectState.COMPLETED), v["charges"] == 1)
         step("ask", IDLE, yes, {f"p{i}": n(ASKED), f"ran{i}": n(0)})
         step("intend", ASKED, free, {**taken, f"p{i}": n(MAY_RUN)})
         step("intend, told an error", ASKED, free, {**taken, f"p{i}": n(UNRUN)})
@@ -65,22 +65,22 @@
         step("nobody waits", MAY_RUN, yes, {f"p{i}": n(UNRUN)})
         step("end", RUNS, yes, {f"p{i}": n(ENDED)})
         step("end badly", RUNS, yes, {f"p{i}": n(FAILS)})
-        may = _judged(v, Event.FAIL, own, Verdict.DO)
+        may = _judged(v, EffectEvent.FAIL, own, Decision.APPLY)
         step(
             "note the failure",
             FAILS,
             yes,
             {
                 f"p{i}": n(IDLE),
-                "row": z3.If(may, _row(Standing.SPENT), v["row"]),
+                "row": z3.If(may, _row(EffectState.WITHOUT_RESULT), v["row"]),
             },
         )
-        may = _judged(v, Event.FINISH, own, Verdict.DO)
-        again = _judged(v, Event.FINISH, own, Verdict.KEPT)
+        may = _judged(v, EffectEvent.COMPLETE, own, Decision.APPLY)
+        again = _judged(v, EffectEvent.COMPLETE, own, Decision.ALREADY_COMPLETED)
         charged = v["charges"] + z3.If(may, n(1), n(0))
         if "kept on repeat" in out:
             charged = v["charges"] + z3.If(z3.Or(may, again), n(1), n(0))
-        done: Vars = {"row": z3.If(may, _row(Standing.DONE), v["row"]), "charges": charged}
+        done: Vars = {"row": z3.If(may, _row(EffectState.COMPLETED), v["row"]), "charges": charged}
         if "one transaction" in out:
             done = {"row": done["row"], "owed": z3.If(may, n(1), v["owed"])}
         room = z3.ULT(v["charges"], 3)
@@ -95,10 +95,10 @@
             step("refuse what ran", ENDED, yes, {f"p{i}": n(UNRUN)})
         step("reply", TOLD, v["owed"] == 0, {f"p{i}": n(IDLE), "hollow": z3.If(solid, v["hollow"], n(1))})
         step("refuse", UNRUN, yes, {f"p{i}": n(VOIDS), "lied": z3.If(ran == 1, n(1), v["lied"])})
-        may = _judged(v, Event.VOID, own, Verdict.DO)
+        may = _judged(v, EffectEvent.CANCEL, own, Decision.APPLY)
         if "own start" in out:
-            may = v["row"] == _row(Standing.INTENDED)
-        step("void", VOIDS, yes, {f"p{i}": n(IDLE), "row": z3.If(may, _row(Standing.NONE), v["row"])})
+            may = v["row"] == _row(EffectState.INTENDED)
+        step("void", VOIDS, yes, {f"p{i}": n(IDLE), "row": z3.If(may, _row(EffectState.ABSENT), v["row"])})
         found.append(
             Rule(
                 f"crash {i}",
--- a/lapishaven/ledger/__init__.py
+++ b/lapishaven/ledger/__init__.py
@@ -1,5 +1,6 @@
-"""The store of record: effects that ran once and are charged once, durable before their reply, many servers a file.
+"""The ledger, or store of record: effects that run once and are charged once, durable before their reply.
 
-``table`` and ``flow`` decide and do no I/O; ``base`` is the SQLite file, ``writer`` the thread that commits in groups,
-``keeper`` the Broker's port, ``audit`` holds effects and ledger against each other. ``docs/design/record.md`` says why.
+Several servers share one file. ``transitions`` and ``backpressure`` decide and do no I/O; ``database`` is the SQLite
+file, ``writer`` the thread that commits in groups, ``recorder`` the core's result store, ``audit`` compares effects
+with charges. ``docs/design/record.md`` has the reasons.
 """
--- a/lapishaven/ledger/audit.py
+++ b/lapishaven/ledger/audit.py
@@ -1,54 +1,63 @@
-"""Effects and ledger held against each other: every difference named. Pure."""
+"""Effects compared with their charges: every difference in words. Pure."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
 
-from lapishaven.ledger.database import EARNED
-from lapishaven.ledger.transitions import Standing
+from lapishaven.ledger.database import REVENUE_ACCOUNT
+from lapishaven.ledger.transitions import EffectState
 
-Name = tuple[str, str]  # class and key
+Name = tuple[str, str]  # class and idempotency key of an effect
 
 
 @dataclass(frozen=True, slots=True)
 class Effect:
+    """An effect as the file has it. ``words``: what ``customer`` is to be charged once it is completed."""
+
     name: Name
-    standing: Standing
+    state: EffectState
     customer: str
     words: int
 
 
 @dataclass(frozen=True, slots=True)
 class Charge:
+    """One entry of the ledger."""
+
     name: Name
     account: str
     words: int
 
 
 def differences(effects: Iterable[Effect], charges: Iterable[Charge]) -> Iterator[str]:
-    """One line for each thing that does not hold."""
-    there = {effect.name: effect for effect in effects}
-    booked: dict[Name, dict[str, int]] = {}
+    """One line for each difference."""
+    effects_by_name = {effect.name: effect for effect in effects}
+    charges_by_name: dict[Name, dict[str, int]] = {}
     for charge in charges:
-        booked.setdefault(charge.name, {})[charge.account] = charge.words
-    for name, effect in sorted(there.items()):
-        found = booked.pop(name, {})
-        where = f"{name[0]} {name[1]}"
-        if effect.standing is not Standing.DONE:
-            if found:
-                yield f"{where}: charged, and it is {effect.standing.value}"
-            continue
-        account = f"customer/{effect.customer}"
-        if account not in found:
-            yield f"{where}: done, and {effect.customer} was not charged"
-        elif found[account] != effect.words:
-            yield f"{where}: {effect.customer} was charged {found[account]} words for {effect.words}"
-        if EARNED not in found:
-            yield f"{where}: done, and not earned"
-        elif found[EARNED] != -effect.words:
-            yield f"{where}: earned {-found[EARNED]} words for {effect.words}"
-        for odd in sorted(set(found) - {account, EARNED}):
-            yield f"{where}: charged to {odd} too"
-    for name in sorted(booked):
+        charges_by_name.setdefault(charge.name, {})[charge.account] = charge.words
+    for name, effect in sorted(effects_by_name.items()):
+        entries = charges_by_name.pop(name, {})
+        for difference in _differences_of(effect, entries):
+            yield f"{name[0]} {name[1]}: {difference}"
+    for name in sorted(charges_by_name):
         yield f"{name[0]} {name[1]}: charged, and no such effect is there"
+
+
+def _differences_of(effect: Effect, entries: Mapping[str, int]) -> Iterator[str]:
+    """``entries``: words by account."""
+    if effect.state is not EffectState.COMPLETED:
+        if entries:
+            yield f"charged, and it is {effect.state.value}"
+        return
+    account = f"customer/{effect.customer}"
+    if account not in entries:
+        yield f"done, and {effect.customer} was not charged"
+    elif entries[account] != effect.words:
+        yield f"{effect.customer} was charged {entries[account]} words for {effect.words}"
+    if REVENUE_ACCOUNT not in entries:
+        yield "done, and not earned"
+    elif entries[REVENUE_ACCOUNT] != -effect.words:
+        yield f"earned {-entries[REVENUE_ACCOUNT]} words for {effect.words}"
+    for other in sorted(set(entries) - {account, REVENUE_ACCOUNT}):
+        yield f"charged to {other} too"
--- a/lapishaven/ledger/backpressure.py
+++ b/lapishaven/ledger/backpressure.py
@@ -1,8 +1,8 @@
-"""Whether another commit is taken while the record is slow, and for how long its caller is to stay away. Pure.
+"""Whether another commit is admitted while the ledger is slow: a bounded queue and a circuit breaker. Pure.
 
-Nothing is dropped: what was taken is written, and what cannot be is turned away before it runs, at once. The record is
-stalled while its oldest entry waits for longer than ``stall`` s, and broken after ``faults`` failures in a row; a
-broken one is tried again with one entry each ``pause`` s, doubled up to ``pause_most``.
+Nothing that was admitted is dropped; what cannot be written soon is rejected at once, before it runs. The circuit
+breaker (Nygard, "Release It!") opens after a number of failures in a row; then one commit at a time is tried, after a
+pause that doubles with each further failure.
 """
 
 from __future__ import annotations
@@ -10,58 +10,82 @@
 from collections import deque
 from dataclasses import dataclass
 
+MIN_RETRY_AFTER_S = 0.05
+MAX_DOUBLINGS = 16  # of the pause, which reaches its bound long before
+
 
 @dataclass(frozen=True, slots=True)
 class BackpressureRules:
-    most: int = 2000  # entries that wait at most
-    stall: float = 0.5  # s
-    faults: int = 3
-    pause: float = 0.2  # s
-    pause_most: float = 2.0  # s
+    """Limits of what waits to be written.
+
+    Attributes:
+        max_waiting: entries that wait, past which no commit is admitted.
+        stall_s: age of the oldest entry from which no commit is admitted.
+        failures_to_break: failures in a row that open the circuit breaker.
+        retry_pause_s: first pause before a commit is tried while it is open.
+        max_retry_pause_s: upper bound of the pause.
+    """
+
+    max_waiting: int = 2000
+    stall_s: float = 0.5
+    failures_to_break: int = 3
+    retry_pause_s: float = 0.2
+    max_retry_pause_s: float = 2.0
 
 
 class Backpressure:
+    """Counts entries that wait to be written, in their order. Times are in s of one clock."""
+
     def __init__(self, rules: BackpressureRules) -> None:
         self.rules = rules
-        self._since: deque[float] = deque()  # when each that is not durable yet was taken, in their order
-        self._faults = 0
-        self._try_at = float("-inf")
+        self._added_at: deque[float] = deque()  # of each entry that waits, oldest first
+        self._failures = 0  # in a row
+        self._retry_at = float("-inf")
 
     def __len__(self) -> int:
-        return len(self._since)
-
-    def wait(self, now: float) -> float | None:
-        """None if another intent may be taken, else the seconds until it might."""
-        if self._faults >= self.rules.faults:
-            if now < self._try_at:
-                return self._try_at - now
-            if self._since:
-                return self._pause()  # the one that is tried has not ended
+        """Entries that wait."""
+        return len(self._added_at)
+
+    @property
+    def broken(self) -> bool:
+        """Whether the circuit breaker is open."""
+        return self._failures >= self.rules.failures_to_break
+
+    def retry_after(self, now: float) -> float | None:
+        """``None`` if a commit is admitted, else the seconds until it might be."""
+        if self.broken:
+            return self._retry_after_while_broken(now)
+        if not self._added_at:
             return None
-        if self._since and now - self._since[0] > self.rules.stall:
-            return self.rules.stall
-        if len(self._since) >= self.rules.most:
-            # They go in their order: the oldest has waited for so long, and this one would as long again.
-            return max(0.05, now - self._since[0])
+        oldest_s = now - self._added_at[0]
+        if oldest_s > self.rules.stall_s:
+            return self.rules.stall_s
+        if len(self._added_at) >= self.rules.max_waiting:
+            # Entries are written in their order, so a new one would wait for as long as the oldest has.
+            return max(MIN_RETRY_AFTER_S, oldest_s)
         return None
 
-    def _pause(self) -> float:
-        over = self._faults - self.rules.faults
-        return min(self.rules.pause_most, self.rules.pause * 2.0 ** min(max(over, 0), 16))
+    def _retry_after_while_broken(self, now: float) -> float | None:
+        if now < self._retry_at:
+            return self._retry_at - now
+        if self._added_at:
+            return self._retry_pause_s()  # the entry that is tried has not ended
+        return None
 
-    def taken(self, now: float) -> None:
-        self._since.append(now)
+    def _retry_pause_s(self) -> float:
+        doublings = max(self._failures - self.rules.failures_to_break, 0)
+        return min(self.rules.max_retry_pause_s, self.rules.retry_pause_s * 2.0 ** min(doublings, MAX_DOUBLINGS))
 
-    def ended(self, now: float, count: int, good: bool) -> None:
-        """The oldest ``count`` are durable, or could not be made so."""
-        for _ in range(min(count, len(self._since))):
-            self._since.popleft()
-        if good:
-            self._faults = 0
-        else:
-            self._faults += 1
-            self._try_at = now + self._pause()
+    def entry_added(self, now: float) -> None:
+        """Another entry waits to be written."""
+        self._added_at.append(now)
 
-    @property
-    def broken(self) -> bool:
-        return self._faults >= self.rules.faults
+    def entries_written(self, now: float, count: int, durable: bool) -> None:
+        """The oldest ``count`` entries wait no more: they are durable, or were given up after a failure."""
+        for _ in range(min(count, len(self._added_at))):
+            self._added_at.popleft()
+        if durable:
+            self._failures = 0
+            return
+        self._failures += 1
+        self._retry_at = now + self._retry_pause_s()
--- a/lapishaven/ledger/command.py
+++ b/lapishaven/ledger/command.py
@@ -1,4 +1,4 @@
-"""``lapishaven record``: what the file holds, whether it holds together, who is charged what."""
+"""``lapishaven record``: what the ledger holds, whether it is consistent, who is charged what."""
 
 from __future__ import annotations
 
@@ -10,67 +10,71 @@
 from lapishaven.ledger import file_copies
 from lapishaven.ledger.audit import Charge, Effect, differences
 from lapishaven.ledger.database import LedgerDatabase, LedgerError
-from lapishaven.ledger.settings import load
-from lapishaven.ledger.transitions import Standing
+from lapishaven.ledger.settings import load_settings
+from lapishaven.ledger.transitions import EffectState
 
-DOUBT = 60.0  # s after which an intent without an end is told as in doubt
+UNCERTAIN_AFTER_S = 60.0  # since an intent, after which it is reported as uncertain if it has no end
 
 
-def _rows(base: LedgerDatabase) -> tuple[list[Effect], list[Charge]]:
+def read_rows(database: LedgerDatabase) -> tuple[list[Effect], list[Charge]]:
+    """All effects and charges of the file."""
     effects = [
-        Effect((str(cls), str(key)), Standing(standing), str(customer), int(str(words)))
-        for cls, key, standing, customer, words in base.read("select class, key, standing, customer, words from effect")
+        Effect((str(class_name), str(key)), EffectState(state), str(customer), int(str(words)))
+        for class_name, key, state, customer, words in database.read(
+            "select class, key, standing, customer, words from effect"
+        )
     ]
     charges = [
-        Charge((str(cls), str(key)), str(account), int(str(words)))
-        for cls, key, account, words in base.read("select class, key, account, words from ledger")
+        Charge((str(class_name), str(key)), str(account), int(str(words)))
+        for class_name, key, account, words in database.read("select class, key, account, words from ledger")
     ]
     return effects, charges
 
 
 def audit(path: str) -> int:
-    """Every difference between effects and ledger; exit 1 if there are any."""
-    base = LedgerDatabase(load(path).file)
-    effects, charges = _rows(base)
-    base.close()
+    """Print every difference between effects and charges; returns 1 if there are any."""
+    database = LedgerDatabase(load_settings(path).file)
+    effects, charges = read_rows(database)
+    database.close()
     found = list(differences(effects, charges))
     for line in found:
         print(line)
     total = sum(charge.words for charge in charges)
     if total:
-        found.append("")
         print(f"the ledger's sum is {total}, not 0")
-    if not found:
+    consistent = not found and not total
+    if consistent:
         print(f"{len(effects)} effects and {len(charges)} entries hold together")
-    return 1 if found else 0
+    return 0 if consistent else 1
 
 
 def stat(path: str, as_json: bool) -> int:
-    """Effects by standing; exit 1 if some are in doubt: intended over a minute ago, with no end."""
-    base = LedgerDatabase(load(path).file)
-    counts = Counter(str(standing) for (standing,) in base.read("select standing from effect"))
-    doubts = base.read(
-        "select class, key, start, since from effect where standing = 'intended' and since < ?", (time.time() - DOUBT,)
+    """Print the number of effects by state; returns 1 if one is uncertain: intended over a minute ago, with no end."""
+    database = LedgerDatabase(load_settings(path).file)
+    counts = Counter(str(standing) for (standing,) in database.read("select standing from effect"))
+    uncertain = database.read(
+        "select class, key, start, since from effect where standing = 'intended' and since < ?",
+        (time.time() - UNCERTAIN_AFTER_S,),
     )
-    base.close()
+    database.close()
     if as_json:
-        print(json.dumps({**counts, "in_doubt": [list(row) for row in doubts]}))
+        print(json.dumps({**counts, "in_doubt": [list(row) for row in uncertain]}))
     else:
         print(", ".join(f"{name} {count}" for name, count in sorted(counts.items())) or "nothing yet")
-        for cls, key, start, since in doubts:
-            print(f"in doubt: {cls} {key}, begun {time.time() - float(str(since)):.0f} s ago by {start}")
-    return 1 if doubts else 0
+        for class_name, key, incarnation, since in uncertain:
+            print(f"in doubt: {class_name} {key}, begun {time.time() - float(str(since)):.0f} s ago by {incarnation}")
+    return 1 if uncertain else 0
 
 
 def bill(path: str, since: float, until: float, as_json: bool) -> int:
-    """Words by customer, of effects that ended from ``since`` on and before ``until`` (Unix seconds)."""
-    base = LedgerDatabase(load(path).file)
-    found = base.read(
+    """Print words by customer, of effects that ended from ``since`` on and before ``until`` (Unix seconds)."""
+    database = LedgerDatabase(load_settings(path).file)
+    found = database.read(
         "select substr(account, 10), count(*), sum(words) from ledger"
         " where account like 'customer/%' and at >= ? and at < ? group by account order by account",
         (since, until),
     )
-    base.close()
+    database.close()
     for customer, count, words in found:
         print(
             json.dumps({"customer": customer, "effects": count, "words": words})
@@ -86,25 +90,25 @@
 
 
 def backup(path: str, to: str) -> int:
-    """A copy at one instant, while servers go on."""
-    file_copies.backup(load(path).file, to, _progress)
+    """Copy the file as it is at one instant, while servers go on."""
+    file_copies.backup(load_settings(path).file, to, _progress)
     print(f"copied to {to}")
     return 0
 
 
 def restore(path: str, source: str) -> int:
-    """A backup in the place of a record that is not there."""
-    file = load(path).file
+    """Put a backup in place of a ledger that is not there."""
+    file = load_settings(path).file
     file_copies.restore(file, source, _progress)
     print(f"{file} is as {source} was")
     return 0
 
 
 def export(path: str, table: str, to: str) -> int:
-    """Rows as CSV, into a file that is not there yet."""
+    """Write rows as CSV into a file that is not there yet."""
     try:
         with open(to, "x", newline="") as out:
-            count = file_copies.export(load(path).file, table, out)
+            count = file_copies.export(load_settings(path).file, table, out)
     except OSError as error:
         raise LedgerError(f"cannot write {to}: {error.strerror or error}") from None
     print(f"{count} rows in {to}")
--- a/lapishaven/ledger/database.py
+++ b/lapishaven/ledger/database.py
@@ -1,4 +1,4 @@
-"""The record's file: effects by key, and a ledger in two columns. Processes share it; each has its own ``Base``.
+"""The ledger's SQLite file: effects by key, and charges in double entry. Servers share it, each by its own connection.
 
 WAL and synchronous=FULL. Each group of operations is one transaction: all of it is durable, or none.
 """
@@ -10,24 +10,31 @@
 from dataclasses import dataclass
 
 from lapishaven import sqlite
-from lapishaven.ledger.transitions import Event, Row, Standing, Verdict, judge
+from lapishaven.ledger.transitions import Decision, EffectEvent, EffectRow, EffectState, decide
 
-VERSION = 1
-BUSY = 1.0  # s for which a transaction waits for another server's
-EFFECTS = """
+VERSION = 1  # of the schema
+BUSY_TIMEOUT_S = 1.0  # for which a transaction waits for another server's
+REVENUE_ACCOUNT = "earned"  # the counter-account of every customer's
+EFFECT_SCHEMA = """
 create table if not exists effect (
     class text not null, key text not null, standing text not null, start text not null, since real not null,
     ended real, result blob not null default x'', customer text not null, words integer not null default 0,
     primary key (class, key)
 ) without rowid
 """
-LEDGER = """
+LEDGER_SCHEMA = """
 create table if not exists ledger (
     class text not null, key text not null, account text not null, words integer not null, at real not null,
     primary key (class, key, account)
 ) without rowid
 """
-EARNED = "earned"  # the account beside every customer's
+# The attempt log noted starts without their ends, so each start that was not cancelled may have run.
+IMPORT_ATTEMPT_LOG = (
+    "insert or ignore into effect (class, key, standing, start, since, customer)"
+    " select class, key, 'spent', 'before', max(at), coalesce(max(team), '') from record"
+    " where event in ('started', 'unrun') and key is not null group by class, key"
+    " having sum(iif(event = 'started', 1, -1)) > 0"
+)
 
 
 class LedgerError(Exception):
@@ -35,102 +42,143 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Op:
-    """One thing to be recorded. ``words`` is what a finished effect is charged to ``customer``."""
-
-    event: Event
-    cls: str
+class Operation:
+    """One event to be recorded.
+
+    Attributes:
+        event: what happened.
+        class_name: class of the request.
+        key: its idempotency key.
+        incarnation: names the start of the server that reports it.
+        at: Unix seconds.
+        customer: who is charged; read for ``INTEND`` only.
+        result: of the run; read for ``COMPLETE`` only.
+        words: what the customer is charged; read for ``COMPLETE`` only.
+    """
+
+    event: EffectEvent
+    class_name: str
     key: str
-    start: str
-    at: float  # Unix seconds
+    incarnation: str
+    at: float
     customer: str = ""
     result: bytes = b""
     words: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class OperationOutcome:
     """What became of an operation; ``row`` is what was there before it."""
 
-    verdict: Verdict
-    row: Row
+    decision: Decision
+    row: EffectRow
 
 
 class LedgerDatabase:
-    """``path`` is made where it is not there, and brought up to this schema; ``RecordError`` if that cannot be."""
+    """One connection to the file at ``path``, which is made or migrated as needed.
+
+    ``busy``: s for which a call waits for other writers. Raises ``LedgerError`` if the file cannot be opened.
+    """
 
-    def __init__(self, path: str, busy: float = BUSY) -> None:
+    def __init__(self, path: str, busy: float = BUSY_TIMEOUT_S) -> None:
         self.path = path
         try:
-            self._base = sqlite.connect(path, busy)
+            self._connection = sqlite.connect(path, busy)
             self._migrate()
         except sqlite3.Error as error:
             raise LedgerError(f"{path}: {error}") from None
 
     def _migrate(self) -> None:
         """In one transaction, so that a kill leaves the old file or the new one."""
-        with sqlite.writing(self._base):
-            there = self._base.execute("pragma user_version").fetchone()[0]
-            if there > VERSION:
-                raise LedgerError(f"{self.path} is of schema {there}, newer than {VERSION}")
-            if there == VERSION:
+        with sqlite.writing(self._connection):
+            version = self._connection.execute("pragma user_version").fetchone()[0]
+            if version > VERSION:
+                raise LedgerError(f"{self.path} is of schema {version}, newer than {VERSION}")
+            if version == VERSION:
                 return
-            self._base.execute(EFFECTS)
-            self._base.execute(LEDGER)
-            old = self._base.execute("select 1 from sqlite_master where type = 'table' and name = 'record'")
-            if old.fetchone() is not None:
-                # The store before this one noted starts without their ends: each may have run.
-                self._base.execute(
-                    "insert or ignore into effect (class, key, standing, start, since, customer)"
-                    " select class, key, 'spent', 'before', max(at), coalesce(max(team), '') from record"
-                    " where event in ('started', 'unrun') and key is not null group by class, key"
-                    " having sum(iif(event = 'started', 1, -1)) > 0"
-                )
-            self._base.execute(f"pragma user_version = {VERSION}")
-
-    def _row(self, cls: str, key: str) -> Row:
-        found = self._base.execute(
-            "select standing, start, result from effect where class = ? and key = ?", (cls, key)
-        ).fetchone()
-        return Row(Standing(found[0]), found[1], found[2]) if found is not None else Row()
-
-    def write(self, ops: Sequence[Op]) -> list[Told]:
-        """Carry out operations in their order, in one durable transaction; ``RecordError`` if it could not be."""
+            self._connection.execute(EFFECT_SCHEMA)
+            self._connection.execute(LEDGER_SCHEMA)
+            if self._has_attempt_log():
+                self._connection.execute(IMPORT_ATTEMPT_LOG)
+            self._connection.execute(f"pragma user_version = {VERSION}")
+
+    def _has_attempt_log(self) -> bool:
+        tables = self._connection.execute("select 1 from sqlite_master where type = 'table' and name = 'record'")
+        return tables.fetchone() is not None
+
+    def write(self, operations: Sequence[Operation]) -> list[OperationOutcome]:
+        """Carry out operations in their order, in one durable transaction. Raises ``LedgerError``."""
         try:
-            with sqlite.writing(self._base):
-                return [self._one(op) for op in ops]
+            with sqlite.writing(self._connection):
+                return [self._apply(operation) for operation in operations]
         except sqlite3.Error as error:
             raise LedgerError(str(error)) from None
 
-    def _one(self, op: Op) -> Told:
-        row = self._row(op.cls, op.key)
-        verdict, standing = judge(row, op.event, op.start)
-        if verdict is not Verdict.DO:
-            return Told(verdict, row)
-        name = op.cls, op.key
-        if op.event is Event.INTEND:
-            self._base.execute(
-                "insert into effect (class, key, standing, start, since, customer) values (?, ?, ?, ?, ?, ?)",
-                (*name, standing.value, op.start, op.at, op.customer),
-            )
-        elif op.event is Event.VOID:
-            self._base.execute("delete from effect where class = ? and key = ?", name)
+    def _apply(self, operation: Operation) -> OperationOutcome:
+        row = self._row(operation.class_name, operation.key)
+        decision, next_state = decide(row, operation.event, operation.incarnation)
+        if decision is not Decision.APPLY:
+            return OperationOutcome(decision, row)
+        if operation.event is EffectEvent.INTEND:
+            self._insert_effect(operation, next_state)
+        elif operation.event is EffectEvent.CANCEL:
+            self._delete_effect(operation)
         else:
-            self._base.execute(
-                "update effect set standing = ?, ended = ?, result = ?, words = ? where class = ? and key = ?",
-                (standing.value, op.at, op.result, op.words, *name),
-            )
-        if op.event is Event.FINISH:
-            customer = self._base.execute("select customer from effect where class = ? and key = ?", name).fetchone()[0]
-            for account, words in ((f"customer/{customer}", op.words), (EARNED, -op.words)):
-                self._base.execute("insert into ledger values (?, ?, ?, ?, ?)", (*name, account, words, op.at))
-        return Told(verdict, row)
+            self._end_effect(operation, next_state)
+        if operation.event is EffectEvent.COMPLETE:
+            self._charge(operation)
+        return OperationOutcome(decision, row)
+
+    def _row(self, class_name: str, key: str) -> EffectRow:
+        found = self._connection.execute(
+            "select standing, start, result from effect where class = ? and key = ?", (class_name, key)
+        ).fetchone()
+        if found is None:
+            return EffectRow()
+        state, incarnation, result = found
+        return EffectRow(EffectState(state), incarnation, result)
+
+    def _insert_effect(self, operation: Operation, state: EffectState) -> None:
+        self._connection.execute(
+            "insert into effect (class, key, standing, start, since, customer) values (?, ?, ?, ?, ?, ?)",
+            (
+                operation.class_name,
+                operation.key,
+                state.value,
+                operation.incarnation,
+                operation.at,
+                operation.customer,
+            ),
+        )
+
+    def _delete_effect(self, operation: Operation) -> None:
+        self._connection.execute(
+            "delete from effect where class = ? and key = ?", (operation.class_name, operation.key)
+        )
+
+    def _end_effect(self, operation: Operation, state: EffectState) -> None:
+        self._connection.execute(
+            "update effect set standing = ?, ended = ?, result = ?, words = ? where class = ? and key = ?",
+            (state.value, operation.at, operation.result, operation.words, operation.class_name, operation.key),
+        )
+
+    def _charge(self, operation: Operation) -> None:
+        """Two entries that sum to 0. A second charge of the effect fails by the primary key."""
+        name = operation.class_name, operation.key
+        (customer,) = self._connection.execute(
+            "select customer from effect where class = ? and key = ?", name
+        ).fetchone()
+        entries = ((f"customer/{customer}", operation.words), (REVENUE_ACCOUNT, -operation.words))
+        for account, words in entries:
+            self._connection.execute("insert into ledger values (?, ?, ?, ?, ?)", (*name, account, words, operation.at))
 
     def read(self, query: str, values: tuple[object, ...] = ()) -> list[tuple[object, ...]]:
+        """The rows of a query. Raises ``LedgerError``."""
         try:
-            return self._base.execute(query, values).fetchall()
+            return self._connection.execute(query, values).fetchall()
         except sqlite3.Error as error:
             raise LedgerError(str(error)) from None
 
     def close(self) -> None:
-        self._base.close()
+        """Close the connection."""
+        self._connection.close()
--- a/lapishaven/ledger/metering.py
+++ b/lapishaven/ledger/metering.py
@@ -4,16 +4,17 @@
 
 from collections.abc import Callable, Mapping
 
-Meter = Callable[[bytes, bytes], int]  # body, result
+Meter = Callable[[bytes, bytes], int]  # of a request's body and its result
 
 
-def words(data: bytes) -> int:
-    """Words, parted by white space; bytes that are no text count as they stand."""
+def count_words(data: bytes) -> int:
+    """Words, separated by white space; the data need not be text."""
     return len(data.split())
 
 
+# By name in the settings.
 METERS: Mapping[str, Meter] = {
-    "body": lambda body, result: words(body),
-    "result": lambda body, result: words(result),
+    "body": lambda body, result: count_words(body),
+    "result": lambda body, result: count_words(result),
     "each": lambda body, result: 1,
 }
--- a/lapishaven/ledger/recorder.py
+++ b/lapishaven/ledger/recorder.py
@@ -1,10 +1,10 @@
-"""The Broker's keeper on the store of record: nothing here is waited for on the event path."""
+"""The core's result store on the ledger: nothing here is waited for on the event loop."""
 
 from __future__ import annotations
 
 import threading
 import time
-from collections import OrderedDict, deque
+from collections import OrderedDict
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from enum import Enum
@@ -12,33 +12,51 @@
 from lapishaven.core.ports import KnownEffect
 from lapishaven.core.requests import Submission
 from lapishaven.ledger.backpressure import Backpressure, BackpressureRules
-from lapishaven.ledger.database import LedgerDatabase, Op, Told
+from lapishaven.ledger.database import LedgerDatabase, Operation, OperationOutcome
 from lapishaven.ledger.metering import Meter
-from lapishaven.ledger.transitions import Event, Verdict
+from lapishaven.ledger.transitions import Decision, EffectEvent
 from lapishaven.ledger.writer import Writer
-from lapishaven.net.wake import Wake
+from lapishaven.net.completion_queue import CompletionQueue
 
-KEPT = 20_000  # results that are answered from memory; older ones are found in the file
-LAST_WRITES = 0.1  # s that the end may take for what is still to be written: the kill comes soon after
+CACHED_RESULTS = 20_000  # answered from memory; older ones are found in the file
+CLOSE_TIMEOUT_S = 0.1  # for what is still to be written: the process is killed soon after
 
+EffectName = tuple[str, str]  # class and idempotency key
 
-class Met(Enum):
+
+class KnownState(Enum):
     """What is known of an effect."""
 
     UNKNOWN = "unknown"
-    DONE = "done"
-    DOUBT = "doubt"  # another start is at it, or was
+    COMPLETED = "done"
+    UNCERTAIN = "doubt"  # another incarnation runs it, or did
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    state: Met
+class KnownResult:
+    """What is known of an effect, and its result if it completed."""
+
+    state: KnownState
     result: bytes = b""
 
 
 class Recorder:
-    """``ready`` is a descriptor that has something to read once ``told`` should be called. ``start`` names this start
-    of the server; ``meters`` what each class is charged by, ``usual`` the others."""
+    """Records effects in the ledger and answers repeats of them. See ``core.ports.DurableResultStore``.
+
+    Parameters:
+        base: the file.
+        start: names this start of the server.
+        meters: what each class is charged by.
+        usual: what classes without a meter of their own are charged by.
+        rules: limits of what waits to be written.
+        wall: Unix seconds.
+        clock: seconds that never step.
+
+    Attributes:
+        refused: commits rejected as the ledger was slow or broken.
+        elsewhere: commits that another incarnation had completed.
+        uncertain: commits that another incarnation may have run.
+    """
 
     label = "record"
 
@@ -52,115 +70,111 @@
         wall: Callable[[], float] = time.time,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.start, self._meters, self._usual, self._wall, self._clock = start, meters, usual, wall, clock
-        self._base = base
-        self._lock = threading.Lock()  # of the flow, held for moments only
-        self._flow = Backpressure(rules or BackpressureRules())
-        self._writer = Writer(base, self._over)
-        self._ends: deque[Callable[[], None]] = deque()
-        self._wake = Wake()
-        self._kept: OrderedDict[tuple[str, str], bytes] = OrderedDict()
-        self._open: dict[tuple[str, str], Submission] = {}  # intended here and not ended
-        self.refused = self.elsewhere = self.uncertain = 0
+        self.start = start
+        self._meters = meters
+        self._default_meter = usual
+        self._wall = wall
+        self._clock = clock
+        self._database = base
+        self._backpressure = Backpressure(rules or BackpressureRules())
+        self._backpressure_lock = threading.Lock()  # held for moments only
+        self._writer = Writer(base, self._group_ended)
+        self._completions = CompletionQueue()
+        self._cached_results: OrderedDict[EffectName, bytes] = OrderedDict()
+        self._running: dict[EffectName, Submission] = {}  # intended by this incarnation, and not ended
+        self.refused = 0
+        self.elsewhere = 0
+        self.uncertain = 0
 
     @property
     def ready(self) -> int:
-        return self._wake.reader
+        """A descriptor that is readable when ``process_completions`` should be called."""
+        return self._completions.ready
 
-    # ---- The Broker's port
+    # ---- The core's port
     def find(self, cls: str, key: str) -> KnownEffect:
-        """What is known without a look into the file: results of this life, and others' that were met."""
-        result = self._kept.get((cls, key))
-        return Found(Met.UNKNOWN) if result is None else Found(Met.DONE, result)
+        """What is known without a look into the file: results of this incarnation, and others' that were met."""
+        result = self._cached_results.get((cls, key))
+        if result is None:
+            return KnownResult(KnownState.UNKNOWN)
+        return KnownResult(KnownState.COMPLETED, result)
 
     def record_intent(
         self, cls: str, key: str, sub: Submission, then: Callable[[bool | KnownEffect], None]
     ) -> float | None:
-        """Have the intent made durable; ``then`` is told yes, no, or what else is known of the effect. Seconds to stay
-        away if it is not even tried."""
-        with self._lock:
-            wait = self._flow.wait(self._clock())
-        if wait is not None:
+        """Make the intent durable.
+
+        ``then`` gets ``True`` once it is, ``False`` if it cannot be, or what else is known of the effect. Returns
+        seconds after which to retry if it is not even tried, else ``None``.
+        """
+        with self._backpressure_lock:
+            retry_after = self._backpressure.retry_after(self._clock())
+        if retry_after is not None:
             self.refused += 1
-            return wait
+            return retry_after
         name = cls, key
-        self._open[name] = sub
+        self._running[name] = sub
         customer = f"{sub.team}/{sub.service}" if sub.team else f"caller/{sub.caller_id}"
-
-        def written(told: Told | None) -> None:
-            if told is not None and told.verdict is Verdict.DO:
-                return then(True)
-            self._open.pop(name, None)
-            if told is None:
-                then(False)
-            elif told.verdict is Verdict.KEPT:
-                self.elsewhere += 1
-                self._keep(name, told.row.result)
-                then(Found(Met.DONE, told.row.result))
-            else:
-                self.uncertain += 1
-                then(Found(Met.DOUBT))
-
-        self._put(Op(Event.INTEND, cls, key, self.start, self._wall(), customer), written)
+        operation = Operation(EffectEvent.INTEND, cls, key, self.start, self._wall(), customer)
+        self._submit(operation, lambda outcome: then(self._intent_answered(name, outcome)))
         return None
 
+    def _intent_answered(self, name: EffectName, outcome: OperationOutcome | None) -> bool | KnownEffect:
+        if outcome is not None and outcome.decision is Decision.APPLY:
+            return True
+        self._running.pop(name, None)
+        if outcome is None:
+            return False
+        if outcome.decision is Decision.ALREADY_COMPLETED:
+            self.elsewhere += 1
+            self._cache_result(name, outcome.row.result)
+            return KnownResult(KnownState.COMPLETED, outcome.row.result)
+        self.uncertain += 1
+        return KnownResult(KnownState.UNCERTAIN)
+
     def record_result(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None:
-        """Have the result and its charge made durable; ``then`` is told whether they are."""
+        """Make the result and its charge durable; ``then`` gets whether they are."""
         name = cls, key
-        sub = self._open.pop(name, None)
-        words = self._meters.get(cls, self._usual)(sub.body if sub is not None else b"", result)
+        sub = self._running.pop(name, None)
+        meter = self._meters.get(cls, self._default_meter)
+        words = meter(sub.body if sub is not None else b"", result)
 
-        def written(told: Told | None) -> None:
-            good = told is not None and told.verdict is not Verdict.NOTHING
-            if good:
-                self._keep(name, result)
-            then(good)
+        def written(outcome: OperationOutcome | None) -> None:
+            durable = outcome is not None and outcome.decision is not Decision.IGNORE
+            if durable:
+                self._cache_result(name, result)
+            then(durable)
 
-        self._put(Op(Event.FINISH, cls, key, self.start, self._wall(), "", result, words), written)
+        self._submit(
+            Operation(EffectEvent.COMPLETE, cls, key, self.start, self._wall(), "", result, words),
+            written,
+        )
 
     def record_failure(self, cls: str, key: str) -> None:
         """It ran and gave no result."""
-        self._open.pop((cls, key), None)
-        self._put(Op(Event.FAIL, cls, key, self.start, self._wall()), lambda told: None)
+        self._end_without_result(EffectEvent.FAIL, cls, key)
 
     def cancel_intent(self, cls: str, key: str) -> None:
         """It provably never ran: its key is free."""
-        self._open.pop((cls, key), None)
-        self._put(Op(Event.VOID, cls, key, self.start, self._wall()), lambda told: None)
+        self._end_without_result(EffectEvent.CANCEL, cls, key)
+
+    def _end_without_result(self, event: EffectEvent, cls: str, key: str) -> None:
+        self._running.pop((cls, key), None)
+        self._submit(Operation(event, cls, key, self.start, self._wall()), lambda outcome: None)
 
     def uncertain_effects(self) -> list[tuple[str, str, float]]:
-        """None: each repeat is held against the file before it runs."""
+        """None: each repeat is compared with the file before it runs."""
         return []
 
-    # ---- To and from the writer
-    def _put(self, op: Op, then: Callable[[Told | None], None]) -> None:
-        with self._lock:
-            self._flow.taken(self._clock())
-        self._writer.put(op, lambda told: self._post(lambda: then(told)))
-
-    def _over(self, count: int, good: bool) -> None:
-        with self._lock:
-            self._flow.ended(self._clock(), count, good)
-
-    def _post(self, what: Callable[[], None]) -> None:
-        self._ends.append(what)
-        self._wake.poke()
-
-    def _keep(self, name: tuple[str, str], result: bytes) -> None:
-        self._kept[name] = result
-        while len(self._kept) > KEPT:
-            self._kept.popitem(last=False)
-
     def process_completions(self) -> None:
-        """On the event path: carry out what was told since."""
-        self._wake.drain()
-        while self._ends:
-            self._ends.popleft()()
+        """On the event loop: notify of what was written since."""
+        self._completions.run_pending()
 
     def state(self) -> dict[str, int]:
         """Gauges by name, for operators."""
-        with self._lock:
-            waiting, broken = len(self._flow), self._flow.broken
+        with self._backpressure_lock:
+            waiting = len(self._backpressure)
+            broken = self._backpressure.broken
         return {
             "waiting": waiting,
             "broken": int(broken),
@@ -173,7 +187,22 @@
         }
 
     def close(self) -> None:
-        self._writer.close(LAST_WRITES)
-        self.process_completions()
-        self._wake.close()
-        self._base.close()
+        """Write what can be written soon, and close the file."""
+        self._writer.close(CLOSE_TIMEOUT_S)
+        self._completions.close()
+        self._database.close()
+
+    # ---- To and from the writer's thread
+    def _submit(self, operation: Operation, when_written: Callable[[OperationOutcome | None], None]) -> None:
+        with self._backpressure_lock:
+            self._backpressure.entry_added(self._clock())
+        self._writer.submit(operation, lambda outcome: self._completions.post(lambda: when_written(outcome)))
+
+    def _group_ended(self, count: int, durable: bool) -> None:
+        with self._backpressure_lock:
+            self._backpressure.entries_written(self._clock(), count, durable)
+
+    def _cache_result(self, name: EffectName, result: bytes) -> None:
+        self._cached_results[name] = result
+        while len(self._cached_results) > CACHED_RESULTS:
+            self._cached_results.popitem(last=False)
--- a/lapishaven/ledger/settings.py
+++ b/lapishaven/ledger/settings.py
@@ -1,70 +1,92 @@
-"""The settings of the record, from ``deploy/record.toml``: checked, one plain line on what is wrong."""
+"""The checked settings of the ledger, from the TOML file of ``serve --record``."""
 
 from __future__ import annotations
 
 import tomllib
 from collections.abc import Mapping
-from dataclasses import dataclass, fields
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from lapishaven.ledger.backpressure import BackpressureRules
 from lapishaven.ledger.metering import METERS, Meter
 
 
 class LedgerSettingsError(ValueError):
-    """One plain line on what is wrong."""
+    """A mistake in the file, as one plain line."""
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerSettings:
-    """``meters`` by class; ``usual`` for the others. Times in seconds."""
+    """What ``serve --record`` is told.
+
+    Attributes:
+        file: path of the SQLite file.
+        backpressure: limits of what waits to be written.
+        meters: what an effect is charged by, by class.
+        default_meter: the same for the other classes.
+    """
 
     file: str
-    rules: BackpressureRules
+    backpressure: BackpressureRules
     meters: Mapping[str, Meter]
-    usual: Meter
+    default_meter: Meter
 
 
-LIMITS = {
-    "most": (1, 1_000_000),
-    "stall": (0.01, 60.0),
-    "faults": (1, 100),
-    "pause": (0.01, 60.0),
-    "pause_most": (0.01, 600.0),
-}
+class FlowKey(NamedTuple):
+    """A key of the table ``flow``: the field of ``BackpressureRules`` that it sets, and its bounds."""
 
+    field: str
+    low: float
+    high: float
+    whole: bool = False
 
-def _meter(where: str, name: Any) -> Meter:
-    if not isinstance(name, str) or name not in METERS:
-        raise LedgerSettingsError(f"{where} is {name!r}, none of {', '.join(METERS)}")
-    return METERS[name]
+
+FLOW_KEYS = {
+    "most": FlowKey("max_waiting", 1, 1_000_000, whole=True),
+    "stall_s": FlowKey("stall_s", 0.01, 60.0),
+    "faults": FlowKey("failures_to_break", 1, 100, whole=True),
+    "pause_s": FlowKey("retry_pause_s", 0.01, 60.0),
+    "pause_most_s": FlowKey("max_retry_pause_s", 0.01, 600.0),
+}
+DEFAULT_METER_KEY = "usual"  # of the table meter
+DEFAULT_METER = METERS["each"]
 
 
-def load(path: str) -> LedgerSettings:
-    """The checked settings; ``RecordSettingsError`` says what is wrong."""
+def load_settings(path: str) -> LedgerSettings:
+    """Read and check the file. Raises ``LedgerSettingsError``."""
     try:
-        data = tomllib.loads(Path(path).read_text())
+        tables = tomllib.loads(Path(path).read_text())
     except (OSError, ValueError) as error:
         raise LedgerSettingsError(f"cannot read {path}: {getattr(error, 'strerror', None) or error}") from None
-    if odd := set(data) - {"file", "meter", "flow"}:
-        raise LedgerSettingsError(f"{path}: unknown {sorted(odd)[0]}")
-    if not isinstance(data.get("file"), str) or not data["file"].startswith("/"):
+    if unknown := set(tables) - {"file", "meter", "flow"}:
+        raise LedgerSettingsError(f"{path}: unknown {min(unknown)}")
+    if not isinstance(tables.get("file"), str) or not tables["file"].startswith("/"):
         raise LedgerSettingsError(f"{path}: file is no path from the root")
-    meters, flow = data.get("meter", {}), data.get("flow", {})
-    if not isinstance(meters, dict) or not isinstance(flow, dict):
+    meter_names = tables.get("meter", {})
+    flow = tables.get("flow", {})
+    if not isinstance(meter_names, dict) or not isinstance(flow, dict):
         raise LedgerSettingsError(f"{path}: meter or flow is not a table")
-    values: dict[str, Any] = {}
-    kinds = {field.name: field.type for field in fields(BackpressureRules)}
+    values = {}
     for name, value in flow.items():
-        field = name.removesuffix("_s")
-        if field not in LIMITS or (name.endswith("_s") is not (kinds[field] == "float")):
+        if name not in FLOW_KEYS:
             raise LedgerSettingsError(f"{path}: flow has an unknown {name}")
-        low, high = LIMITS[field]
-        whole = kinds[field] == "int"
-        if isinstance(value, bool) or not isinstance(value, int if whole else int | float) or not low <= value <= high:
-            kind = "whole number" if whole else "number"
-            raise LedgerSettingsError(f"{path}: flow.{name} is {value!r}, no {kind} from {low:g} to {high:g}")
-        values[field] = value
-    found = {cls: _meter(f"{path}: meter.{cls}", name) for cls, name in meters.items()}
-    return LedgerSettings(data["file"], BackpressureRules(**values), found, found.get("usual", METERS["each"]))
+        values[FLOW_KEYS[name].field] = _flow_number(path, name, value)
+    meters = {class_name: _meter(f"{path}: meter.{class_name}", name) for class_name, name in meter_names.items()}
+    default_meter = meters.get(DEFAULT_METER_KEY, DEFAULT_METER)
+    return LedgerSettings(tables["file"], BackpressureRules(**values), meters, default_meter)
+
+
+def _flow_number(path: str, name: str, value: Any) -> Any:
+    key = FLOW_KEYS[name]
+    allowed = int if key.whole else int | float
+    if isinstance(value, bool) or not isinstance(value, allowed) or not key.low <= value <= key.high:
+        kind = "whole number" if key.whole else "number"
+        raise LedgerSettingsError(f"{path}: flow.{name} is {value!r}, no {kind} from {key.low:g} to {key.high:g}")
+    return value
+
+
+def _meter(where: str, name: Any) -> Meter:
+    if not isinstance(name, str) or name not in METERS:
+        raise LedgerSettingsError(f"{where} is {name!r}, none of {', '.join(METERS)}")
+    return METERS[name]
--- a/lapishaven/sqlite.py
+++ b/lapishaven/sqlite.py
@@ -1,4 +1,4 @@
-"""SQLite as this program uses it: durable at each commit, readers beside a writer, transactions whole or not at all."""
+"""SQLite as this program uses it: durable at each commit, readers beside a writer, explicit transactions."""
 
 from __future__ import annotations
 
@@ -7,44 +7,48 @@
 from collections.abc import Iterator
 from contextlib import contextmanager, suppress
 
-AGAIN = 0.01  # s between tries to turn a file to WAL
+WAL_RETRY_INTERVAL_S = 0.01
+PRIMARY_CODE_MASK = 0xFF  # of an extended result code
 
 
 def connect(path: str, busy: float) -> sqlite3.Connection:
-    """A connection with WAL and synchronous=FULL; ``busy`` in s is how long a call waits for other writers. Raises
-    ``sqlite3.Error``. Transactions are begun by hand."""
-    base = sqlite3.connect(path, timeout=busy, isolation_level=None, check_same_thread=False)
+    """A connection with WAL and synchronous=FULL, on which transactions are begun explicitly.
+
+    ``busy``: s for which a call waits for other writers. Raises ``sqlite3.Error``.
+    """
+    connection = sqlite3.connect(path, timeout=busy, isolation_level=None, check_same_thread=False)
     try:
-        _turn_to_wal(base, busy)
-        base.execute("pragma synchronous = full")
+        _switch_to_wal(connection, busy)
+        connection.execute("pragma synchronous = full")
     except BaseException:
-        base.close()
+        connection.close()
         raise
-    return base
+    return connection
 
 
-def _turn_to_wal(base: sqlite3.Connection, busy: float) -> None:
-    """The switch of a new file fails at once where another connection makes it, too: SQLite does not wait for that."""
-    until = time.monotonic() + busy
+def _switch_to_wal(connection: sqlite3.Connection, busy: float) -> None:
+    """Retry while another connection switches the same new file: SQLite fails at once then, whatever the timeout."""
+    deadline = time.monotonic() + busy
     while True:
         try:
-            base.execute("pragma journal_mode = wal")
+            connection.execute("pragma journal_mode = wal")
             return
         except sqlite3.OperationalError as error:
-            if error.sqlite_errorcode & 0xFF != sqlite3.SQLITE_BUSY or time.monotonic() >= until:
+            is_busy = error.sqlite_errorcode & PRIMARY_CODE_MASK == sqlite3.SQLITE_BUSY
+            if not is_busy or time.monotonic() >= deadline:
                 raise
-        time.sleep(AGAIN)
+        time.sleep(WAL_RETRY_INTERVAL_S)
 
 
 def script(base: sqlite3.Connection, statements: str) -> None:
-    """Statements one after the other, within the transaction that is open (``executescript`` would commit it)."""
+    """Execute statements within the open transaction, which ``executescript`` would commit. Each ends a line."""
     for statement in statements.split(";\n"):
         base.execute(statement)
 
 
 @contextmanager
 def writing(base: sqlite3.Connection) -> Iterator[None]:
-    """``BEGIN IMMEDIATE`` to commit; anything raised within rolls back. Raises ``sqlite3.Error``."""
+    """A transaction from ``BEGIN IMMEDIATE`` to commit, rolled back by any exception. Raises ``sqlite3.Error``."""
     base.execute("begin immediate")
     try:
         yield
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -19,7 +19,7 @@
 
 from lapishaven import config
 from lapishaven.cli import app
-from lapishaven.idempotency import DurableResults, ResultIndex, Standing
+from lapishaven.idempotency import DurableResults, EffectState, ResultIndex
 from lapishaven.idempotency.result_index import Entry, decode, encode
 from lapishaven.lab import site
 from lapishaven.lab.catalog import Catalog
@@ -33,22 +33,22 @@
 
 def test_the_ledger_ages_out_and_never_earlier() -> None:
     ledger = ResultIndex(100.0)
-    ledger.intend(10.0, b"a")
-    ledger.done(12.0, b"a", b"r")
-    ledger.intend(50.0, b"b")
-    ledger.failed(b"b")
-    assert ledger.find(109.0, b"a") == Entry(Standing.DONE, 10.0, b"r")
-    assert ledger.find(110.0, b"a").state is Standing.UNKNOWN
-    assert ledger.find(60.0, b"b").state is Standing.DOUBT
-    assert ledger.frees_in(60.0) == 50.0
-    assert ledger.sweep(120.0) == 1 and len(ledger) == 1
-    ledger.void(b"b")
-    assert ledger.find(60.0, b"b").state is Standing.UNKNOWN
+    ledger.mark_running(10.0, b"a")
+    ledger.mark_completed(12.0, b"a", b"r")
+    ledger.mark_running(50.0, b"b")
+    ledger.mark_uncertain(b"b")
+    assert ledger.find(109.0, b"a") == Entry(EffectState.COMPLETED, 10.0, b"r")
+    assert ledger.find(110.0, b"a").state is EffectState.UNKNOWN
+    assert ledger.find(60.0, b"b").state is EffectState.UNCERTAIN
+    assert ledger.next_expiry_in(60.0) == 50.0
+    assert ledger.remove_expired(120.0) == 1 and len(ledger) == 1
+    ledger.remove(b"b")
+    assert ledger.find(60.0, b"b").state is EffectState.UNKNOWN
 
 
 def test_values_are_read_back_and_nonsense_is_refused() -> None:
-    assert decode(encode(5.0, None)) == Entry(Standing.DOUBT, 5.0)
-    assert decode(encode(5.0, b"xyz")) == Entry(Standing.DONE, 5.0, b"xyz")
+    assert decode(encode(5.0, None)) == Entry(EffectState.UNCERTAIN, 5.0)
+    assert decode(encode(5.0, b"xyz")) == Entry(EffectState.COMPLETED, 5.0, b"xyz")
     for wrong in (b"", b"I", b"X" + bytes(8)):
         with pytest.raises(ValueError):
             decode(wrong)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -26,37 +26,39 @@
 from lapishaven.ledger import file_copies
 from lapishaven.ledger.audit import Charge, Effect, differences
 from lapishaven.ledger.backpressure import Backpressure, BackpressureRules
-from lapishaven.ledger.database import EARNED, LedgerDatabase, LedgerError, Op
-from lapishaven.ledger.settings import LedgerSettingsError, load
-from lapishaven.ledger.transitions import Event, Row, Standing, Verdict, judge
+from lapishaven.ledger.database import REVENUE_ACCOUNT, LedgerDatabase, LedgerError, Operation
+from lapishaven.ledger.settings import LedgerSettingsError, load_settings
+from lapishaven.ledger.transitions import Decision, EffectEvent, EffectRow, EffectState, decide
 
 ROOT = Path(__file__).parent.parent
 
 
 def effects(base: LedgerDatabase) -> tuple[list[Effect], list[Charge]]:
-    from lapishaven.ledger.command import _rows
+    from lapishaven.ledger.command import read_rows
 
-    return _rows(base)
+    return read_rows(base)
 
 
 @rounds(max_examples=200, deadline=None)
-@given(st.lists(st.tuples(st.sampled_from(Event), st.sampled_from("abc")), max_size=12))
-def test_whatever_starts_ask_in_whatever_order_an_effect_is_done_by_one_of_them(asked: list[tuple[Event, str]]) -> None:
+@given(st.lists(st.tuples(st.sampled_from(EffectEvent), st.sampled_from("abc")), max_size=12))
+def test_whatever_starts_ask_in_whatever_order_an_effect_is_done_by_one_of_them(
+    asked: list[tuple[EffectEvent, str]],
+) -> None:
     """Guards the four rules at the table: what one start may run no other may, until it provably never ran; nothing
     leaves `done`; nobody ends what another began."""
-    row, holder = Row(), None
+    row, holder = EffectRow(), None
     for event, start in asked:
-        verdict, standing = judge(row, event, start)
-        if verdict is Verdict.DO and event is Event.INTEND:
+        verdict, standing = decide(row, event, start)
+        if verdict is Decision.APPLY and event is EffectEvent.INTEND:
             assert holder is None
             holder = start
-        elif verdict is Verdict.DO:
+        elif verdict is Decision.APPLY:
             assert start == holder
-            if event is Event.VOID:
+            if event is EffectEvent.CANCEL:
                 holder = None
-        if row.standing is Standing.DONE:
-            assert standing is Standing.DONE and verdict in (Verdict.KEPT, Verdict.NOTHING)
-        row = Row(standing, holder or "")
+        if row.state is EffectState.COMPLETED:
+            assert standing is EffectState.COMPLETED and verdict in (Decision.ALREADY_COMPLETED, Decision.IGNORE)
+        row = EffectRow(standing, holder or "")
 
 
 def test_the_protocol_holds_in_every_order_of_its_steps_and_every_guard_is_needed() -> None:
@@ -69,42 +71,44 @@
 
 def test_flow_turns_away_at_once_when_the_record_is_full_stalled_or_broken_and_tries_it_again() -> None:
     """Guards commits from waiting behind a record that stands still, and the record from being given up for good."""
-    flow = Backpressure(BackpressureRules(most=3, stall=0.5, faults=2, pause=0.2, pause_most=1.0))
+    flow = Backpressure(
+        BackpressureRules(max_waiting=3, stall_s=0.5, failures_to_break=2, retry_pause_s=0.2, max_retry_pause_s=1.0)
+    )
     for _ in range(3):
-        assert flow.wait(0.0) is None
-        flow.taken(0.0)
-    assert flow.wait(0.1) is not None and flow.wait(0.6) == 0.5  # full; stalled
-    flow.ended(0.6, 3, True)
-    assert flow.wait(0.6) is None
+        assert flow.retry_after(0.0) is None
+        flow.entry_added(0.0)
+    assert flow.retry_after(0.1) is not None and flow.retry_after(0.6) == 0.5  # full; stalled
+    flow.entries_written(0.6, 3, True)
+    assert flow.retry_after(0.6) is None
     for n in range(2):
-        flow.taken(1.0)
-        flow.ended(1.0 + n * 0.1, 1, False)
-    assert flow.broken and flow.wait(1.1) == pytest.approx(0.2)
-    assert flow.wait(1.35) is None  # one is tried
-    flow.taken(1.35)
-    assert flow.wait(1.36) is not None
-    flow.ended(1.4, 1, False)
-    assert flow.wait(1.4) == pytest.approx(0.4)  # for longer
-    flow.taken(2.0)
-    flow.ended(2.0, 1, True)
-    assert not flow.broken and flow.wait(2.0) is None
+        flow.entry_added(1.0)
+        flow.entries_written(1.0 + n * 0.1, 1, False)
+    assert flow.broken and flow.retry_after(1.1) == pytest.approx(0.2)
+    assert flow.retry_after(1.35) is None  # one is tried
+    flow.entry_added(1.35)
+    assert flow.retry_after(1.36) is not None
+    flow.entries_written(1.4, 1, False)
+    assert flow.retry_after(1.4) == pytest.approx(0.4)  # for longer
+    flow.entry_added(2.0)
+    flow.entries_written(2.0, 1, True)
+    assert not flow.broken and flow.retry_after(2.0) is None
 
 
 def test_an_effect_and_its_charge_are_one_transaction_and_a_lost_answer_is_no_second_charge(tmp_path: Path) -> None:
     """Guards billing: no effect without its charge, none charged twice, and another start's row is left alone."""
     a, b = LedgerDatabase(str(tmp_path / "r.db")), LedgerDatabase(str(tmp_path / "r.db"))
 
-    def op(event: Event, start: str, **more: object) -> Op:
-        return Op(event, "c", "k", start, 1.0, **more)  # type: ignore[arg-type]
-
-    assert a.write([op(Event.INTEND, "a", customer="t/s")])[0].verdict is Verdict.DO
-    assert b.write([op(Event.INTEND, "b")])[0].verdict is Verdict.UNCERTAIN
-    assert b.write([op(Event.VOID, "b"), op(Event.FINISH, "b", words=9)])[1].verdict is Verdict.NOTHING
-    done = op(Event.FINISH, "a", result=b"r", words=7)
-    assert [a.write([done])[0].verdict, a.write([done])[0].verdict] == [Verdict.DO, Verdict.KEPT]
-    kept = b.write([op(Event.INTEND, "b")])[0]
-    assert (kept.verdict, kept.row.result) == (Verdict.KEPT, b"r")
-    assert a.read("select account, words from ledger order by account") == [("customer/t/s", 7), (EARNED, -7)]
+    def op(event: EffectEvent, start: str, **more: object) -> Operation:
+        return Operation(event, "c", "k", start, 1.0, **more)  # type: ignore[arg-type]
+
+    assert a.write([op(EffectEvent.INTEND, "a", customer="t/s")])[0].decision is Decision.APPLY
+    assert b.write([op(EffectEvent.INTEND, "b")])[0].decision is Decision.UNCERTAIN
+    assert b.write([op(EffectEvent.CANCEL, "b"), op(EffectEvent.COMPLETE, "b", words=9)])[1].decision is Decision.IGNORE
+    done = op(EffectEvent.COMPLETE, "a", result=b"r", words=7)
+    assert [a.write([done])[0].decision, a.write([done])[0].decision] == [Decision.APPLY, Decision.ALREADY_COMPLETED]
+    kept = b.write([op(EffectEvent.INTEND, "b")])[0]
+    assert (kept.decision, kept.row.result) == (Decision.ALREADY_COMPLETED, b"r")
+    assert a.read("select account, words from ledger order by account") == [("customer/t/s", 7), (REVENUE_ACCOUNT, -7)]
     # A group is whole or not at all: the second operation breaks the first one's transaction.
     with closing(sqlite3.connect(tmp_path / "r.db")) as base, base:
         base.execute(
@@ -112,7 +116,9 @@
             " select raise(abort, 'database or disk is full'); end"
         )
     with pytest.raises(LedgerError, match="full"):
-        a.write([Op(Event.INTEND, "c", "good", "a", 1.0), Op(Event.INTEND, "c", "bad", "a", 1.0)])
+        a.write(
+            [Operation(EffectEvent.INTEND, "c", "good", "a", 1.0), Operation(EffectEvent.INTEND, "c", "bad", "a", 1.0)]
+        )
     assert a.read("select count(*) from effect") == [(1,)]
     assert not list(differences(*effects(a)))
 
@@ -135,7 +141,12 @@
 def test_the_audit_names_each_planted_fault(tmp_path: Path, change: str, said: str) -> None:
     """Guards the audit: one that finds nothing whatever is wrong would be believed."""
     base = LedgerDatabase(str(tmp_path / "r.db"))
-    base.write([Op(Event.INTEND, "c", "k", "a", 1.0, "t/s"), Op(Event.FINISH, "c", "k", "a", 1.0, "", b"r", 7)])
+    base.write(
+        [
+            Operation(EffectEvent.INTEND, "c", "k", "a", 1.0, "t/s"),
+            Operation(EffectEvent.COMPLETE, "c", "k", "a", 1.0, "", b"r", 7),
+        ]
+    )
     assert not list(differences(*effects(base)))
     with closing(sqlite3.connect(tmp_path / "r.db")) as raw, raw:
         raw.execute(change)
@@ -153,7 +164,7 @@
     store.close()
     base = LedgerDatabase(path)
     assert base.read("select key, standing from effect") == [("k1", "spent")]
-    assert base.write([Op(Event.INTEND, "c", "k1", "a", 1.0)])[0].verdict is Verdict.UNCERTAIN
+    assert base.write([Operation(EffectEvent.INTEND, "c", "k1", "a", 1.0)])[0].decision is Decision.UNCERTAIN
     assert base.read("select count(*) from record") == [(4,)]  # nothing is lost
     with closing(sqlite3.connect(path)) as raw:
         raw.execute("pragma user_version = 9")
@@ -177,7 +188,7 @@
     path = tmp_path / "record.toml"
     path.write_text(text)
     with pytest.raises(LedgerSettingsError, match=said):
-        load(str(path))
+        load_settings(str(path))
 
 
 def test_a_backup_taken_under_writes_holds_together_and_is_put_back_whole_or_not_at_all(tmp_path: Path) -> None:
@@ -192,7 +203,9 @@
         while not over.is_set():
             n += 1
             name = "c", f"k{n}", "a", 1.0
-            base.write([Op(Event.INTEND, *name, "t/s"), Op(Event.FINISH, *name, "", b"r", 3)])
+            base.write(
+                [Operation(EffectEvent.INTEND, *name, "t/s"), Operation(EffectEvent.COMPLETE, *name, "", b"r", 3)]
+            )
 
     writing = threading.Thread(target=write)
     writing.start()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -10,11 +10,11 @@
 from typing import Any
 
 from lapishaven.attempt_log import SqliteAttemptLog
-from lapishaven.idempotency import DurableResults, Standing
+from lapishaven.idempotency import DurableResults, EffectState
+from lapishaven.ledger import transitions
 from lapishaven.ledger.audit import Charge, Effect, differences
 from lapishaven.ledger.command import audit
 from lapishaven.ledger.database import LedgerDatabase
-from lapishaven.ledger.transitions import Standing as EffectState
 from lapishaven.ownership.coordinators.sqlite import SqliteCoordinator
 from lapishaven.ownership.duties.budgets import PLAN
 from lapishaven.ownership.fence import Act
@@ -83,7 +83,7 @@
     results = DurableResults(store, 3600.0, wall=lambda: WRITTEN_AT + 1.0)
     found = {key: results.find("commit", key) for key in ("done", "intended", "failed", "void")}
     assert [entry.state.value for entry in found.values()] == ["done", "doubt", "doubt", "unknown"]
-    assert found["done"].state is Standing.DONE and found["done"].result == b"\x00result\xff"
+    assert found["done"].state is EffectState.COMPLETED and found["done"].result == b"\x00result\xff"
     assert sorted(results.uncertain_effects()) == [("commit", "failed", 0.5), ("commit", "intended", 0.75)]
     results.close()
 
@@ -209,7 +209,7 @@
     """Guards the check above from passing on anything: one charge changed is told."""
     path = copy_of("record.db", tmp_path)
     rows = tables_of(path)
-    effects = [Effect((row[0], row[1]), EffectState(row[2]), row[7], row[8]) for row in rows["effect"]]
+    effects = [Effect((row[0], row[1]), transitions.EffectState(row[2]), row[7], row[8]) for row in rows["effect"]]
     charges = [Charge((row[0], row[1]), row[2], row[3]) for row in rows["ledger"]]
     assert not list(differences(effects, charges))
     wrong = [Charge(charge.name, charge.account, charge.words + 1) for charge in charges[:1]]
