--- /dev/null
+++ b/lapishaven/backends/endpoint_prober.py
@@ -0,0 +1,81 @@
+"""Sends the load balancer's probes over one UDP socket, and checks when they go unanswered."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping, Sequence
+
+from lapishaven.counters import Counters
+from lapishaven.load_balancing import Choice, LoadBalancer, LoadReportError, Probe, decode
+from lapishaven.net.datagrams import Datagrams
+from lapishaven.net.loop import Loop
+from lapishaven.proto import ProtocolError
+from lapishaven.proto import load as load_protocol
+
+ANY_ADDRESS = ("0.0.0.0", 0)
+NEVER = float("inf")
+
+
+class EndpointProber:
+    """Parameters:
+    addresses: host and port by endpoint.
+    choice_completed: is called with a choice when the last of its probes is answered.
+    endpoint_suspected: is called with the name of each suspected endpoint at each check.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        balancer: LoadBalancer,
+        addresses: Mapping[str, tuple[str, int]],
+        counters: Counters,
+        choice_completed: Callable[[Choice], None],
+        endpoint_suspected: Callable[[str], None],
+    ) -> None:
+        self._loop = loop
+        self._balancer = balancer
+        self._addresses = addresses
+        self._counters = counters
+        self._choice_completed = choice_completed
+        self._endpoint_suspected = endpoint_suspected
+        self._check_at = NEVER
+        self._datagrams = Datagrams(loop, ANY_ADDRESS, self._receive)
+
+    def send(self, probes: Sequence[Probe]) -> None:
+        """Send probes to their endpoints."""
+        for probe in probes:
+            self._datagrams.send(load_protocol.encode_probe(probe.probe_id), self._addresses[probe.endpoint])
+
+    def _receive(self, data: bytes, sender: tuple[str, int]) -> None:
+        try:
+            probe_id, report = load_protocol.decode_answer(data)
+            choice = self._balancer.receive_probe_answer(self._loop.now, probe_id, decode(report))
+        except (ProtocolError, LoadReportError):
+            self._counters.add("spread", "no answers")
+            return
+        if choice is not None:
+            self._choice_completed(choice)
+
+    def schedule_check(self) -> None:
+        """Check when the balancer asks for it; to be called after each probe and attempt."""
+        when = self._balancer.next_check_at()
+        if when < self._check_at:
+            self._check_at = when
+            self._loop.at(when, self._check)
+
+    def _check(self) -> None:
+        """Probe endpoints that nothing was heard of, and report the suspected ones."""
+        now = self._loop.now
+        if now < self._check_at:
+            return
+        self._check_at = NEVER
+        probes, newly_suspected = self._balancer.check_responsiveness(now)
+        self.send(probes)
+        if newly_suspected:
+            self._counters.add("spread", "fell silent", len(newly_suspected))
+        for endpoint in list(self._balancer.failure_detector.suspects):
+            self._endpoint_suspected(endpoint.name)
+        self.schedule_check()
+
+    def close(self) -> None:
+        """Close the socket."""
+        self._datagrams.close()
--- a/lapishaven/backends/load_balanced.py
+++ b/lapishaven/backends/load_balanced.py
@@ -1,57 +1,57 @@
-"""A backend of many processes behind the uwsgi protocol: each attempt goes where ``Spread`` says.
+"""A backend of many endpoints behind the uwsgi protocol: each attempt goes where the ``LoadBalancer`` says.
 
-An attempt that was turned away unrun may go to another process within its deadline and the budget of second tries; one
-that waits on a silent process does too if its class is safe, and a commit is told uncertain. One that failed goes
-nowhere else. Attempts have a connection each, questions share one UDP socket.
+An attempt that was rejected or could not be sent is retried at another endpoint, within its deadline and the retry
+budget. One that waits on an unresponsive endpoint is retried too if the request is idempotent, else it fails with an
+uncertain outcome. One that failed is not retried. Each attempt has a connection of its own.
 """
 
 from __future__ import annotations
 
-from collections.abc import Generator, Sequence
+from collections.abc import Callable, Generator, Sequence
 from random import Random
 from typing import Any
 
 from lapishaven.admission import Outcome
 from lapishaven.backends import BackendListener
+from lapishaven.backends.balanced_run import BalancedRun
+from lapishaven.backends.endpoint_prober import EndpointProber
 from lapishaven.backends.uwsgi import DIAL, POOL, read_response
 from lapishaven.connection_end import ConnectionEnd, outcome_of
 from lapishaven.core.outcome_metrics import OUTCOME_LABELS
 from lapishaven.counters import Counters
-from lapishaven.load_balancing import AttemptOutcome, Choice, LoadBalancer, LoadReportError, Probe
-from lapishaven.load_balancing.load_report import LoadReport, decode, decode_text
+from lapishaven.load_balancing import AttemptOutcome, Choice, LoadBalancer, LoadReport, LoadReportError
+from lapishaven.load_balancing.load_report import decode_text
 from lapishaven.load_balancing.settings import BalancingSettings
 from lapishaven.net.connection import Connection, Dial, connect
-from lapishaven.net.datagrams import Datagrams
 from lapishaven.net.loop import Loop, Wait
-from lapishaven.proto import ProtocolError
-from lapishaven.proto import load as questions
 from lapishaven.proto import uwsgi as proto
 
-TRIES = 4  # of one attempt, over all processes
-ROOM = 0.05  # s before an attempt's end at which no other try is begun
-ENDINGS = {
+MAX_ATTEMPTS = 4  # of one run, at all endpoints
+MIN_TIME_FOR_RETRY_S = 0.05  # before a run's deadline
+MAX_RETRY_AFTER_S = 60.0
+# Other outcomes are failures.
+ATTEMPT_OUTCOMES = {
     Outcome.OK: AttemptOutcome.SERVED,
     Outcome.OVERLOADED: AttemptOutcome.REJECTED,
     Outcome.UNREACHABLE: AttemptOutcome.UNREACHABLE,
     Outcome.CANCELLED: AttemptOutcome.ABANDONED,
 }
-UNRUN = (Outcome.OVERLOADED, Outcome.UNREACHABLE)
-
-
-class Attempt:
-    """One attempt of the core's, whichever process has it. ``turn`` tells an earlier try's end from the last one's."""
-
-    def __init__(self, handle: str, cls: str, body: bytes, once: bool, began: float, until: float) -> None:
-        self.handle, self.cls, self.body, self.once = handle, cls, body, once
-        self.began, self.until = began, until
-        self.conn: Connection | None = None
-        self.process, self.sent, self.turn = "", 0.0, 0
-        self.avoid: frozenset[str] = frozenset()
-        self.halted = False
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE)
 
 
 class LoadBalancedBackend:
-    """A core backend. It cannot pause: to halt is to close the connection."""
+    """A core backend. It cannot pause: to pause a run is to close its connection.
+
+    Parameters:
+        loop: the event loop.
+        settings: endpoints and limits.
+        cores: of all endpoints, by which their use is estimated.
+        spans: deadline in s by class.
+        listener: is notified of results.
+        counters: for operators.
+        random: makes this balancer choose unlike others with the same view.
+        dial: opens connections.
+    """
 
     def __init__(
         self,
@@ -64,279 +64,263 @@
         random: Random,
         dial: Dial = connect,
     ) -> None:
-        self.loop, self.settings, self.cores, self.spans = loop, settings, cores, spans
-        self.listener, self.counters, self._dial = listener, counters, dial
+        self.loop = loop
+        self.settings = settings
+        self.cores = cores
+        self.spans = spans
+        self.listener = listener
+        self.counters = counters
+        self._dial = dial
         self.balancer = LoadBalancer(settings.rules, random)
-        self._running: dict[str, Attempt] = {}
-        self._on: dict[str, set[Attempt]] = {}  # by process, those sent there
-        self._waiting: dict[Choice, Attempt] = {}
-        self._look_at = float("inf")
-        self._questions = Datagrams(loop, ("0.0.0.0", 0), self._told)
+        self._runs: dict[str, BalancedRun] = {}
+        self._runs_at: dict[str, set[BalancedRun]] = {}  # by the endpoint that has them
+        self._choosing: dict[Choice, BalancedRun] = {}
         self._addresses: dict[str, tuple[str, int]] = {}
+        self._prober = EndpointProber(
+            loop, self.balancer, self._addresses, counters, self._finish_choice, self._handle_unresponsive
+        )
         self.set_addresses(settings.addresses)
 
     def run(self) -> Generator[Wait, Any, None]:
-        """There is no link to hold: the backend is up at once."""
+        """There is no connection to hold: the backend is up at once."""
         self.listener.up(False, 0.0)
         return
         yield
 
-    # ---- Members
     def set_addresses(self, addresses: Sequence[tuple[str, int]]) -> None:
-        """These processes from now on; what is in hand at others goes on."""
-        self._addresses |= {f"{host}:{port}": (host, port) for host, port in addresses}
+        """Make these the endpoints; what is in flight at others goes on."""
+        self._addresses.update({f"{host}:{port}": (host, port) for host, port in addresses})
         self.balancer.set_endpoints(f"{host}:{port}" for host, port in addresses)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """The one address of a reload without a list: it is the only process then."""
+        """The one address of a reload without a list: it is the only endpoint then."""
         self.set_addresses((address,))
 
-    # ---- Commands
+    # ---- The core's port
     def start(self, handle: str, cls: str, body: bytes, once: bool) -> None:
+        """Run a request; ``once``: it is not idempotent."""
         now = self.loop.now
-        attempt = self._running[handle] = Attempt(handle, cls, body, once, now, now + self.spans[cls])
-        if len(self._running) > self.settings.attempts:
+        run = BalancedRun(handle, cls, body, once, now, now + self.spans[cls])
+        self._runs[handle] = run
+        if len(self._runs) > self.settings.attempts:
             self.counters.add("spread", "no descriptor")
-            return self._end(attempt, Outcome.UNREACHABLE)
-        self._choose(attempt, first=True)
+            return self._finish(run, Outcome.UNREACHABLE)
+        self._begin_choice(run, first=True)
 
     def pause(self, handle: str) -> None:
-        attempt = self._running.get(handle)
-        if attempt is None:
+        """Cancel a run."""
+        run = self._runs.get(handle)
+        if run is None:
             return
-        attempt.halted = True
-        if attempt.conn is not None:
-            attempt.conn.close(ConnectionEnd.ABANDONED, unsent=False)
+        run.cancelled = True
+        if run.connection is not None:
+            run.connection.close(ConnectionEnd.ABANDONED, unsent=False)
 
     def resume(self, handle: str) -> None:
-        # Never paused, so there is nothing to go on with; the attempt ended when it was halted.
-        attempt = self._running.get(handle)
-        if attempt is not None:
-            self._end(attempt, Outcome.CANCELLED)
+        """There is nothing to go on with: the run ended when it was paused."""
+        run = self._runs.get(handle)
+        if run is not None:
+            self._finish(run, Outcome.CANCELLED)
 
     def gauges(self) -> None:
-        """What this side can see: each attempt in hand wants a core of the processes'."""
-        wanted = len(self._running)
-        values = {"core_use": min(1.0, wanted / self.cores), "on_cores": float(wanted), "links": float(wanted)}
+        """Publish what this side can see: each run in flight uses a core of the endpoints."""
+        in_flight = len(self._runs)
+        values = {
+            "core_use": min(1.0, in_flight / self.cores),
+            "on_cores": float(in_flight),
+            "links": float(in_flight),
+        }
         self.loop.at(self.loop.now + POOL, lambda: self.listener.gauges(values))
 
-    def health_check(self, told: Any) -> None:
-        """Whether any process can be reached."""
+    def health_check(self, told: Callable[[bool], None]) -> None:
+        """Find out whether any endpoint can be reached."""
         self.loop.spawn(self._dial_any(told))
 
-    def _dial_any(self, told: Any) -> Generator[Wait, Any, None]:
+    def _dial_any(self, told: Callable[[bool], None]) -> Generator[Wait, Any, None]:
         choice = self.balancer.begin_choice(self.loop.now, first=False)
         name = self.balancer.finish_choice(self.loop.now, choice)
         sock: Any = ConnectionEnd.UNREACHED
         if name is not None:
             sock = yield from self._dial(self.loop, self._addresses[name], DIAL)
-        if not isinstance(sock, ConnectionEnd):
+        reached = not isinstance(sock, ConnectionEnd)
+        if reached:
             sock.close()
-        told(not isinstance(sock, ConnectionEnd))
+        told(reached)
 
-    # ---- Choosing
-    def _choose(self, attempt: Attempt, first: bool) -> None:
-        choice = self.balancer.begin_choice(self.loop.now, attempt.avoid, first)
-        self._ask(choice.probes)
+    # ---- Choosing an endpoint
+    def _begin_choice(self, run: BalancedRun, first: bool) -> None:
+        choice = self.balancer.begin_choice(self.loop.now, run.excluded, first)
+        self._prober.send(choice.probes)
         if choice.probes:
-            self._waiting[choice] = attempt
-            self.loop.at(choice.deadline, lambda: self._settle(choice))
+            self._choosing[choice] = run
+            self.loop.at(choice.deadline, lambda: self._finish_choice(choice))
         else:
-            self._place(attempt, choice)
-        self._plan()
-
-    def _ask(self, probes: Sequence[Probe]) -> None:
-        for probe in probes:
-            self._questions.send(questions.encode_probe(probe.probe_id), self._addresses[probe.endpoint])
-
-    def _told(self, data: bytes, sender: tuple[str, int]) -> None:
-        try:
-            id, word = questions.decode_answer(data)
-            choice = self.balancer.receive_probe_answer(self.loop.now, id, decode(word))
-        except (ProtocolError, LoadReportError):
-            self.counters.add("spread", "no answers")
-            return
-        if choice is not None:
-            self._settle(choice)
+            self._send(run, choice)
+        self._prober.schedule_check()
 
-    def _settle(self, choice: Choice) -> None:
-        attempt = self._waiting.pop(choice, None)
-        if attempt is not None and self._running.get(attempt.handle) is attempt:
-            self._place(attempt, choice)
+    def _finish_choice(self, choice: Choice) -> None:
+        run = self._choosing.pop(choice, None)
+        if run is not None and self._runs.get(run.handle) is run:
+            self._send(run, choice)
 
-    def _place(self, attempt: Attempt, choice: Choice) -> None:
-        if attempt.halted:
-            return self._end(attempt, Outcome.CANCELLED)
+    def _send(self, run: BalancedRun, choice: Choice) -> None:
+        if run.cancelled:
+            return self._finish(run, Outcome.CANCELLED)
         name = self.balancer.finish_choice(self.loop.now, choice)
         if name is None:
             self.counters.add("spread", "nobody to be used")
-            return self._end(attempt, Outcome.UNREACHABLE)
-        attempt.turn += 1
-        attempt.process, attempt.sent = name, self.loop.now
-        self._on.setdefault(name, set()).add(attempt)
+            return self._finish(run, Outcome.UNREACHABLE)
+        run.attempt_number += 1
+        run.endpoint = name
+        run.sent_at = self.loop.now
+        self._runs_at.setdefault(name, set()).add(run)
         self.balancer.attempt_started(self.loop.now, name)
         self.counters.add("spread", "sent")
-        turn = attempt.turn
-        self.loop.spawn(self._try(attempt, turn), lambda error: self._fault(attempt, turn))
-        self._plan()
-
-    # ---- One try
-    def _try(self, attempt: Attempt, turn: int) -> Generator[Wait, Any, None]:
-        name = attempt.process
-        sock = yield from self._dial(self.loop, self._addresses[name], min(DIAL, attempt.until - self.loop.now))
-        if attempt.turn != turn:  # given up meanwhile
+        number = run.attempt_number
+        self.loop.spawn(self._attempt(run, number), lambda error: self._attempt_broke(run, number))
+        self._prober.schedule_check()
+
+    # ---- One attempt
+    def _attempt(self, run: BalancedRun, number: int) -> Generator[Wait, Any, None]:
+        timeout_s = min(DIAL, run.deadline - self.loop.now)
+        sock = yield from self._dial(self.loop, self._addresses[run.endpoint], timeout_s)
+        if run.attempt_number != number:  # given up meanwhile
             if not isinstance(sock, ConnectionEnd):
                 sock.close()
             return
         if isinstance(sock, ConnectionEnd):
-            # Whether refused or out of time, nothing was sent, so it never ran.
-            return self._over(attempt, turn, outcome_of(ConnectionEnd.UNREACHED), b"", None)
-        conn = Connection(self.loop, sock, lambda end: self.counters.add("ends", f"uwsgi backend {end.value}"))
-        attempt.conn = conn
-        if attempt.halted:
-            conn.close(ConnectionEnd.ABANDONED, unsent=False)
+            # Whether it was refused or timed out, nothing was sent, so it never ran.
+            return self._attempt_ended(run, number, outcome_of(ConnectionEnd.UNREACHED), b"", None)
+        connection = Connection(self.loop, sock, lambda end: self.counters.add("ends", f"uwsgi backend {end.value}"))
+        run.connection = connection
+        if run.cancelled:
+            connection.close(ConnectionEnd.ABANDONED, unsent=False)
+        connection.write(self._request(run, number))
+        outcome, result, response = yield from read_response(self.loop, connection, run.deadline)
+        self._attempt_ended(run, number, outcome, result, response)
+
+    def _request(self, run: BalancedRun, number: int) -> bytes:
         variables = {
             "REQUEST_METHOD": "POST",
-            "PATH_INFO": self.settings.path + attempt.cls,
-            "HTTP_X_REQUEST_ID": attempt.handle,
+            "PATH_INFO": self.settings.path + run.class_name,
+            "HTTP_X_REQUEST_ID": run.handle,
         }
-        if turn > 1:
+        if number > 1:
             variables["HTTP_X_RETRY"] = "1"
-        conn.write(proto.packet(variables, attempt.body))
-        outcome, result, response = yield from read_response(self.loop, conn, attempt.until)
-        self._over(attempt, turn, outcome, result, response)
+        return proto.packet(variables, run.body)
 
-    def _fault(self, attempt: Attempt, turn: int) -> None:
-        if attempt.conn is not None and attempt.turn == turn:
-            attempt.conn.abort(ConnectionEnd.FAULT)
-        self._over(attempt, turn, outcome_of(ConnectionEnd.FAULT), b"", None)
+    def _attempt_broke(self, run: BalancedRun, number: int) -> None:
+        """An error of this program."""
+        if run.connection is not None and run.attempt_number == number:
+            run.connection.abort(ConnectionEnd.FAULT)
+        self._attempt_ended(run, number, outcome_of(ConnectionEnd.FAULT), b"", None)
 
-    def _over(
-        self, attempt: Attempt, turn: int, outcome: Outcome, result: bytes, response: proto.Response | None
+    def _attempt_ended(
+        self, run: BalancedRun, number: int, outcome: Outcome, result: bytes, response: proto.Response | None
     ) -> None:
-        if attempt.turn != turn or self._running.get(attempt.handle) is not attempt:
-            return  # given up, and told so by whoever did
-        now, name = self.loop.now, attempt.process
-        self._off(attempt, ENDINGS.get(outcome, AttemptOutcome.FAILED), _pushback(response))
+        if run.attempt_number != number or self._runs.get(run.handle) is not run:
+            return  # given up before
+        now = self.loop.now
+        self._release(run, ATTEMPT_OUTCOMES.get(outcome, AttemptOutcome.FAILED), _retry_after_s(response))
         if response is not None:
-            self.balancer.receive_response_report(now, name, _word(response))
-        if outcome in UNRUN and self._again(attempt, name, OUTCOME_LABELS[outcome]):
-            return
-        self._end(attempt, outcome, result)
-
-    def _off(self, attempt: Attempt, ending: AttemptOutcome, pushback: float = 0.0) -> None:
-        """It is no longer at its process."""
-        attempt.conn = None
-        self._on[attempt.process].discard(attempt)
-        self.balancer.attempt_ended(self.loop.now, attempt.process, attempt.sent, ending, pushback)
-
-    def _again(self, attempt: Attempt, name: str, why: str) -> bool:
-        """Another process, if there is time and the budget has a second try."""
+            self.balancer.receive_response_report(now, run.endpoint, _load_report(response))
+        if outcome in NEVER_RAN and self._may_retry(run):
+            self._retry(run, OUTCOME_LABELS[outcome])
+        else:
+            self._finish(run, outcome, result)
+
+    def _release(self, run: BalancedRun, outcome: AttemptOutcome, retry_after_s: float = 0.0) -> None:
+        """The run is no longer at its endpoint."""
+        run.connection = None
+        self._runs_at[run.endpoint].discard(run)
+        self.balancer.attempt_ended(self.loop.now, run.endpoint, run.sent_at, outcome, retry_after_s)
+
+    def _finish(self, run: BalancedRun, outcome: Outcome, result: bytes = b"") -> None:
+        if self._runs.pop(run.handle, None) is not None:
+            run.attempt_number += 1
+            self.listener.finished(run.handle, outcome, self.loop.now - run.started_at, result)
+
+    # ---- Retries
+    def _may_retry(self, run: BalancedRun) -> bool:
+        """Whether the run may go to another endpoint; if so the retry budget has paid for it."""
         now = self.loop.now
-        if (
-            attempt.halted
-            or attempt.turn >= TRIES
-            or now + ROOM > attempt.until
-            or not self.balancer.retry_budget.try_withdraw(now)
-        ):
+        if run.cancelled or run.attempt_number >= MAX_ATTEMPTS or now + MIN_TIME_FOR_RETRY_S > run.deadline:
             return False
-        self.counters.add("spread", f"again after {why}")
-        attempt.avoid |= {name}
-        self._choose(attempt, first=False)
-        return True
-
-    def _end(self, attempt: Attempt, outcome: Outcome, result: bytes = b"") -> None:
-        if self._running.pop(attempt.handle, None) is not None:
-            attempt.turn += 1
-            self.listener.finished(attempt.handle, outcome, self.loop.now - attempt.began, result)
-
-    # ---- Silence
-    def _plan(self) -> None:
-        when = self.balancer.next_check_at()
-        if when < self._look_at:
-            self._look_at = when
-            self.loop.at(when, self._look)
-
-    def _look(self) -> None:
-        """Ask those of whom nothing is heard, and do what is to be done about what waits on the silent."""
+        return self.balancer.retry_budget.try_withdraw(now)
+
+    def _retry(self, run: BalancedRun, reason: str) -> None:
+        self.counters.add("spread", f"again after {reason}")
+        run.excluded |= {run.endpoint}
+        self._begin_choice(run, first=False)
+
+    def _handle_unresponsive(self, name: str) -> None:
+        """Retry what waits on a suspected endpoint if it is idempotent; fail the rest after ``uncertain_after_s``."""
         now = self.loop.now
-        if now < self._look_at:
-            return
-        self._look_at = float("inf")
-        probes, fell = self.balancer.check_responsiveness(now)
-        self._ask(probes)
-        if fell:
-            self.counters.add("spread", "fell silent", len(fell))
-        for known in list(self.balancer.failure_detector.suspects):
-            self._waits_on(known.name, now)
-        self._plan()
-
-    def _waits_on(self, name: str, now: float) -> None:
-        since = self.balancer.suspected_since(name)
-        for attempt in sorted(self._on.get(name, ()), key=lambda each: each.sent):
-            if since is None or attempt.halted:
+        suspected_since = self.balancer.suspected_since(name)
+        for run in sorted(self._runs_at.get(name, ()), key=lambda run: run.sent_at):
+            if suspected_since is None or run.cancelled:
                 continue
-            if not attempt.once:
-                if (
-                    attempt.turn < TRIES
-                    and now + ROOM <= attempt.until
-                    and self.balancer.retry_budget.try_withdraw(now)
-                ):
-                    self._give_up(attempt)
-                    self.counters.add("spread", "again after silence")
-                    attempt.avoid |= {name}
-                    self._choose(attempt, first=False)
-            elif now - since >= self.settings.rules.uncertain_after_s:
-                self._give_up(attempt)
+            if not run.at_most_once:
+                if self._may_retry(run):
+                    self._abandon_attempt(run)
+                    self._retry(run, "silence")
+            elif now - suspected_since >= self.settings.rules.uncertain_after_s:
+                self._abandon_attempt(run)
                 self.counters.add("spread", "told uncertain")
-                self._end(attempt, Outcome.TIMEOUT)
+                self._finish(run, Outcome.TIMEOUT)
 
-    def _give_up(self, attempt: Attempt) -> None:
-        """Close its connection: a process that wakes up finds nobody there, and does not run it."""
-        conn = attempt.conn
-        self._off(attempt, AttemptOutcome.ABANDONED)
-        attempt.turn += 1
-        if conn is not None:
-            conn.close(ConnectionEnd.ABANDONED, unsent=False)
+    def _abandon_attempt(self, run: BalancedRun) -> None:
+        """Close the connection: an endpoint that goes on later finds no client, and does not run the request."""
+        connection = run.connection
+        self._release(run, AttemptOutcome.ABANDONED)
+        run.attempt_number += 1
+        if connection is not None:
+            connection.close(ConnectionEnd.ABANDONED, unsent=False)
 
     # ---- For operators, and the end
     def state(self) -> dict[str, Any]:
-        """What is known of each process, why the last choices fell as they did, and the counts."""
+        """What is known of each endpoint, the candidates of the last choices, and the counts."""
         now = self.loop.now
+        balancer = self.balancer
         return {
-            "processes": self.balancer.describe_endpoints(now),
-            "counts": dict(self.balancer.counts),
-            "usual_s": round(self.balancer.averages.request_s, 4),
-            "mean_in_hand": round(self.balancer.averages.load_per_slot, 3),
-            "panics": self.balancer.failure_detector.panics,
+            "processes": balancer.describe_endpoints(now),
+            "counts": dict(balancer.counts),
+            "usual_s": round(balancer.averages.request_s, 4),
+            "mean_in_hand": round(balancer.averages.load_per_slot, 3),
+            "panics": balancer.failure_detector.panics,
             "last": [
-                {"ago_s": round(now - when, 3), "chosen": name, "costs": {n: round(cost, 4) for n, cost in costs}}
-                for when, name, costs in self.balancer.selector.recent
+                {
+                    "ago_s": round(now - choice.at, 3),
+                    "chosen": choice.endpoint,
+                    "costs": {name: round(cost, 4) for name, cost in choice.costs},
+                }
+                for choice in balancer.selector.recent
             ],
         }
 
     def failed(self) -> None:
-        """There is no link that could be left behind."""
+        """There is no connection that could be left behind."""
 
     def close(self) -> None:
         """End for good."""
-        for attempt in list(self._running.values()):
-            if attempt.conn is not None:
-                attempt.conn.abort(ConnectionEnd.SHUTDOWN)
-        self._questions.close()
+        for run in list(self._runs.values()):
+            if run.connection is not None:
+                run.connection.abort(ConnectionEnd.SHUTDOWN)
+        self._prober.close()
 
 
-def _pushback(response: proto.Response | None) -> float:
-    """Seconds for which the process wants to be left alone."""
+def _retry_after_s(response: proto.Response | None) -> float:
+    """For how long the endpoint asks to be left alone; the header in milliseconds goes before ``Retry-After``."""
     if response is None:
         return 0.0
-    exact, whole = response.headers.get("x-pushback-ms", ""), response.headers.get("retry-after", "")
-    if exact.isdigit():
-        return min(60.0, int(exact[:6]) / 1000)
-    return min(60.0, float(whole[:6])) if whole.isdigit() else 0.0
+    milliseconds = response.headers.get("x-pushback-ms", "")
+    seconds = response.headers.get("retry-after", "")
+    if milliseconds.isdigit():
+        return min(MAX_RETRY_AFTER_S, int(milliseconds[:6]) / 1000)
+    return min(MAX_RETRY_AFTER_S, float(seconds[:6])) if seconds.isdigit() else 0.0
 
 
-def _word(response: proto.Response) -> LoadReport | None:
+def _load_report(response: proto.Response) -> LoadReport | None:
     try:
         return decode_text(response.headers["x-load"])
     except (KeyError, LoadReportError):
--- a/lapishaven/frontends/load_endpoint.py
+++ b/lapishaven/frontends/load_endpoint.py
@@ -1,7 +1,7 @@
-"""Says this server's load: a word with each answer, and one for each question that comes as a datagram.
+"""Publishes this server's load: a report with each response, and one for each probe that comes as a datagram.
 
-Off by default (``front.load``). A question costs a datagram of 32 bytes each way and no descriptor, and is answered in
-the round in which it is read, whatever the cores do: no answer means that the process does not run.
+Off by default (``front.load``). A probe takes a datagram each way and no descriptor, and is answered in the round of
+the event loop in which it is read, whatever the cores do: no answer means that the process does not run.
 """
 
 from __future__ import annotations
@@ -13,16 +13,23 @@
 from lapishaven.admission import Outcome
 from lapishaven.core.broker import Broker
 from lapishaven.counters import Counters
-from lapishaven.load_balancing import load_report
+from lapishaven.load_balancing.load_report import LoadReport, encode, encode_text
 from lapishaven.load_balancing.load_reporter import LoadReporter
 from lapishaven.net.datagrams import Datagrams
 from lapishaven.net.loop import Loop
 from lapishaven.proto import ProtocolError
-from lapishaven.proto import load as proto
+from lapishaven.proto import load as load_protocol
+
+FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.UNREACHABLE)
 
 
 class LoadEndpoint:
-    """``broker``: none until the server is up; it says that it wants nothing until then."""
+    """Parameters:
+    address: host and port for probes.
+    random: draws the incarnation.
+    slots: requests that this server works on at one time.
+    broker: returns ``None`` until the server is up; it asks for no requests until then.
+    """
 
     def __init__(
         self,
@@ -33,43 +40,50 @@
         broker: Callable[[], Broker | None],
         counters: Counters,
     ) -> None:
-        self._loop, self._broker, self._counters = loop, broker, counters
-        self._start, self._slots = random.getrandbits(32), slots
-        self.reporter = LoadReporter(self._start, slots, loop.now)
-        self._datagrams = Datagrams(loop, address, self._asked)
+        self._loop = loop
+        self._broker = broker
+        self._counters = counters
+        self._incarnation = random.getrandbits(32)
+        self._slots = slots
+        self.reporter = LoadReporter(self._incarnation, slots, loop.now)
+        self._datagrams = Datagrams(loop, address, self._answer_probe)
 
     def start_reporting(self, warm_from: float, warm_span: float) -> None:
-        """The server is up, and wants ``warm_from`` of its share at first, all of it after ``warm_span`` seconds."""
-        self.reporter = LoadReporter(self._start, self._slots, self._loop.now, warm_from, warm_span)
+        """The server is up: it asks for ``warm_from`` of its share at first, and for all after ``warm_span`` s."""
+        self.reporter = LoadReporter(self._incarnation, self._slots, self._loop.now, warm_from, warm_span)
+
+    def header_value(self) -> str:
+        """The present report, for the header of a response."""
+        return encode_text(self._report())
 
-    def _news(self) -> load_report.LoadReport:
+    def _report(self) -> LoadReport:
         broker = self._broker()
         if broker is None:
-            return load_report.LoadReport(self._start, 0, 0, 0.0, self._slots, 0.0, 0.0)
-        in_hand = Counter(request.submission.class_index for request in broker.requests.values())
-        return self.reporter.report(self._loop.now, in_hand)
-
-    def header_value(self) -> str:
-        return load_report.encode_text(self._news())
+            return LoadReport(self._incarnation, 0, 0, 0.0, self._slots, 0.0, 0.0)
+        in_flight = Counter(request.submission.class_index for request in broker.requests.values())
+        return self.reporter.report(self._loop.now, in_flight)
 
-    def _asked(self, data: bytes, sender: tuple[str, int]) -> None:
+    def _answer_probe(self, data: bytes, sender: tuple[str, int]) -> None:
         try:
-            id = proto.decode_probe(data)
+            probe_id = load_protocol.decode_probe(data)
         except ProtocolError:
             self._counters.add("load", "no questions")
             return
         self._counters.add("load", "questions")
-        self._datagrams.send(proto.encode_answer(id, load_report.encode(self._news())), sender)
+        self._datagrams.send(load_protocol.encode_answer(probe_id, encode(self._report())), sender)
 
-    def run_started(self, handle: str, cls: int) -> None:
-        self.reporter.run_started(self._loop.now, handle, cls)
+    def run_started(self, handle: str, class_index: int) -> None:
+        """A run of the class began."""
+        self.reporter.run_started(self._loop.now, handle, class_index)
 
     def run_ended(self, handle: str, outcome: Outcome) -> None:
-        failed = outcome in (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.UNREACHABLE)
-        self.reporter.run_ended(self._loop.now, handle, outcome is Outcome.OK, failed)
+        """A run ended."""
+        self.reporter.run_ended(self._loop.now, handle, outcome is Outcome.OK, outcome in FAILURES)
 
     def drain(self) -> None:
+        """Ask for no more requests."""
         self.reporter.draining = True
 
     def close(self) -> None:
+        """Close the socket."""
         self._datagrams.close()
