--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -1,4 +1,4 @@
-"""The policy of spreading by itself: words, draws, choices, silence, joiners, second tries. Time is turned by hand."""
+"""The load balancer by itself: reports, sampling, choices, failure detection, slow start, retries. The clock is set."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def choose(balancer: LoadBalancer, now: float, loads: dict[str, LoadReport]) -> str | None:
-    """A choice whose questions are answered 1 ms later, by those that are in ``loads``."""
+    """A choice whose probes are answered 1 ms later, by the endpoints in ``loads``."""
     choice = balancer.begin_choice(now)
     for probe in choice.probes:
         if probe.endpoint in loads:
@@ -56,7 +56,7 @@
     return balancer.finish_choice(now + 0.001 if choice.complete else choice.deadline, choice)
 
 
-# ---- Words
+# ---- Reports
 @given(
     st.integers(0, 2**32 - 1),
     st.integers(0, 2**32 - 1),
@@ -66,21 +66,21 @@
     st.floats(0.005, 200.0),
     st.floats(0, 1),
 )
-def test_a_word_comes_back_as_it_went(
+def test_a_report_is_decoded_as_it_was_encoded(
     start: int, number: int, open_: int, load_: float, slots: int, speed: float, warm: float
 ) -> None:
     """Guards the wire: 15 bytes, 20 characters, each figure within a step."""
-    said = LoadReport(start, number, open_, load_, slots, speed, warm)
-    for back in (decode(encode(said)), load_report.decode_text(load_report.encode_text(said))):
+    report = LoadReport(start, number, open_, load_, slots, speed, warm)
+    for back in (decode(encode(report)), load_report.decode_text(load_report.encode_text(report))):
         assert (back.incarnation, back.sequence, back.in_flight, back.slots) == (start, number, open_, slots)
         assert abs(back.weighted_load - load_) <= 1 / 32 and abs(back.desired_share - warm) <= 1 / 255
         assert abs(back.speed / speed - 1) < 0.03
-    assert len(encode(said)) <= 32 and len(load_report.encode_text(said)) <= 32
+    assert len(encode(report)) <= 32 and len(load_report.encode_text(report)) <= 32
 
 
 @given(st.binary(max_size=64))
-def test_no_bytes_break_the_reading_of_words_and_questions(data: bytes) -> None:
-    """Guards the loop from what strangers send to an open UDP port."""
+def test_any_bytes_are_decoded_or_rejected(data: bytes) -> None:
+    """Guards the event loop from what anybody may send to an open UDP port."""
     for read in (decode, load_protocol.decode_probe, load_protocol.decode_answer):
         with suppress(LoadReportError, ProtocolError):
             read(data)  # type: ignore[operator]
@@ -91,45 +91,47 @@
     )  # no flood through an answer
 
 
-def test_old_words_are_told_from_new_ones_also_over_a_restart_and_a_wrap() -> None:
-    """Guards against a late word that undoes a newer one."""
-    known = EndpointState("p")
-    assert known.receive_report(1.0, 0.9, new_report(5, 3)) and not known.receive_report(1.1, 1.0, new_report(4, 9))
-    assert known.report is not None and known.report.in_flight == 3
-    assert known.receive_report(1.2, 1.1, new_report(1, 0, start=2))
+def test_older_reports_are_ignored_also_across_a_restart_and_a_wrap_of_sequence_numbers() -> None:
+    """Guards against a late report that replaces a newer one."""
+    endpoint = EndpointState("p")
+    assert endpoint.receive_report(1.0, 0.9, new_report(5, 3)) and not endpoint.receive_report(
+        1.1, 1.0, new_report(4, 9)
+    )
+    assert endpoint.report is not None and endpoint.report.in_flight == 3
+    assert endpoint.receive_report(1.2, 1.1, new_report(1, 0, start=2))
     assert is_newer(new_report(2, 0), new_report(2**32 - 3, 0)) and not is_newer(
         new_report(2**32 - 3, 0), new_report(2, 0)
     )
 
 
-def test_what_was_sent_since_the_question_is_on_top_and_old_news_falls_to_the_mean() -> None:
-    """Guards against herds of one's own: a burst must not all go to what was empty a moment ago."""
-    known, rules = EndpointState("p"), BalancingRules(report_decay_requests=1.0)
-    known.receive_report(1.0, 0.9, new_report(1, 0))
+def test_requests_sent_since_the_probe_are_added_and_an_old_report_decays_to_the_mean() -> None:
+    """Guards against a herd of one balancer: a burst must not all go to an endpoint that was idle a moment ago."""
+    endpoint, rules = EndpointState("p"), BalancingRules(report_decay_requests=1.0)
+    endpoint.receive_report(1.0, 0.9, new_report(1, 0))
     for n in range(3):
-        known.attempt_started(1.0 + n / 1000, 0.5, 1.0, rules)
-    assert 2.5 < known.estimated_load(1.01, 0.5, 1.0, rules) < 3.5
-    known.receive_report(1.2, 1.1, new_report(2, 3))  # counts them
-    assert 2.5 < known.estimated_load(1.2, 0.5, 1.0, rules) < 3.5
+        endpoint.attempt_started(1.0 + n / 1000, 0.5, 1.0, rules)
+    assert 2.5 < endpoint.estimated_load(1.01, 0.5, 1.0, rules) < 3.5
+    endpoint.receive_report(1.2, 1.1, new_report(2, 3))  # counts them
+    assert 2.5 < endpoint.estimated_load(1.2, 0.5, 1.0, rules) < 3.5
     for n in range(3):
-        known.attempt_ended(1.3, 1.0 + n / 1000, AttemptOutcome.SERVED, 1.0, 1.0)
-    known.slowdown = 1.0
-    assert abs(known.estimated_load(100.0, 0.5, 1.0, rules) - 2.0) < 0.01  # nothing is known any more: as all are
+        endpoint.attempt_ended(1.3, 1.0 + n / 1000, AttemptOutcome.SERVED, 1.0, 1.0)
+    endpoint.slowdown = 1.0
+    assert abs(endpoint.estimated_load(100.0, 0.5, 1.0, rules) - 2.0) < 0.01  # nothing is known any more: as all are
 
 
-def test_a_free_slot_comes_before_any_wait_and_an_empty_process_before_that() -> None:
-    """Guards against idle slow boxes beside requests that wait on fast ones."""
+def test_a_free_slot_costs_less_than_any_wait_and_an_idle_endpoint_less_than_that() -> None:
+    """Guards against idle slow machines beside requests that wait on fast ones."""
     assert queueing_cost(0, 4, 0.5) < queueing_cost(2, 4, 1.3) < queueing_cost(3, 4, 0.5) < queueing_cost(4, 4, 1.3)
 
 
-# ---- Draws
+# ---- Sampling
 @settings(max_examples=30, deadline=None)
 @given(
     st.lists(st.tuples(st.integers(0, 9), st.sampled_from([0.25, 1.0, 2.0, 4.0]), st.booleans()), max_size=40),
     st.integers(0, 1000),
 )
-def test_draws_follow_the_weights_through_changes(steps: list[tuple[int, float, bool]], seed: int) -> None:
-    """Guards the structure: places that are moved by a removal, a largest weight that is gone."""
+def test_samples_follow_the_weights_after_changes(steps: list[tuple[int, float, bool]], seed: int) -> None:
+    """Guards the sampler's structure: positions moved by a removal, a largest weight that is gone."""
     sampler, model = WeightedSampler(), dict[str, float]()
     for number, weight, keep in steps:
         if keep:
@@ -151,8 +153,8 @@
 
 
 # ---- Choices
-def test_the_emptier_of_those_asked_gets_it_and_choosers_that_start_alike_do_not_act_alike() -> None:
-    """Guards the choice itself, and against all choosers of a second following one order."""
+def test_the_probed_endpoint_with_less_load_is_chosen_and_balancers_differ_in_their_first_choice() -> None:
+    """Guards the choice itself, and against balancers that all follow one order."""
     loads = {f"p{n}": new_report(1, 8 - n) for n in range(8)}
     balancer = new_balancer(8, cached_reports=0)
     for n in range(40):
@@ -168,8 +170,8 @@
     assert max(firsts.values()) < 1.6 * 400 / 8
 
 
-def test_answers_that_never_come_leave_a_choice_by_what_is_known() -> None:
-    """Guards against a choice that waits for ever, and against one that is always the same without news."""
+def test_without_answers_the_choice_is_made_by_what_is_known() -> None:
+    """Guards against a choice that waits for ever, and against one that is always the same without reports."""
     balancer = new_balancer(6)
     found = Counter(choose(balancer, n * 0.02, {}) for n in range(5))
     assert None not in found and balancer.counts["blind"] == 5
@@ -177,9 +179,9 @@
     assert empty.finish_choice(0.0, empty.begin_choice(0.0)) is None
 
 
-def test_a_joiner_draws_the_part_that_it_wants_from_all_choosers_together() -> None:
-    """Guards a cold process from a herd: without leaving it to chance it would win each time that it is asked, twice
-    its fair part and more."""
+def test_an_endpoint_in_slow_start_gets_its_desired_share_from_all_balancers_together() -> None:
+    """Guards an endpoint in slow start from a herd: chosen each time that it is probed, it would get twice its fair
+    share and more."""
     won = asked = 0
     for seed in range(3000):
         balancer = LoadBalancer(BalancingRules(), Random(seed))
@@ -190,15 +192,15 @@
     assert 0.7 * 0.5 / 4 < won / asked < 1.2 * 0.5 / 4
 
 
-def test_all_cold_serve_all_the_same() -> None:
-    """Guards a fleet that is replaced at once: with nobody warm beside them, joiners are not left out."""
+def test_a_fleet_that_is_all_in_slow_start_serves() -> None:
+    """Guards a fleet that is replaced at once: with no endpoint at its full share, the others are not left out."""
     balancer = new_balancer(3)
     assert choose(balancer, 0.0, {f"p{n}": new_report(1, n, warm=0.2) for n in range(3)}) is not None
 
 
 @pytest.mark.parametrize("ending", [AttemptOutcome.FAILED, AttemptOutcome.REJECTED])
-def test_one_that_ends_at_once_does_not_draw_the_traffic(ending: AttemptOutcome) -> None:
-    """Guards against the black hole: a process that fails or refuses at once is always empty."""
+def test_an_endpoint_that_fails_at_once_does_not_attract_the_traffic(ending: AttemptOutcome) -> None:
+    """Guards against a black hole: an endpoint that fails or rejects at once is always idle."""
     balancer = new_balancer(4, max_ejected_fraction=0.0)
     balancer.averages.request_s = 0.5
     got, now, open_ = Counter[str](), 0.0, list[tuple[float, str, float]]()
@@ -222,14 +224,14 @@
     assert got["p0"] < 0.4 * 2000
 
 
-def test_failures_in_a_row_cast_out_but_never_more_than_the_stated_part() -> None:
-    """Guards against a fault of this side (its network, its disk) that would leave it with nobody."""
+def test_consecutive_failures_eject_but_never_more_than_the_largest_fraction() -> None:
+    """Guards against a fault of this side (its network, its disk) that would leave it without endpoints."""
     balancer = new_balancer(10, max_ejected_fraction=0.2)
     for n in range(10):
         for k in range(5):
             balancer.attempt_started(k * 0.01, f"p{n}")
             balancer.attempt_ended(k * 0.01, f"p{n}", k * 0.01, AttemptOutcome.UNREACHABLE)
-    out = [known for known in balancer.endpoints.states.values() if known.ejected_until > 0.1]
+    out = [endpoint for endpoint in balancer.endpoints.states.values() if endpoint.ejected_until > 0.1]
     assert len(out) == 2
     back = out[0]
     assert not balancer.is_usable(0.1, back) and balancer.is_usable(back.ejected_until + 0.01, back)
@@ -239,8 +241,8 @@
     assert balancer.is_usable(back.ejected_until + 0.3, back)
 
 
-def test_pushback_holds_for_all_and_one_that_leaves_gets_nothing() -> None:
-    """Guards a process that asked to be left alone from the next attempt of the same server."""
+def test_retry_after_is_kept_to_and_a_draining_endpoint_gets_nothing() -> None:
+    """Guards an endpoint that asked to be left alone from the next attempt of the same balancer."""
     balancer = new_balancer(2)
     balancer.attempt_started(0.0, "p0")
     balancer.attempt_ended(0.1, "p0", 0.0, AttemptOutcome.REJECTED, 0.5)
@@ -251,17 +253,17 @@
     assert {choose(balancer, 2.0 + n / 100, {"p0": new_report(n + 50, 9)}) for n in range(10)} == {"p0"}
 
 
-# ---- Silence
-def test_a_process_that_does_not_answer_is_a_suspect_within_a_fraction_of_a_second_until_it_speaks() -> None:
-    """Guards both ends: what waits on the silent is found, and a word of any kind clears it."""
+# ---- Failure detection
+def test_an_endpoint_that_does_not_answer_is_suspected_within_a_second_until_it_does() -> None:
+    """Guards both ends: an unresponsive endpoint is found, and anything that comes from it clears it."""
     balancer = new_balancer(3)
     balancer.attempt_started(0.0, "p0")
-    asks, fell, now = [], [], 0.0
-    while not fell and now < 3.0:
+    health_checks, newly_suspected, now = [], [], 0.0
+    while not newly_suspected and now < 3.0:
         now = balancer.next_check_at()
-        more, fell = balancer.check_responsiveness(now)
-        asks += more
-    assert [probe.endpoint for probe in asks][:1] == ["p0"] and fell == ["p0"] and now < 0.6
+        more, newly_suspected = balancer.check_responsiveness(now)
+        health_checks += more
+    assert [probe.endpoint for probe in health_checks][:1] == ["p0"] and newly_suspected == ["p0"] and now < 0.6
     assert balancer.suspected_since("p0") is not None and not balancer.is_usable(now, balancer.endpoints.states["p0"])
     count = 0
     while now < 10.0:  # less and less often
@@ -272,18 +274,18 @@
     assert balancer.suspected_since("p0") is None and balancer.is_usable(now, balancer.endpoints.states["p0"])
 
 
-def test_a_slow_machine_is_not_taken_for_silence() -> None:
-    """Guards against panic: with most questions unanswered it is this side, and nobody more is suspected."""
-    balancer, fell = new_balancer(40), []
+def test_when_most_probes_go_unanswered_nobody_more_is_suspected() -> None:
+    """Guards against a slow machine: with most probes unanswered the fault is on this side."""
+    balancer, newly_suspected = new_balancer(40), []
     for n in range(60):
         now = n * 0.05
         balancer.begin_choice(now)
-        fell += balancer.check_responsiveness(now)[1]
-    assert len(set(fell)) < 20 and balancer.failure_detector.panics > 0
+        newly_suspected += balancer.check_responsiveness(now)[1]
+    assert len(set(newly_suspected)) < 20 and balancer.failure_detector.panics > 0
 
 
-def test_where_all_answers_come_late_late_is_not_silent() -> None:
-    """Guards against suspects without end on a long way: the way is learned from answers, however late."""
+def test_on_a_slow_network_late_answers_are_not_taken_for_failures() -> None:
+    """Guards against endless suspicion: the network delay is learned from answers, however late."""
     balancer, suspects = new_balancer(10), 0
     pending: list[tuple[float, Choice]] = []
     for n in range(400):
@@ -298,8 +300,8 @@
     assert suspects == 0 and 0.3 < balancer.averages.one_way_s < 0.8
 
 
-def test_second_tries_are_a_part_of_the_first_and_more_for_a_while_when_several_fall_silent() -> None:
-    """Guards against storms of repeats, and against a fifth of the processes that fall silent at once."""
+def test_retries_are_a_fraction_of_first_attempts_and_more_for_a_while_after_several_failures() -> None:
+    """Guards against retry storms, and against a fifth of the endpoints that become unresponsive at once."""
     budget, taken = RetryBudget(BalancingRules(retry_ratio=0.1)), 0
     for n in range(1000):
         budget.deposit(n * 0.01)
@@ -311,9 +313,9 @@
     assert sum(budget.try_withdraw(20.0) for _ in range(50)) <= 1
 
 
-# ---- What a process says
-def test_a_process_measures_its_speed_and_counts_its_classes_and_tells_of_failures() -> None:
-    """Guards the word itself: a box twice as fast says so, whatever it is loaded with."""
+# ---- The load reporter
+def test_a_process_measures_its_speed_weighs_its_classes_and_reports_failures() -> None:
+    """Guards the report itself: a machine that is twice as fast says so, whatever its load."""
     speeds = {}
     for factor in (1.0, 2.0):
         reporter, now = LoadReporter(7, 2, 0.0), 0.0
@@ -323,9 +325,9 @@
             reporter.run_ended(now + 0.1 / factor, f"a{n}", True, False)
             reporter.run_ended(now + 0.3 / factor, f"b{n}", True, False)
             now += 1.0
-        said = reporter.report(now, {0: 2, 1: 1})
-        speeds[factor] = said.speed
-        assert said.in_flight == 3 and 2.2 < said.weighted_load < 2.8 and said.desired_share > 0.99
+        report = reporter.report(now, {0: 2, 1: 1})
+        speeds[factor] = report.speed
+        assert report.in_flight == 3 and 2.2 < report.weighted_load < 2.8 and report.desired_share > 0.99
         for n in range(30):
             reporter.run_started(now, f"c{n}", 0)
             reporter.run_ended(now, f"c{n}", False, True)
@@ -336,8 +338,8 @@
     assert 1.9 < speeds[2.0] / speeds[1.0] < 2.1
 
 
-def test_a_process_that_starts_cold_wants_its_share_by_and_by() -> None:
-    """Guards a cold process by its own word."""
+def test_a_process_in_slow_start_asks_for_a_growing_share() -> None:
+    """Guards a process that warms up by its own report."""
     reporter = LoadReporter(1, 4, 100.0, 0.25, 10.0)
     assert [round(reporter.report(100.0 + age, {}).desired_share, 2) for age in (0, 5, 10, 20)] == [
         0.25,
@@ -359,7 +361,7 @@
         "half cut off from half",
     ],
 )
-def test_in_simulated_time_every_case_is_above_two_choices_by_ones_own_view(case: str) -> None:
+def test_in_simulated_time_every_case_is_better_than_two_choices_by_own_view(case: str) -> None:
     """Guards the policy as a whole; the oracle's figures beside it are in the benchmark."""
     ours, today = (play(case, policy, 10, 20, 5) for policy in ("ours", "two choices"))
     assert ours["on_time"] > max(0.93, today["on_time"]) and ours["tries"] <= 1.1
@@ -384,7 +386,7 @@
         ("[silence]", "[silence", "Expected"),
     ],
 )
-def test_a_mistake_in_the_file_is_one_plain_line(old: str, new: str, text: str, tmp_path: Path) -> None:
+def test_a_mistake_in_the_settings_is_one_plain_line(old: str, new: str, text: str, tmp_path: Path) -> None:
     """Guards operators from a server that starts on half of a file."""
     path = tmp_path / "spread.toml"
     content = Path("deploy/spread.toml").read_text()
@@ -395,8 +397,8 @@
     assert "\n" not in str(found.value)
 
 
-def test_processes_may_stand_in_a_file_of_their_own(tmp_path: Path) -> None:
-    """Guards the list that other tools write."""
+def test_endpoints_may_be_listed_in_a_file_of_their_own(tmp_path: Path) -> None:
+    """Guards the file that other tools write."""
     path, names = tmp_path / "spread.toml", tmp_path / "names"
     names.write_text("# the tier\n127.0.0.1:1\n\n127.0.0.1:2  # old box\n")
     path.write_text(f'[processes]\nfile = "{names}"\n')
@@ -406,9 +408,9 @@
         load_settings(str(path))
 
 
-def test_one_that_is_given_up_on_its_way_does_not_arrive_as_its_next_try() -> None:
-    """Guards the simulator: such a request arrived at a dead process under its new number, was let go twice and ended
-    the run (a fifth killed, seed 6111)."""
+def test_an_abandoned_simulated_request_does_not_arrive_as_its_retry() -> None:
+    """Guards the simulator: such a request arrived at a dead process under its new number, was released twice and
+    ended the run (a fifth killed, seed 6111)."""
     sim = build(CASES["a fifth killed, back cold"], "ours", 50, 100, 6111)
     sim.run(AT + 0.6)
     assert sim.now == AT + 0.6
