--- a/lapishaven/lab/ledger_model.py
+++ b/lapishaven/lab/ledger_model.py
@@ -1,9 +1,9 @@
-"""Bounded model checking of the record's protocol by z3: two servers, one key, one file, every order of the steps.
+"""Bounded model checking of the ledger's protocol by z3: two servers, one key, one file, every order of the steps.
 
-The rows move by ``record.table.TABLE`` itself. Either server may be asked at any time, crash between any two steps (and
-be back as another start), and be told an error though its transaction was written. Properties: the effect runs at most
-once; it is charged at most once; a reply of success has the effect done and charged in the file; nothing that ran is
-answered "refused". For each guard there is a mutant without it, which has to break one.
+The rows change by ``ledger.transitions.TRANSITIONS`` itself. Either server may get the request at any time, crash
+between any two steps (and restart as another incarnation), and get an error though its transaction was written.
+Properties: the effect runs at most once; it is charged at most once; a reply of success has the effect completed and
+charged in the file; nothing that ran is rejected. For each guard there is a mutant without it, which has to break one.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 
 import z3  # isort: skip
 
-STANDINGS = list(EffectState)
+STATES = list(EffectState)
 IDLE, ASKED, MAY_RUN, RUNS, ENDED, TOLD, UNRUN, VOIDS, FAILS = range(9)
 NAMES = ("row", "holder", "fresh", "s0", "s1", "p0", "p1", "ran0", "ran1", "runs", "charges", "owed", "hollow", "lied")
 CRASHES = 3
 
 
-def _row(standing: EffectState) -> Var:
-    return n(STANDINGS.index(standing))
+def _row(state: EffectState) -> Var:
+    return n(STATES.index(state))
 
 
-def _judged(v: Vars, event: EffectEvent, own: Var, verdict: Decision) -> Var:
-    """Whether the table gives this verdict."""
+def _decides(v: Vars, event: EffectEvent, own: Var, expected: Decision) -> Var:
+    """Whether the transitions give this decision."""
     cases = [
-        z3.And(v["row"] == _row(standing), own == mine)
-        for (standing, asked, mine), (found, _) in TRANSITIONS.items()
-        if asked is event and found is verdict
+        z3.And(v["row"] == _row(state), own == mine)
+        for (state, asked, mine), (decision, _) in TRANSITIONS.items()
+        if asked is event and decision is expected
     ]
     return z3.Or(cases) if cases else z3.BoolVal(False)
 
@@ -45,10 +45,10 @@
             found.append(Rule(f"{name} {i}", z3.And(p == n(at), when), then))
 
         yes = z3.BoolVal(True)
-        free = _judged(v, EffectEvent.INTEND, own, Decision.APPLY)
+        free = _decides(v, EffectEvent.INTEND, own, Decision.APPLY)
         if "look before intent" in out:
             free = yes
-        kept = z3.And(z3.Not(free), _judged(v, EffectEvent.INTEND, own, Decision.ALREADY_COMPLETED))
+        kept = z3.And(z3.Not(free), _decides(v, EffectEvent.INTEND, own, Decision.ALREADY_COMPLETED))
         taken = {"row": _row(EffectState.INTENDED), "holder": start}
         solid = z3.And(v["row"] == _row(EffectState.COMPLETED), v["charges"] == 1)
         step("ask", IDLE, yes, {f"p{i}": n(ASKED), f"ran{i}": n(0)})
@@ -65,7 +65,7 @@
         step("nobody waits", MAY_RUN, yes, {f"p{i}": n(UNRUN)})
         step("end", RUNS, yes, {f"p{i}": n(ENDED)})
         step("end badly", RUNS, yes, {f"p{i}": n(FAILS)})
-        may = _judged(v, EffectEvent.FAIL, own, Decision.APPLY)
+        may = _decides(v, EffectEvent.FAIL, own, Decision.APPLY)
         step(
             "note the failure",
             FAILS,
@@ -75,8 +75,8 @@
                 "row": z3.If(may, _row(EffectState.WITHOUT_RESULT), v["row"]),
             },
         )
-        may = _judged(v, EffectEvent.COMPLETE, own, Decision.APPLY)
-        again = _judged(v, EffectEvent.COMPLETE, own, Decision.ALREADY_COMPLETED)
+        may = _decides(v, EffectEvent.COMPLETE, own, Decision.APPLY)
+        again = _decides(v, EffectEvent.COMPLETE, own, Decision.ALREADY_COMPLETED)
         charged = v["charges"] + z3.If(may, n(1), n(0))
         if "kept on repeat" in out:
             charged = v["charges"] + z3.If(z3.Or(may, again), n(1), n(0))
@@ -95,7 +95,7 @@
             step("refuse what ran", ENDED, yes, {f"p{i}": n(UNRUN)})
         step("reply", TOLD, v["owed"] == 0, {f"p{i}": n(IDLE), "hollow": z3.If(solid, v["hollow"], n(1))})
         step("refuse", UNRUN, yes, {f"p{i}": n(VOIDS), "lied": z3.If(ran == 1, n(1), v["lied"])})
-        may = _judged(v, EffectEvent.CANCEL, own, Decision.APPLY)
+        may = _decides(v, EffectEvent.CANCEL, own, Decision.APPLY)
         if "own start" in out:
             may = v["row"] == _row(EffectState.INTENDED)
         step("void", VOIDS, yes, {f"p{i}": n(IDLE), "row": z3.If(may, _row(EffectState.ABSENT), v["row"])})
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Keyed results over restarts: the ledger, the order of intent, run, result and reply, and kills of the process."""
+"""Results by idempotency key across restarts: the index, the order of intent, run, result and reply, and kills."""
 
 from __future__ import annotations
 
@@ -31,22 +31,22 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_the_ledger_ages_out_and_never_earlier() -> None:
-    ledger = ResultIndex(100.0)
-    ledger.mark_running(10.0, b"a")
-    ledger.mark_completed(12.0, b"a", b"r")
-    ledger.mark_running(50.0, b"b")
-    ledger.mark_uncertain(b"b")
-    assert ledger.find(109.0, b"a") == Entry(EffectState.COMPLETED, 10.0, b"r")
-    assert ledger.find(110.0, b"a").state is EffectState.UNKNOWN
-    assert ledger.find(60.0, b"b").state is EffectState.UNCERTAIN
-    assert ledger.next_expiry_in(60.0) == 50.0
-    assert ledger.remove_expired(120.0) == 1 and len(ledger) == 1
-    ledger.remove(b"b")
-    assert ledger.find(60.0, b"b").state is EffectState.UNKNOWN
+def test_effects_expire_after_their_lifetime_and_not_earlier() -> None:
+    index = ResultIndex(100.0)
+    index.mark_running(10.0, b"a")
+    index.mark_completed(12.0, b"a", b"r")
+    index.mark_running(50.0, b"b")
+    index.mark_uncertain(b"b")
+    assert index.find(109.0, b"a") == Entry(EffectState.COMPLETED, 10.0, b"r")
+    assert index.find(110.0, b"a").state is EffectState.UNKNOWN
+    assert index.find(60.0, b"b").state is EffectState.UNCERTAIN
+    assert index.next_expiry_in(60.0) == 50.0
+    assert index.remove_expired(120.0) == 1 and len(index) == 1
+    index.remove(b"b")
+    assert index.find(60.0, b"b").state is EffectState.UNKNOWN
 
 
-def test_values_are_read_back_and_nonsense_is_refused() -> None:
+def test_stored_values_are_decoded_and_others_rejected() -> None:
     assert decode(encode(5.0, None)) == Entry(EffectState.UNCERTAIN, 5.0)
     assert decode(encode(5.0, b"xyz")) == Entry(EffectState.COMPLETED, 5.0, b"xyz")
     for wrong in (b"", b"I", b"X" + bytes(8)):
@@ -54,7 +54,7 @@
             decode(wrong)
 
 
-class Keeping(World):
+class DurableResultsWorld(World):
     """The real server over a store on a disk in memory, which commits only when the scenario says so."""
 
     backend = config.UwsgiBackendConfig(("127.0.0.1", 3), "/run/")
@@ -83,7 +83,7 @@
         """So many attempts have gone to the backend."""
         self.assertEqual(len(self.up), count)
 
-    # Guards against a run before its intent lasts, and a reply before its result does.
+    # Guards against a run before its intent is durable, and a reply before its result is.
     def test_the_order_of_intent_run_result_and_reply(self) -> None:
         self.play("send u1 approve-commit id=k\n wait 0.05")
         self.runs(0)
@@ -96,7 +96,7 @@
         told = self.server.counters.groups["storage"]
         self.assertEqual((told["effects"], told["in doubt"], told["commits"]), (1, 0, 2))
 
-    # Guards against a second charge after a kill, in each of the places where one may strike.
+    # Guards against a second charge after a kill, at each point at which one may happen.
     def test_a_kill_between_run_and_reply(self) -> None:
         self.play("send u1 approve-commit id=k\n wait 0.01")
         self.durable()
@@ -122,8 +122,8 @@
         self.durable()
         self.play("expect up approve-commit u2")
 
-    # Guards against "refused" for what ran, and against a key that is held by what never did.
-    def test_a_write_that_fails_before_the_run_refuses_and_after_it_fails(self) -> None:
+    # Guards against a rejection of what ran, and against a key that stays taken by what never did.
+    def test_a_failed_write_rejects_before_the_run_and_fails_after_it(self) -> None:
         self.disk.fault = lambda call, name: OSError(errno.EIO, "bad") if call == "sync" else None
         self.play("send u1 approve-commit id=k\n wait 0.01")
         self.durable()
@@ -138,8 +138,8 @@
         self.play("expect u2 502\n send u3 approve-commit id=k retry=1\n expect u3 502")
         self.runs(1)
 
-    # Guards against a run for a caller that went while the store was slow.
-    def test_a_caller_that_goes_before_its_intent_is_durable(self) -> None:
+    # Guards against a run for a client that disconnected while the store was slow.
+    def test_a_client_that_disconnects_before_its_intent_is_durable(self) -> None:
         self.play("send u1 approve-commit id=k\n wait 0.01\n close u1\n wait 0.01")
         self.durable()
         self.runs(0)
@@ -147,7 +147,7 @@
         self.durable()
         self.play("expect up approve-commit u2")
 
-    def test_at_its_bound_it_refuses_unrun_and_safe_work_goes_on(self) -> None:
+    def test_at_its_limit_it_rejects_before_the_run_and_idempotent_requests_are_served(self) -> None:
         self.keeper.limit = 1
         self.play("send u1 approve-commit id=k\n wait 0.01")
         self.durable()
@@ -159,7 +159,7 @@
             expect up fuzzy-match u3
         """)
 
-    def test_what_provably_never_ran_frees_its_key(self) -> None:
+    def test_a_run_that_provably_never_began_frees_its_key(self) -> None:
         self.play("send u1 approve-commit id=k\n wait 0.01")
         self.durable()
         self.play("expect up approve-commit u1\n send up 503\n expect u1 503")
@@ -247,7 +247,7 @@
         ('directory = "/x"\nlife_s = 900\ntotal_mb = 0\nlimit = 1\n', "total_mb is not a number above 0"),
     ],
 )
-def test_mistakes_are_one_plain_line(text: str, line: str, tmp_path: Path) -> None:
+def test_a_mistake_in_the_settings_is_one_plain_line(text: str, line: str, tmp_path: Path) -> None:
     (tmp_path / "s.toml").write_text(text)
     with pytest.raises(config.ConfigError, match=line):
         config.storage(str(tmp_path / "s.toml"))
@@ -255,7 +255,7 @@
     assert "--storage" not in (ROOT / "deploy/balancer.toml").read_text()  # off on the platform
 
 
-def test_the_store_s_commands(tmp_path: Path) -> None:
+def test_the_commands_of_the_store(tmp_path: Path) -> None:
     def run(*words: str) -> tuple[int, str]:
         result = CliRunner().invoke(app, ["storage", *words])
         return result.exit_code, result.output
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The store of record: its table and flow by hand, its file under faults, and real servers that share it."""
+"""The ledger: its transitions and backpressure by hand, its file under faults, and real servers that share it."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
 
 @rounds(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from(EffectEvent), st.sampled_from("abc")), max_size=12))
-def test_whatever_starts_ask_in_whatever_order_an_effect_is_done_by_one_of_them(
+def test_in_any_order_of_events_an_effect_is_completed_by_one_incarnation(
     asked: list[tuple[EffectEvent, str]],
 ) -> None:
-    """Guards the four rules at the table: what one start may run no other may, until it provably never ran; nothing
-    leaves `done`; nobody ends what another began."""
+    """Guards the rules of the transitions: what one incarnation may run no other may, until it provably never ran; an
+    effect stays completed; none ends what another intended."""
     row, holder = EffectRow(), None
     for event, start in asked:
         verdict, standing = decide(row, event, start)
@@ -69,33 +69,33 @@
     assert all(found.values()), found
 
 
-def test_flow_turns_away_at_once_when_the_record_is_full_stalled_or_broken_and_tries_it_again() -> None:
-    """Guards commits from waiting behind a record that stands still, and the record from being given up for good."""
-    flow = Backpressure(
+def test_backpressure_rejects_while_the_ledger_is_full_stalled_or_broken_and_tries_it_again() -> None:
+    """Guards commits from waiting for a ledger that is blocked, and the ledger from being given up for good."""
+    backpressure = Backpressure(
         BackpressureRules(max_waiting=3, stall_s=0.5, failures_to_break=2, retry_pause_s=0.2, max_retry_pause_s=1.0)
     )
     for _ in range(3):
-        assert flow.retry_after(0.0) is None
-        flow.entry_added(0.0)
-    assert flow.retry_after(0.1) is not None and flow.retry_after(0.6) == 0.5  # full; stalled
-    flow.entries_written(0.6, 3, True)
-    assert flow.retry_after(0.6) is None
+        assert backpressure.retry_after(0.0) is None
+        backpressure.entry_added(0.0)
+    assert backpressure.retry_after(0.1) is not None and backpressure.retry_after(0.6) == 0.5  # full; stalled
+    backpressure.entries_written(0.6, 3, True)
+    assert backpressure.retry_after(0.6) is None
     for n in range(2):
-        flow.entry_added(1.0)
-        flow.entries_written(1.0 + n * 0.1, 1, False)
-    assert flow.broken and flow.retry_after(1.1) == pytest.approx(0.2)
-    assert flow.retry_after(1.35) is None  # one is tried
-    flow.entry_added(1.35)
-    assert flow.retry_after(1.36) is not None
-    flow.entries_written(1.4, 1, False)
-    assert flow.retry_after(1.4) == pytest.approx(0.4)  # for longer
-    flow.entry_added(2.0)
-    flow.entries_written(2.0, 1, True)
-    assert not flow.broken and flow.retry_after(2.0) is None
-
-
-def test_an_effect_and_its_charge_are_one_transaction_and_a_lost_answer_is_no_second_charge(tmp_path: Path) -> None:
-    """Guards billing: no effect without its charge, none charged twice, and another start's row is left alone."""
+        backpressure.entry_added(1.0)
+        backpressure.entries_written(1.0 + n * 0.1, 1, False)
+    assert backpressure.broken and backpressure.retry_after(1.1) == pytest.approx(0.2)
+    assert backpressure.retry_after(1.35) is None  # one is tried
+    backpressure.entry_added(1.35)
+    assert backpressure.retry_after(1.36) is not None
+    backpressure.entries_written(1.4, 1, False)
+    assert backpressure.retry_after(1.4) == pytest.approx(0.4)  # for longer
+    backpressure.entry_added(2.0)
+    backpressure.entries_written(2.0, 1, True)
+    assert not backpressure.broken and backpressure.retry_after(2.0) is None
+
+
+def test_an_effect_and_its_charge_are_one_transaction_and_a_repeated_write_is_no_second_charge(tmp_path: Path) -> None:
+    """Guards billing: no effect without its charge, none charged twice, and another incarnation's row is left alone."""
     a, b = LedgerDatabase(str(tmp_path / "r.db")), LedgerDatabase(str(tmp_path / "r.db"))
 
     def op(event: EffectEvent, start: str, **more: object) -> Operation:
@@ -138,8 +138,8 @@
         ("update effect set customer = 'u'", "u was not charged"),
     ],
 )
-def test_the_audit_names_each_planted_fault(tmp_path: Path, change: str, said: str) -> None:
-    """Guards the audit: one that finds nothing whatever is wrong would be believed."""
+def test_the_audit_reports_each_injected_fault(tmp_path: Path, change: str, said: str) -> None:
+    """Guards the audit from passing on anything."""
     base = LedgerDatabase(str(tmp_path / "r.db"))
     base.write(
         [
@@ -153,8 +153,8 @@
     assert any(said in line for line in differences(*effects(base)))
 
 
-def test_the_old_store_is_migrated_and_a_newer_schema_is_refused(tmp_path: Path) -> None:
-    """Guards an upgrade: runs of the old store are not run again, and a file of a later version is not written to."""
+def test_the_attempt_log_is_migrated_and_a_newer_schema_is_rejected(tmp_path: Path) -> None:
+    """Guards an upgrade: runs of the attempt log are not run again, and a file of a later version is not written to."""
     from lapishaven.attempt_log import LogEntry, SqliteAttemptLog
 
     path = str(tmp_path / "r.db")
@@ -184,16 +184,16 @@
     ],
 )
 def test_a_wrong_setting_is_one_plain_line(tmp_path: Path, text: str, said: str) -> None:
-    """Guards operators from a traceback, and from a setting that is not heard."""
+    """Guards operators from a traceback, and from a setting that is ignored."""
     path = tmp_path / "record.toml"
     path.write_text(text)
     with pytest.raises(LedgerSettingsError, match=said):
         load_settings(str(path))
 
 
-def test_a_backup_taken_under_writes_holds_together_and_is_put_back_whole_or_not_at_all(tmp_path: Path) -> None:
-    """Guards the backup: one of another instant for each table would charge without effects; a damaged or older one
-    put back would forget commits; a record that is there is not written over."""
+def test_a_backup_taken_under_writes_is_consistent_and_is_restored_completely_or_not_at_all(tmp_path: Path) -> None:
+    """Guards the backup: one that mixes instants would have charges without effects; a damaged or older one would lose
+    commits; an existing ledger is not overwritten."""
     file, settings_file = tmp_path / "r.db", tmp_path / "record.toml"
     settings_file.write_text(f'file = "{file}"\n')
     base, over = LedgerDatabase(str(file)), threading.Event()
@@ -250,8 +250,8 @@
     assert subprocess.run(line, cwd=ROOT, capture_output=True, check=False).returncode == 2  # it is there already
 
 
-class Shop:
-    """Servers on one record, and callers that commit on them."""
+class LedgerServers:
+    """Servers on one ledger, and clients that commit on them."""
 
     def __init__(self, field: Field, folder: Path, servers: int) -> None:
         self.settings = folder / "record.toml"
@@ -278,17 +278,17 @@
         await asyncio.sleep(0.02)
 
 
-def test_one_key_at_once_on_three_servers_runs_once_over_kills_and_is_charged_once(tmp_path: Path) -> None:
-    """Guards billing disputes: with a table of each server's own, a key that comes to three servers at the same moment
-    runs three times, and a killed server's commits are forgotten or run again by the next."""
+def test_one_key_on_three_servers_at_once_runs_once_across_kills_and_is_charged_once(tmp_path: Path) -> None:
+    """Guards billing: with results kept by each server alone, a key that comes to three servers at once would run three
+    times, and the commits of a killed server would be lost or run again."""
     with Field() as field:
-        shop = Shop(field, tmp_path, 3)
-        with shop.tier as tier:
+        servers_on_ledger = LedgerServers(field, tmp_path, 3)
+        with servers_on_ledger.tier as tier:
             answers: dict[str, list[int]] = {}
             random = Random(5)
 
             async def one(key: str, servers: list[str]) -> None:
-                found = await asyncio.gather(*(shop.commit(server, key) for server in servers))
+                found = await asyncio.gather(*(servers_on_ledger.commit(server, key) for server in servers))
                 answers.setdefault(key, []).extend(call.status for call in found)
 
             async def work() -> None:
@@ -303,7 +303,7 @@
                 await asyncio.gather(*tasks)
                 await asyncio.to_thread(tier.ready, tier.backs)
                 # All again, on other servers than before as it may be: acknowledged ones are answered as they were.
-                again = {key: await shop.commit(random.choice(tier.backs), key) for key in sorted(answers)}
+                again = {key: await servers_on_ledger.commit(random.choice(tier.backs), key) for key in sorted(answers)}
                 for key, found in answers.items():
                     if 200 in found:
                         assert again[key].status == 200, (key, found)
@@ -322,28 +322,28 @@
         assert done <= {key for key, standing in rows.items() if standing == "done"}
         assert set(charged.values()) == {1} and total == 0
         assert set(charged) == {key for key, standing in rows.items() if standing == "done"}
-    assert shop.command("audit").returncode == 0
-    bill = json.loads(shop.command("bill", "--json").stdout)
+    assert servers_on_ledger.command("audit").returncode == 0
+    bill = json.loads(servers_on_ledger.command("bill", "--json").stdout)
     assert bill["customer"] == "caller/7" and bill["effects"] == len(charged)
 
 
-def test_a_server_that_is_stopped_with_the_file_locked_costs_safe_work_nothing(tmp_path: Path) -> None:
-    """Guards the event path: commits are turned away or answered in time while the record stands still, safe requests
-    go on as ever, and all is written once it goes on."""
+def test_while_the_file_is_locked_idempotent_requests_are_served_as_ever(tmp_path: Path) -> None:
+    """Guards the event loop: while the file is locked commits are rejected or answered in time and idempotent requests
+    are served, and commits are served again afterwards."""
     with Field() as field:
-        shop = Shop(field, tmp_path, 2)
-        with shop.tier as tier:
+        servers_on_ledger = LedgerServers(field, tmp_path, 2)
+        with servers_on_ledger.tier as tier:
 
             async def work() -> None:
-                assert (await shop.commit("b0", "first")).status == 200
+                assert (await servers_on_ledger.commit("b0", "first")).status == 200
                 holder = sqlite3.connect(tmp_path / "record.db", isolation_level=None)
                 holder.execute("begin immediate")
                 loop = asyncio.get_running_loop()
                 began = loop.time()
-                commits = [asyncio.create_task(shop.commit("b0", f"k{n}")) for n in range(20)]
+                commits = [asyncio.create_task(servers_on_ledger.commit("b0", f"k{n}")) for n in range(20)]
                 safe = await asyncio.gather(*(tier.call("b0", "fuzzy-match", b"safe", loop.time()) for _ in range(20)))
                 assert {call.status for call in safe} == {200} and max(call.span for call in safe) < 1.0
-                late = [await shop.commit("b0", f"late{n}") for n in range(5)]
+                late = [await servers_on_ledger.commit("b0", f"late{n}") for n in range(5)]
                 found = await asyncio.gather(*commits)
                 assert 200 not in {call.status for call in [*found, *late]}
                 assert max(call.span for call in [*found, *late]) < 4.5  # its deadline, and no longer
@@ -352,15 +352,15 @@
                 holder.close()
 
                 async def again() -> bool:
-                    return (await shop.commit("b0", "after")).status == 200
+                    return (await servers_on_ledger.commit("b0", "after")).status == 200
 
                 for _ in range(50):
                     if await again():
                         break
                     await asyncio.sleep(0.1)
                 else:
-                    raise AssertionError("the record did not come back")
+                    raise AssertionError("the ledger did not recover")
 
             asyncio.run(work())
             assert tier.report()["twice"] == 0
-    assert shop.command("audit").returncode == 0
+    assert servers_on_ledger.command("audit").returncode == 0
--- a/tests/test_sqlite.py
+++ b/tests/test_sqlite.py
@@ -1,4 +1,4 @@
-"""Opening one new SQLite file from many sides at once."""
+"""Opening one new SQLite file by many connections at once."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from lapishaven import sqlite
 
-SIDES, ROUNDS = 12, 25
+CONNECTIONS, ROUNDS = 12, 25
 
 
-def test_many_may_open_one_new_file_at_the_same_moment(tmp_path: Path) -> None:
-    """Guards against a server that does not start, as another one turns the same new file to WAL in that moment:
-    SQLite gives up on that switch at once, however long a call may wait for others."""
+def test_many_connections_may_open_one_new_file_at_once(tmp_path: Path) -> None:
+    """Guards against a server that does not start as another one switches the same new file to WAL: SQLite fails
+    that switch at once, however long the timeout."""
     failed: list[sqlite3.Error] = []
     for n in range(ROUNDS):
-        path, together = str(tmp_path / f"{n}.db"), threading.Barrier(SIDES)
+        path, together = str(tmp_path / f"{n}.db"), threading.Barrier(CONNECTIONS)
 
         def opens(path: str = path, together: threading.Barrier = together) -> None:
             together.wait()
@@ -28,7 +28,7 @@
             except sqlite3.Error as error:
                 failed.append(error)
 
-        threads = [threading.Thread(target=opens) for _ in range(SIDES)]
+        threads = [threading.Thread(target=opens) for _ in range(CONNECTIONS)]
         for thread in threads:
             thread.start()
         for thread in threads:
