--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -77,9 +77,9 @@
         for process in sim.listed:
             if process.cold:
                 fair += 0.1 * sim.rate * process.slots * process.speed / sim.capacity
-                for when in process.got:
-                    if process.born <= when < process.born + 3.0:
-                        bins[int((when - process.born) * 10)] += 1
+                for when in process.arrivals:
+                    if process.started_at <= when < process.started_at + 3.0:
+                        bins[int((when - process.started_at) * 10)] += 1
     return round(max(bins) / fair, 3)
 
 
--- a/lapishaven/lab/load_balancing_cases.py
+++ b/lapishaven/lab/load_balancing_cases.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from lapishaven.lab.load_balancing_simulation import Front, Process, Sim
+from lapishaven.lab.load_balancing_simulation import Frontend, Process, Simulation
 from lapishaven.load_balancing import BalancingRules
 
 FROM, AT = 3.0, 4.0
@@ -24,31 +24,31 @@
 
     load: float
     seconds: float
-    faults: Callable[[Sim], None] = lambda sim: None
+    faults: Callable[[Simulation], None] = lambda sim: None
     differ: float = 1.0
     late: float = 0.0
     thin: bool = False
     even: bool = False  # boxes of one speed
 
 
-def _first(sim: Sim, part: float) -> list[Process]:
+def _first(sim: Simulation, part: float) -> list[Process]:
     return sim.listed[: max(1, round(part * len(sim.listed)))]
 
 
-def _killed(sim: Sim) -> None:
+def _killed(sim: Simulation) -> None:
     for process in _first(sim, 0.2):
         sim.at(AT, lambda name=process.name: sim.kill(name))  # type: ignore[misc]
         sim.at(AT + 1.0, lambda name=process.name: sim.start(name))  # type: ignore[misc]
 
 
-def _replaced(sim: Sim) -> None:
+def _replaced(sim: Simulation) -> None:
     for n, process in enumerate(_first(sim, 0.98)):
         when = AT + 37.0 * n / len(sim.listed)
         sim.at(when, lambda name=process.name: sim.kill(name))  # type: ignore[misc]
         sim.at(when + 0.5, lambda name=process.name: sim.start(name))  # type: ignore[misc]
 
 
-def _slow(sim: Sim) -> None:
+def _slow(sim: Simulation) -> None:
     def factor(value: float) -> None:
         sim.listed[0].factor = value
 
@@ -56,34 +56,34 @@
     sim.at(AT + 30.0, lambda: factor(1.0))
 
 
-def _fails(how: str) -> Callable[[Sim], None]:
-    def fail(sim: Sim) -> None:
+def _fails(how: str) -> Callable[[Simulation], None]:
+    def fail(sim: Simulation) -> None:
         sim.at(AT, lambda: sim.break_down(sim.listed[0].name, how))
 
     return fail
 
 
-def _stopped(sim: Sim) -> None:
+def _stopped(sim: Simulation) -> None:
     for process in _first(sim, 0.2):
         sim.at(AT, lambda name=process.name: sim.stop(name))  # type: ignore[misc]
         sim.at(AT + 8.0, lambda name=process.name: sim.wake(name))  # type: ignore[misc]
 
 
-def _lies(said: float) -> Callable[[Sim], None]:
-    def lie(sim: Sim) -> None:
-        sim.listed[0].lie = said
+def _lies(said: float) -> Callable[[Simulation], None]:
+    def lie(sim: Simulation) -> None:
+        sim.listed[0].reported_in_flight = said
 
     return lie
 
 
-def _cut(sim: Sim) -> None:
+def _cut(sim: Simulation) -> None:
     half = {process.name for process in _first(sim, 0.5)}
     fronts = {front.number for front in sim.fronts if front.number % 2}
     sim.at(AT, lambda: sim.cut.update((number, name) for number in fronts for name in half))
     sim.at(AT + 4.0, sim.cut.clear)
 
 
-def _restarted(sim: Sim) -> None:
+def _restarted(sim: Simulation) -> None:
     def restart() -> None:
         for front in sim.fronts:
             front.restart()
@@ -91,7 +91,7 @@
     sim.at(AT, restart)
 
 
-def _newcomer(sim: Sim) -> None:
+def _newcomer(sim: Simulation) -> None:
     sim.kill(sim.listed[0].name)
     sim.at(AT, lambda: sim.start(sim.listed[0].name))
 
@@ -128,13 +128,13 @@
     slots: int = 4,
     work: float = 0.3,
     rules: BalancingRules | None = None,
-) -> Sim:
+) -> Simulation:
     """The case, ready to be run."""
     random = Random(seed * 31 + 7)
     speeds = [1.0 if case.even else random.choice(SPEEDS) for _ in range(processes)]
     if case.thin:
         fronts = round(8.0 * case.load * slots * sum(speeds) / work)
-    sim = Sim(
+    sim = Simulation(
         policy, fronts, speeds, case.load, seed, slots=slots, work=work, rules=rules, late=case.late, differ=case.differ
     )
     sim.measured_from = FROM
@@ -151,4 +151,4 @@
     return {"case": name, **sim.figures()}
 
 
-__all__ = ["AT", "CASES", "FROM", "Case", "Front", "build", "play"]
+__all__ = ["AT", "CASES", "FROM", "Case", "Frontend", "build", "play"]
--- a/lapishaven/lab/load_balancing_simulation.py
+++ b/lapishaven/lab/load_balancing_simulation.py
@@ -1,8 +1,8 @@
-"""A tier of fronts before a tier of processes in simulated time: the real ``Spread``, plain choosers, and an oracle.
+"""Frontends before a tier of processes in simulated time: the real ``LoadBalancer``, plain policies, and an oracle.
 
-A process works at ``slots`` requests at one time, in their order, each for its work over the process's speed. A front
-gets Poisson arrivals and chooses for each. A way takes ``WAY`` seconds. The same seed gives every chooser the same
-arrivals and works.
+A process works on ``slots`` requests at one time, in their order, each for its work over the process's speed. A
+frontend gets Poisson arrivals and chooses a process for each. A message takes ``ONE_WAY_S``. The same seed gives every
+policy the same arrivals and works.
 """
 
 from __future__ import annotations
@@ -18,148 +18,162 @@
 from lapishaven.load_balancing.endpoint_cost import queueing_cost
 from lapishaven.load_balancing.load_reporter import FAILURE_SMOOTHING
 
-WAY = 0.0004  # s
-DIAL = 1.0  # s after which a connection that does not come about is given up
+ONE_WAY_S = 0.0004
+CONNECT_TIMEOUT_S = 1.0
 COLD_FROM, COLD_SPAN = 0.24, 10.0
 NEVER = 1e6  # s, for a call that was not served
-PUSHBACK = 0.5  # s
-BOUND = 4.0  # requests in hand for a slot at which a process turns away
+RETRY_AFTER_S = 0.5
+MAX_LOAD_PER_SLOT = 4.0  # from which a process rejects
+NOT_IDEMPOTENT_PART = 0.16  # of all requests
 POLICIES = ("random", "round robin", "own least", "two choices", "idle first", "ours", "oracle")
 
 
 @dataclass(slots=True)
-class Job:
-    front: Front
+class SimulatedRequest:
+    """``work``: s that it takes at speed 1. ``retries`` grows with each attempt, which tells late events of earlier
+    ones apart."""
+
+    front: Frontend
     work: float
-    came: float
-    sent: float = 0.0
+    arrived_at: float
+    sent_at: float = 0.0
     process: Process | None = None
-    tries: int = 0
-    safe: bool = True
-    over: bool = False
-    avoid: frozenset[str] = frozenset()
+    retries: int = 0
+    idempotent: bool = True
+    finished: bool = False
+    excluded: frozenset[str] = frozenset()
 
 
 @dataclass(slots=True, eq=False)
 class Process:
+    """A simulated endpoint, and the faults that it has."""
+
     name: str
     slots: int
     speed: float
-    start: int
-    born: float = float("-inf")  # when it started cold
-    waiting: deque[Job] = field(default_factory=deque)
-    running: dict[int, Job] = field(default_factory=dict)
-    stopped: list[Callable[[], None]] | None = None  # what it does when it wakes
+    incarnation: int
+    started_at: float = float("-inf")  # last start with slow start
+    waiting: deque[SimulatedRequest] = field(default_factory=deque)
+    running: dict[int, SimulatedRequest] = field(default_factory=dict)
+    stopped: list[Callable[[], None]] | None = None  # what it does when it goes on; None while it is not stopped
     dead: bool = False
     cold: bool = False
     factor: float = 1.0
-    fails: str = ""  # "error" or "refuse": at once
-    lie: float | None = None  # what it says it has in hand
-    number: int = 0
-    coming: int = 0  # on their way to it, which only the oracle sees
-    failing: float = 0.0  # as it says of itself
-    got: list[float] = field(default_factory=list)
+    fails: str = ""  # "error" or "refuse": how it ends requests at once; empty for no fault
+    reported_in_flight: float | None = None  # what it reports instead of the truth
+    report_sequence: int = 0
+    in_transit: int = 0  # on their way to it, which only the oracle sees
+    failing: float = 0.0  # part of its runs that fail, as it reports
+    arrivals: list[float] = field(default_factory=list)
 
     @property
-    def open(self) -> int:
+    def in_flight(self) -> int:
+        """Requests that it has, queued or running."""
         return len(self.waiting) + len(self.running)
 
-    def warm(self, now: float) -> float:
-        return min(1.0, COLD_FROM + (1 - COLD_FROM) * (now - self.born) / COLD_SPAN)
+    def warm_up_factor(self, now: float) -> float:
+        """Its speed over that of a warm process; it asks for this share of requests too."""
+        return min(1.0, COLD_FROM + (1 - COLD_FROM) * (now - self.started_at) / COLD_SPAN)
 
-    def news(self, now: float) -> LoadReport:
-        self.number += 1
-        said = self.open if self.lie is None else int(self.lie)
+    def report(self, now: float) -> LoadReport:
+        """Its next load report."""
+        self.report_sequence += 1
+        in_flight = self.in_flight if self.reported_in_flight is None else int(self.reported_in_flight)
         return LoadReport(
-            self.start,
-            self.number,
-            said,
-            float(said),
+            self.incarnation,
+            self.report_sequence,
+            in_flight,
+            float(in_flight),
             self.slots,
-            self.speed * self.warm(now),
-            self.warm(now) * (1 - self.failing),
+            self.speed * self.warm_up_factor(now),
+            self.warm_up_factor(now) * (1 - self.failing),
         )
 
 
-class Front:
-    """Where requests come in. ``choose`` by policy."""
+class Frontend:
+    """Where requests come in; it chooses by the simulation's policy."""
 
-    def __init__(self, sim: Sim, number: int, rate: float, random: Random) -> None:
+    def __init__(self, sim: Simulation, number: int, rate: float, random: Random) -> None:
         self.sim, self.number, self.rate = sim, number, rate
         self.random = random
         self.turn = random.randrange(1 << 20)
         self.own: Counter[str] = Counter()
         self.idle: deque[Process] = deque()  # idle first: those that reported here
-        self.spread: LoadBalancer | None = None
+        self.balancer: LoadBalancer | None = None
         self.restart()
 
     def restart(self) -> None:
-        """Another life, which knows nothing."""
-        self._woken = float("inf")
+        """Another incarnation, which knows nothing."""
+        self._check_at = float("inf")
         self.own.clear()
         if self.sim.policy == "ours":
-            self.spread = LoadBalancer(self.sim.rules, self.random)
-            self.spread.set_endpoints(self.sim.names)
+            self.balancer = LoadBalancer(self.sim.rules, self.random)
+            self.balancer.set_endpoints(self.sim.names)
 
-    def dispatch(self, job: Job) -> None:
-        sim, balancer = self.sim, self.spread
+    def dispatch(self, job: SimulatedRequest) -> None:
+        """Choose a process for a request, and send it there."""
+        sim, balancer = self.sim, self.balancer
         if balancer is None:
-            return sim.send(job, self.plain(job))
-        choice = balancer.begin_choice(sim.now, job.avoid, job.tries == 0)
+            return sim.send(job, self.choose_without_balancer(job))
+        choice = balancer.begin_choice(sim.now, job.excluded, job.retries == 0)
         for probe in choice.probes:
             sim.choices[choice] = job
-            sim.ask(self, probe.probe_id, probe.endpoint)
+            sim.send_probe(self, probe.probe_id, probe.endpoint)
         if choice.probes:
-            sim.at(choice.deadline, lambda: self.settle(job, choice))
+            sim.at(choice.deadline, lambda: self.finish_choice(job, choice))
         else:
-            self.settle(job, choice)
-        self.wake()
+            self.finish_choice(job, choice)
+        self.schedule_check()
 
-    def settle(self, job: Job, choice: Choice) -> None:
+    def finish_choice(self, job: SimulatedRequest, choice: Choice) -> None:
+        """Every probe is answered, or the choice's deadline came."""
         self.sim.choices.pop(choice, None)
-        if choice.decided or job.over:
+        if choice.decided or job.finished:
             return
-        assert self.spread is not None
-        name = self.spread.finish_choice(self.sim.now, choice)
+        assert self.balancer is not None
+        name = self.balancer.finish_choice(self.sim.now, choice)
         if name is None:
             return self.sim.finish(job, False)
         self.sim.send(job, self.sim.processes[name])
-        self.wake()
+        self.schedule_check()
 
-    def receive_answer(self, id: int, news: LoadReport) -> None:
-        assert self.spread is not None
-        choice = self.spread.receive_probe_answer(self.sim.now, id, news)
+    def receive_answer(self, probe_id: int, report: LoadReport) -> None:
+        """The answer to a probe."""
+        assert self.balancer is not None
+        choice = self.balancer.receive_probe_answer(self.sim.now, probe_id, report)
         if choice is not None and (job := self.sim.choices.get(choice)) is not None:
-            self.settle(job, choice)
-
-    def wake(self) -> None:
-        """A look at silence when it is due."""
-        assert self.spread is not None
-        when = self.spread.next_check_at()
-        if when < self._woken:
-            self._woken = when
-            self.sim.at(when, self.look)
-
-    def look(self) -> None:
-        sim, spread = self.sim, self.spread
-        assert spread is not None
-        self._woken = float("inf")
-        probes, fell = spread.check_responsiveness(sim.now)
+            self.finish_choice(job, choice)
+
+    def schedule_check(self) -> None:
+        """Check for unresponsive processes when the balancer asks for it."""
+        assert self.balancer is not None
+        when = self.balancer.next_check_at()
+        if when < self._check_at:
+            self._check_at = when
+            self.sim.at(when, self.check)
+
+    def check(self) -> None:
+        """Probe, and retry the idempotent requests of processes that became unresponsive."""
+        sim, balancer = self.sim, self.balancer
+        assert balancer is not None
+        self._check_at = float("inf")
+        probes, newly_suspected = balancer.check_responsiveness(sim.now)
         for probe in probes:
-            sim.ask(self, probe.probe_id, probe.endpoint)
-        for name in fell:
-            for job in [j for j in sim.out.get((self.number, name), ()) if j.safe]:
-                if spread.retry_budget.try_withdraw(sim.now):
+            sim.send_probe(self, probe.probe_id, probe.endpoint)
+        for name in newly_suspected:
+            for job in [j for j in sim.out.get((self.number, name), ()) if j.idempotent]:
+                if balancer.retry_budget.try_withdraw(sim.now):
                     sim.give_up(job)
-                    job.avoid |= {name}
-                    job.tries += 1
+                    job.excluded |= {name}
+                    job.retries += 1
                     sim.counts["second tries"] += 1
                     self.dispatch(job)
-        self.wake()
+        self.schedule_check()
 
-    def plain(self, job: Job) -> Process:
+    def choose_without_balancer(self, job: SimulatedRequest) -> Process:
+        """The choice of the plain policies and the oracle."""
         sim, own, random = self.sim, self.own, self.random
-        there = [p for p in sim.listed if p.name not in job.avoid] if job.avoid else sim.listed
+        there = [p for p in sim.listed if p.name not in job.excluded] if job.excluded else sim.listed
         if sim.policy == "oracle":
             return min(there, key=sim.true_cost)
         if sim.policy == "random":
@@ -173,15 +187,25 @@
         if sim.policy == "idle first":
             while self.idle:
                 process = self.idle.popleft()
-                if not process.dead and process.name not in job.avoid:
+                if not process.dead and process.name not in job.excluded:
                     return process
             return random.choice(there)
         one, two = random.sample(there, 2)
         return one if (own[one.name], random.random()) < (own[two.name], random.random()) else two
 
 
-class Sim:
-    """``speeds``: one for each process. ``load``: of the capacity. ``differ``: so many times fronts' rates differ."""
+class Simulation:
+    """Parameters:
+    policy: one of ``POLICIES``.
+    fronts: how many frontends there are.
+    speeds: one for each process.
+    load: of the capacity.
+    slots: of each process.
+    work: s of a typical request at speed 1.
+    late: s by which the answers to probes are late.
+    differ: the largest rate of a frontend over the least.
+    aim: s within which a request counts as on time.
+    """
 
     def __init__(
         self,
@@ -198,8 +222,13 @@
         differ: float = 1.0,
         aim: float = 1.5,
     ) -> None:
-        self.policy, self.rules, self.seed = policy, rules or BalancingRules(), seed
-        self.now, self.work, self.late, self.aim = 0.0, work, late, aim
+        self.policy = policy
+        self.rules = rules or BalancingRules()
+        self.seed = seed
+        self.now = 0.0
+        self.work = work
+        self.late = late
+        self.latency_objective_s = aim
         self.random = Random(seed * 7 + 1)
         self.arrivals = Random(seed)
         self.processes = {f"p{n}": Process(f"p{n}", slots, speed, seed * 100_000 + n) for n, speed in enumerate(speeds)}
@@ -209,16 +238,16 @@
         self.rate = load * self.capacity / work
         parts = [differ ** self.arrivals.random() for _ in range(fronts)]
         self.fronts = [
-            Front(self, n, self.rate * part / sum(parts), Random(f"{seed}/{n}")) for n, part in enumerate(parts)
+            Frontend(self, n, self.rate * part / sum(parts), Random(f"{seed}/{n}")) for n, part in enumerate(parts)
         ]
         self.weights = parts
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._order = 0
-        self.choices: dict[Choice, Job] = {}
+        self.choices: dict[Choice, SimulatedRequest] = {}
         self.cut: set[tuple[int, str]] = set()  # of fronts and processes, that hear nothing of each other
-        self.out: dict[tuple[int, str], list[Job]] = {}
+        self.out: dict[tuple[int, str], list[SimulatedRequest]] = {}
         self.counts: Counter[str] = Counter()
-        self.spans: list[tuple[float, float, float]] = []  # came, span, served
+        self.spans: list[tuple[float, float, float]] = []  # arrival, duration, whether served
         self._waits = 0
         self._since = 0.0
         self.idle = 0.0
@@ -239,16 +268,17 @@
 
     def _arrive(self) -> None:
         front = self.arrivals.choices(self.fronts, self.weights)[0]
-        job = Job(front, self.arrivals.uniform(0.5, 1.5) * self.work, self.now, safe=self.arrivals.random() > 0.16)
+        work = self.arrivals.uniform(0.5, 1.5) * self.work
+        idempotent = self.arrivals.random() > NOT_IDEMPOTENT_PART
+        job = SimulatedRequest(front, work, self.now, idempotent=idempotent)
         self.at(self.now + self.arrivals.expovariate(self.rate), self._arrive)
         self.counts["arrivals"] += 1
         front.dispatch(job)
 
-    # ---- Ways
-    def ask(self, front: Front, id: int, name: str) -> None:
+    # ---- Messages
+    def send_probe(self, front: Frontend, id: int, name: str) -> None:
         process = self.processes[name]
-        spread = front.spread
-        assert spread is not None
+        assert front.balancer is not None
         self.counts["probes"] += 1
 
         def answer() -> None:
@@ -257,21 +287,21 @@
             if process.stopped is not None:
                 process.stopped.append(answer)
                 return
-            news = process.news(self.now)
-            self.at(self.now + WAY + self.late, lambda: front.receive_answer(id, news))
+            report = process.report(self.now)
+            self.at(self.now + ONE_WAY_S + self.late, lambda: front.receive_answer(id, report))
 
-        self.at(self.now + WAY, answer)
+        self.at(self.now + ONE_WAY_S, answer)
 
-    def send(self, job: Job, process: Process) -> None:
-        job.process, job.sent = process, self.now
-        process.coming += 1
+    def send(self, job: SimulatedRequest, process: Process) -> None:
+        job.process, job.sent_at = process, self.now
+        process.in_transit += 1
         front = job.front
         front.own[process.name] += 1
-        if front.spread is not None:
-            front.spread.attempt_started(self.now, process.name)
+        if front.balancer is not None:
+            front.balancer.attempt_started(self.now, process.name)
         self.out.setdefault((front.number, process.name), []).append(job)
-        tries = job.tries  # as it is now: one that is given up on its way is not to arrive as the next try
-        self.at(self.now + WAY, lambda: self._reach(job, process, tries))
+        tries = job.retries  # as it is now: one that is given up on its way is not to arrive as the next try
+        self.at(self.now + ONE_WAY_S, lambda: self._reach(job, process, tries))
 
     def _account(self) -> None:
         if self._waits and self.now > self.measured_from:
@@ -282,30 +312,31 @@
     def _count(self, process: Process, sign: int) -> None:
         if not process.dead and process.stopped is None and not process.fails:
             self._waits += sign * bool(process.waiting)
-            self._empty += sign * (process.open == 0 and not process.cold)
+            self._empty += sign * (process.in_flight == 0 and not process.cold)
 
-    def _reach(self, job: Job, process: Process, tries: int) -> None:
-        process.coming -= 1
+    def _reach(self, job: SimulatedRequest, process: Process, tries: int) -> None:
+        process.in_transit -= 1
         self._reached(job, process, tries)
 
-    def _reached(self, job: Job, process: Process, tries: int) -> None:
-        if job.tries != tries or job.over:
+    def _reached(self, job: SimulatedRequest, process: Process, tries: int) -> None:
+        if job.retries != tries or job.finished:
             return
         if (job.front.number, process.name) in self.cut:
             return self.at(
-                self.now + DIAL, lambda: self._back(job, process, AttemptOutcome.UNREACHABLE, None, tries, job.sent)
+                self.now + CONNECT_TIMEOUT_S,
+                lambda: self._back(job, process, AttemptOutcome.UNREACHABLE, None, tries, job.sent_at),
             )
         if process.dead:
             return self._answer(job, process, AttemptOutcome.UNREACHABLE, None)
         if process.stopped is not None:
             process.stopped.append(lambda: self._reached(job, process, tries))
             return
-        process.got.append(self.now)
-        if process.fails or process.open >= BOUND * process.slots:
-            ending = AttemptOutcome.FAILED if process.fails == "error" else AttemptOutcome.REJECTED
-            if ending is AttemptOutcome.FAILED:
+        process.arrivals.append(self.now)
+        if process.fails or process.in_flight >= MAX_LOAD_PER_SLOT * process.slots:
+            outcome = AttemptOutcome.FAILED if process.fails == "error" else AttemptOutcome.REJECTED
+            if outcome is AttemptOutcome.FAILED:
                 process.failing += FAILURE_SMOOTHING * (1 - process.failing)
-            return self._answer(job, process, ending, process.news(self.now))
+            return self._answer(job, process, outcome, process.report(self.now))
         self._account()
         self._count(process, -1)
         process.waiting.append(job)
@@ -316,11 +347,11 @@
         while process.waiting and len(process.running) < process.slots:
             job = process.waiting.popleft()
             process.running[id(job)] = job
-            span = job.work / (process.speed * process.factor * process.warm(self.now))
-            self.at(self.now + span, lambda job=job, tries=job.tries: self._done(job, process, tries))  # type: ignore[misc]
+            span = job.work / (process.speed * process.factor * process.warm_up_factor(self.now))
+            self.at(self.now + span, lambda job=job, tries=job.retries: self._done(job, process, tries))  # type: ignore[misc]
 
-    def _done(self, job: Job, process: Process, tries: int) -> None:
-        if process.running.get(id(job)) is not job or job.tries != tries:
+    def _done(self, job: SimulatedRequest, process: Process, tries: int) -> None:
+        if process.running.get(id(job)) is not job or job.retries != tries:
             return
         if process.stopped is not None:
             process.stopped.append(lambda: self._done(job, process, tries))
@@ -330,45 +361,53 @@
         del process.running[id(job)]
         self._work(process)
         self._count(process, 1)
-        if self.policy == "idle first" and process.open < process.slots:
+        if self.policy == "idle first" and process.in_flight < process.slots:
             self.random.choice(self.fronts).idle.append(process)
-        self._answer(job, process, AttemptOutcome.SERVED, process.news(self.now))
+        self._answer(job, process, AttemptOutcome.SERVED, process.report(self.now))
 
-    def _answer(self, job: Job, process: Process, ending: AttemptOutcome, news: LoadReport | None) -> None:
-        tries, sent = job.tries, job.sent
-        self.at(self.now + WAY, lambda: self._back(job, process, ending, news, tries, sent))
+    def _answer(
+        self, job: SimulatedRequest, process: Process, outcome: AttemptOutcome, report: LoadReport | None
+    ) -> None:
+        tries, sent = job.retries, job.sent_at
+        self.at(self.now + ONE_WAY_S, lambda: self._back(job, process, outcome, report, tries, sent))
 
     def _back(
-        self, job: Job, process: Process, ending: AttemptOutcome, news: LoadReport | None, tries: int, sent: float
+        self,
+        job: SimulatedRequest,
+        process: Process,
+        outcome: AttemptOutcome,
+        report: LoadReport | None,
+        tries: int,
+        sent: float,
     ) -> None:
-        if job.over or job.tries != tries:
+        if job.finished or job.retries != tries:
             return
-        self._let_go(job, process, ending, sent)
+        self._let_go(job, process, outcome, sent)
         front = job.front
-        if front.spread is not None and news is not None:
-            front.spread.receive_response_report(self.now, process.name, None if self.late else news)
-        again = ending in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE) and job.tries < 3
-        if again and (front.spread is None or front.spread.retry_budget.try_withdraw(self.now)):
-            job.tries += 1
-            job.avoid |= {process.name}
+        if front.balancer is not None and report is not None:
+            front.balancer.receive_response_report(self.now, process.name, None if self.late else report)
+        again = outcome in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE) and job.retries < 3
+        if again and (front.balancer is None or front.balancer.retry_budget.try_withdraw(self.now)):
+            job.retries += 1
+            job.excluded |= {process.name}
             self.counts["second tries"] += 1
             return front.dispatch(job)
-        self.finish(job, ending is AttemptOutcome.SERVED)
+        self.finish(job, outcome is AttemptOutcome.SERVED)
 
-    def _let_go(self, job: Job, process: Process, ending: AttemptOutcome, sent: float) -> None:
+    def _let_go(self, job: SimulatedRequest, process: Process, outcome: AttemptOutcome, sent: float) -> None:
         front = job.front
         front.own[process.name] -= 1
         self.out[front.number, process.name].remove(job)
-        if front.spread is not None:
-            front.spread.attempt_ended(
-                self.now, process.name, sent, ending, PUSHBACK if ending is AttemptOutcome.REJECTED else 0.0
+        if front.balancer is not None:
+            front.balancer.attempt_ended(
+                self.now, process.name, sent, outcome, RETRY_AFTER_S if outcome is AttemptOutcome.REJECTED else 0.0
             )
 
-    def give_up(self, job: Job) -> None:
+    def give_up(self, job: SimulatedRequest) -> None:
         """The front closes the connection: what waits is dropped, what runs is stopped."""
         process = job.process
         assert process is not None
-        self._let_go(job, process, AttemptOutcome.ABANDONED, job.sent)
+        self._let_go(job, process, AttemptOutcome.ABANDONED, job.sent_at)
         self._account()
         self._count(process, -1)
         if job in process.waiting:
@@ -377,10 +416,10 @@
             self._work(process)
         self._count(process, 1)
 
-    def finish(self, job: Job, served: bool) -> None:
-        job.over = True
-        if job.came >= self.measured_from:
-            self.spans.append((job.came, self.now - job.came, float(served)))
+    def finish(self, job: SimulatedRequest, served: bool) -> None:
+        job.finished = True
+        if job.arrived_at >= self.measured_from:
+            self.spans.append((job.arrived_at, self.now - job.arrived_at, float(served)))
 
     # ---- Faults
     def stop(self, name: str) -> None:
@@ -417,14 +456,14 @@
     def start(self, name: str) -> None:
         """Back, cold, as another life."""
         process = self.processes[name]
-        process.dead, process.born, process.start = False, self.now, process.start + 50_000
+        process.dead, process.started_at, process.incarnation = False, self.now, process.incarnation + 50_000
         process.cold = True
         self._account()
         self._count(process, 1)
-        self.at(self.now + COLD_SPAN, lambda start=process.start: self._warmed(process, start))  # type: ignore[misc]
+        self.at(self.now + COLD_SPAN, lambda start=process.incarnation: self._warmed(process, start))  # type: ignore[misc]
 
     def _warmed(self, process: Process, start: int) -> None:
-        if process.start == start and not process.dead:
+        if process.incarnation == start and not process.dead:
             self._account()
             self._count(process, -1)
             process.cold = False
@@ -434,14 +473,14 @@
     def true_cost(self, process: Process) -> float:
         if process.dead or process.stopped is not None or process.fails:
             return float("inf")
-        speed = process.speed * process.factor * process.warm(self.now)
-        return queueing_cost(process.open + process.coming, process.slots, speed)
+        speed = process.speed * process.factor * process.warm_up_factor(self.now)
+        return queueing_cost(process.in_flight + process.in_transit, process.slots, speed)
 
     def busiest(self, window: float = 1.0) -> float:
         """The mean over windows of the largest share of arrivals for its speed, where an even share is 1."""
         counts: dict[int, Counter[str]] = {}
         for process in self.listed:
-            for when in process.got:
+            for when in process.arrivals:
                 if when >= self.measured_from:
                     counts.setdefault(int(when / window), Counter())[process.name] += 1
         tops = []
@@ -464,7 +503,7 @@
             "calls": len(spans),
             "p50": p(0.5),
             "p99": p(0.99),
-            "on_time": round(sum(s <= self.aim for s in spans) / len(spans), 4),
+            "on_time": round(sum(s <= self.latency_objective_s for s in spans) / len(spans), 4),
             "busiest": round(self.busiest(), 3),
             "idle": round(self.idle / (span * len(self.listed)), 5),
             "probes": round(self.counts["probes"] / self.counts["arrivals"], 2),
