--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -174,7 +174,7 @@
     }
 
 
-def _come(event: threading.Event, told: OperationOutcome | None) -> None:
+def _set(event: threading.Event, outcome: OperationOutcome | None) -> None:
     event.set()
 
 
@@ -192,9 +192,10 @@
         n = 0
         while time.monotonic() < until:
             n += 1
-            began, come = time.monotonic(), threading.Event()
-            writer.submit(Operation(EffectEvent.INTEND, "c", f"{number}/{n}", "s", 0.0), partial(_come, come))
-            come.wait(10.0)
+            began = time.monotonic()
+            written = threading.Event()
+            writer.submit(Operation(EffectEvent.INTEND, "c", f"{number}/{n}", "s", 0.0), partial(_set, written))
+            written.wait(10.0)
             spans.append(time.monotonic() - began)
 
     waiting = [threading.Thread(target=one, args=(k,)) for k in range(threads)]
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -22,7 +22,7 @@
 from lapishaven.lab.field.tier import Tier, figures
 from lapishaven.lab.load_balancing_cases import AT, CASES, SPEEDS, build, play
 from lapishaven.lab.load_balancing_simulation import COLD_SPAN
-from lapishaven.load_balancing import BalancingRules, LoadBalancer
+from lapishaven.load_balancing import AttemptOutcome, BalancingRules, LoadBalancer
 from lapishaven.load_balancing.load_report import ENCODED_SIZE, LoadReport
 from lapishaven.load_balancing.weighted_sampler import WeightedSampler
 
@@ -85,7 +85,7 @@
 
 # ---- The structure for drawing
 class Scan:
-    """A plain one: the weights are added up for each draw."""
+    """A plain one: the weights are added up for each sample."""
 
     def __init__(self, weights: Sequence[float]) -> None:
         self.weights = list(weights)
@@ -183,14 +183,14 @@
     """Microseconds for a draw with one change of weight before it, and for a whole choice, at so many processes."""
     random = Random(seed)
     weights = [random.choice(SPEEDS) for _ in range(size)]
-    draw = WeightedSampler()
+    sampler = WeightedSampler()
     for n, weight in enumerate(weights):
-        draw.set_weight(str(n), weight)
+        sampler.set_weight(str(n), weight)
     names = [str(n) for n in range(size)]
 
     def ours() -> None:
-        draw.set_weight(names[int(random.random() * size)], random.choice(SPEEDS))
-        draw.sample(random)
+        sampler.set_weight(names[int(random.random() * size)], random.choice(SPEEDS))
+        sampler.sample(random)
 
     found = {"processes": float(size), "ours": _micros(ours)}
     for kind in (Scan, Tree, Alias, Sorted):
@@ -201,28 +201,25 @@
             other.take(random)
 
         found[kind.__name__.lower()] = _micros(plain)
-    spread = LoadBalancer(BalancingRules(), random)
-    spread.set_endpoints(names)
+    balancer = LoadBalancer(BalancingRules(), random)
+    balancer.set_endpoints(names)
     now, number = 0.0, 0
 
     def choice() -> None:
         nonlocal now, number
         now += 0.001
         number += 1
-        made = spread.begin_choice(now)
-        for probe in made.probes:
-            spread.receive_probe_answer(
+        choice_made = balancer.begin_choice(now)
+        for probe in choice_made.probes:
+            balancer.receive_probe_answer(
                 now, probe.probe_id, LoadReport(int(probe.endpoint), number, int(random.random() * 8), 2.0, 4, 1.0)
             )
-        name = spread.finish_choice(now, made)
+        name = balancer.finish_choice(now, choice_made)
         assert name is not None
-        spread.attempt_started(now, name)
-        spread.attempt_ended(now + 0.0005, name, now, made_ending)
-        spread.check_responsiveness(now)
+        balancer.attempt_started(now, name)
+        balancer.attempt_ended(now + 0.0005, name, now, AttemptOutcome.SERVED)
+        balancer.check_responsiveness(now)
 
-    from lapishaven.load_balancing import AttemptOutcome
-
-    made_ending = AttemptOutcome.SERVED
     found["choice"] = _micros(choice, 0.1)
     return found
 
--- a/lapishaven/lab/field/tier.py
+++ b/lapishaven/lab/field/tier.py
@@ -161,7 +161,7 @@
         """Wait until each says that it takes requests."""
         until = time.monotonic() + timeout
         for name in names:
-            while (news := self.ask(name)) is None or news.desired_share <= 0:
+            while (report := self.ask(name)) is None or report.desired_share <= 0:
                 if time.monotonic() > until:
                     raise FieldError(f"{name} is not ready: {(self.field.folder / f'{name}.log').read_text()[-500:]}")
                 if not self.field.procs[name].alive:
--- a/lapishaven/ledger/command.py
+++ b/lapishaven/ledger/command.py
@@ -51,7 +51,7 @@
 def stat(path: str, as_json: bool) -> int:
     """Print the number of effects by state; returns 1 if one is uncertain: intended over a minute ago, with no end."""
     database = LedgerDatabase(load_settings(path).file)
-    counts = Counter(str(standing) for (standing,) in database.read("select standing from effect"))
+    counts = Counter(str(state) for (state,) in database.read("select standing from effect"))
     uncertain = database.read(
         "select class, key, start, since from effect where standing = 'intended' and since < ?",
         (time.time() - UNCERTAIN_AFTER_S,),
--- a/lapishaven/load_balancing/endpoint_selector.py
+++ b/lapishaven/load_balancing/endpoint_selector.py
@@ -84,8 +84,8 @@
         the largest among the candidates, so that a fleet that starts together serves.
         """
         largest = max(state.desired_share() for state in candidates)
-        kept = [state for state in candidates if self._admits(state, largest, probed)]
-        return kept or candidates
+        admitted = [state for state in candidates if self._admits(state, largest, probed)]
+        return admitted or candidates
 
     def _admits(self, state: EndpointState, largest_share: float, probed: int) -> bool:
         if state.report is None or state.report.desired_share >= largest_share:
