--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -26,8 +26,8 @@
 from lapishaven.lab.field import Field
 from lapishaven.lab.field.tier import Call, Tier
 from lapishaven.ledger.command import audit
-from lapishaven.ledger.database import LedgerDatabase, Op, Told
-from lapishaven.ledger.transitions import Event
+from lapishaven.ledger.database import LedgerDatabase, Operation, OperationOutcome
+from lapishaven.ledger.transitions import EffectEvent
 from lapishaven.ledger.writer import Writer
 
 MODULE = "benchmarks.record"
@@ -174,7 +174,7 @@
     }
 
 
-def _come(event: threading.Event, told: Told | None) -> None:
+def _set(event: threading.Event, outcome: OperationOutcome | None) -> None:
     event.set()
 
 
@@ -183,7 +183,7 @@
     from lapishaven.ledger import writer as module
 
     folder = Path(tempfile.mkdtemp(prefix="lapishaven-record-"))
-    old, module.GROUP = module.GROUP, most
+    old, module.MAX_GROUP = module.MAX_GROUP, most
     writer = Writer(LedgerDatabase(str(folder / "record.db")), lambda count, good: None)
     spans: list[float] = []
     until = time.monotonic() + seconds
@@ -192,9 +192,10 @@
         n = 0
         while time.monotonic() < until:
             n += 1
-            began, come = time.monotonic(), threading.Event()
-            writer.put(Op(Event.INTEND, "c", f"{number}/{n}", "s", 0.0), partial(_come, come))
-            come.wait(10.0)
+            began = time.monotonic()
+            written = threading.Event()
+            writer.submit(Operation(EffectEvent.INTEND, "c", f"{number}/{n}", "s", 0.0), partial(_set, written))
+            written.wait(10.0)
             spans.append(time.monotonic() - began)
 
     waiting = [threading.Thread(target=one, args=(k,)) for k in range(threads)]
@@ -203,7 +204,7 @@
     for thread in waiting:
         thread.join()
     writer.close(5.0)
-    module.GROUP = old
+    module.MAX_GROUP = old
     return {
         "group": most,
         "durable_per_s": round(len(spans) / seconds),
--- a/lapishaven/attempt_reporting.py
+++ b/lapishaven/attempt_reporting.py
@@ -42,7 +42,7 @@
     def run_started(self, submission: Submission) -> None:
         """Its run is about to be handed to the backend."""
         if self._load_endpoint is not None:
-            self._load_endpoint.started(submission.attempt_id, submission.class_index)
+            self._load_endpoint.run_started(submission.attempt_id, submission.class_index)
         self._log(AttemptEvent.STARTED, submission, "")
 
     def run_disproved(self, submission: Submission, outcome: Outcome) -> None:
--- a/lapishaven/broker_host.py
+++ b/lapishaven/broker_host.py
@@ -76,12 +76,12 @@
         if self._load_endpoint is not None:
             initial_share = settings.slow_start_initial_speed if cold else 1.0
             remaining_span = settings.slow_start_span - up_for if cold else 0.0
-            self._load_endpoint.up(initial_share, remaining_span)
+            self._load_endpoint.start_reporting(initial_share, remaining_span)
 
     def finished(self, handle: str, outcome: Outcome, spent: float, result: bytes) -> None:
         """A run ended after ``spent`` seconds."""
         if self._load_endpoint is not None:
-            self._load_endpoint.ended(handle, outcome)
+            self._load_endpoint.run_ended(handle, outcome)
         if self.broker is not None:
             self.broker.run_finished(handle, outcome, spent, result)
 
--- a/lapishaven/client/connections/endpoint_table.py
+++ b/lapishaven/client/connections/endpoint_table.py
@@ -14,7 +14,7 @@
 from lapishaven.client.routing import make_strategy
 from lapishaven.client.traffic import Traffic
 from lapishaven.load_balancing.failure_detector import FailureDetector
-from lapishaven.load_balancing.model import Rules
+from lapishaven.load_balancing.rules import BalancingRules
 
 
 class EndpointTable:
@@ -50,7 +50,7 @@
             bool(settings.catalog),
             clock_offset_s,
         )
-        rules = Rules(watch=settings.health.watch_s, silent=settings.health.silent_s)
+        rules = BalancingRules(watch_interval_s=settings.health.watch_s, probe_timeout_s=settings.health.silent_s)
         self.failure_detector: FailureDetector[Endpoint] = FailureDetector(rules, random)
         self.rendezvous_panic = False
 
--- a/lapishaven/client/model.py
+++ b/lapishaven/client/model.py
@@ -9,7 +9,7 @@
 from lapishaven.client.health import EjectionState, EndpointHealth
 from lapishaven.client.membership import Member
 from lapishaven.client.settings import Routing
-from lapishaven.load_balancing.failure_detector import Asked
+from lapishaven.load_balancing.failure_detector import OutstandingProbe
 
 CLOSE_RACE_WINDOW_S = 0.05  # PROTOCOL: a request sent so shortly before a close may be retried as never read
 LATENCY_SMOOTHING = 0.1  # weight of a new latency in the smoothed one
@@ -179,7 +179,7 @@
     weight_penalty_at: float = 0.0
     health_check_pending: bool = False
     heard: float = float("-inf")
-    asked: Asked | None = None
+    asked: OutstandingProbe | None = None
     suspected: float | None = None
     lost_at: float | None = None
     closed_idle_connection: bool = False
--- a/lapishaven/config/files.py
+++ b/lapishaven/config/files.py
@@ -13,7 +13,7 @@
 from lapishaven.core.contracts import Contract
 
 if TYPE_CHECKING:
-    from lapishaven.load_balancing.settings import Settings as LoadBalancingSettings
+    from lapishaven.load_balancing.settings import BalancingSettings
     from lapishaven.pools.settings import PoolSettings
 
 
@@ -26,7 +26,7 @@
     backend: UwsgiBackendConfig | None = None
     contracts: list[Contract] | None = None
     pools: PoolSettings | None = None
-    spread: LoadBalancingSettings | None = None
+    spread: BalancingSettings | None = None
 
 
 def load_files(
@@ -54,12 +54,12 @@
     )
 
 
-def _load_spread(path: str) -> LoadBalancingSettings:
+def _load_spread(path: str) -> BalancingSettings:
     from lapishaven.load_balancing import settings as load_balancing
 
     try:
-        return load_balancing.load(path)
-    except load_balancing.SpreadError as error:
+        return load_balancing.load_settings(path)
+    except load_balancing.BalancingSettingsError as error:
         raise ConfigError(str(error)) from None
 
 
--- a/lapishaven/config_reload.py
+++ b/lapishaven/config_reload.py
@@ -99,7 +99,7 @@
         if files.backend is not None:
             addresses[UWSGI] = files.backend.address
         if files.spread is not None and self._backends.load_balanced is not None:
-            self._backends.load_balanced.take(files.spread.addresses)
+            self._backends.load_balanced.set_addresses(files.spread.addresses)
         for name, driver in self._backends.by_name.items():
             if name in addresses:
                 driver.change_address(addresses[name])
--- a/lapishaven/counter_report.py
+++ b/lapishaven/counter_report.py
@@ -45,6 +45,6 @@
         if self._core.result_store is not None:
             groups[self._core.result_store.label] = Counter(self._core.result_store.state())
         if self._backends.load_balanced is not None:
-            groups["spread choices"] = Counter(self._backends.load_balanced.spread.counts)
+            groups["spread choices"] = Counter(self._backends.load_balanced.balancer.counts)
         if self._fleet is not None:
             groups["ownership"] = Counter(self._fleet.state())
--- a/lapishaven/server.py
+++ b/lapishaven/server.py
@@ -122,7 +122,7 @@
     def _build_uwsgi_listener(self, config: NodeConfig, front: UwsgiFrontendConfig) -> Listener:
         # Different in every process of one configuration, as the interpreter still knows the ids of its earlier runs.
         random = Random(f"{config.seed}/{os.getpid()}/{time.time_ns()}")
-        load_word = self.load_endpoint.word if self.load_endpoint is not None else None
+        load_word = self.load_endpoint.header_value if self.load_endpoint is not None else None
         return self._listen(front.listen, lambda sock: uwsgi.Session(self, sock, front, random, load_word))
 
     def _listen(
@@ -252,7 +252,7 @@
         if self.fleet is not None:
             self.fleet.drain()
         if self.load_endpoint is not None:
-            self.load_endpoint.leave()
+            self.load_endpoint.drain()
         if self.config.inherited is not None:
             # An upgrade: the new process serves the shared socket and reports to the registry from now on.
             self.listeners[0].close()
--- a/lapishaven/storage/segment_writer.py
+++ b/lapishaven/storage/segment_writer.py
@@ -61,7 +61,7 @@
     def write_frame(self, records: list[Record], wall_time: float) -> tuple[Segment, int, int]:
         """Append records as one frame and sync it; gives the segment, and where the frame begins and ends there.
 
-        ``Segment.size`` is left to the caller, who sets it together with the index. Raises ``StoreFull``,
+        ``Segment.size`` is left to the caller, who sets it together with the index. Raises ``StoreFullError``,
         ``StoreBroken`` or ``OSError``; then nothing of the frame is durable.
         """
         data = fmt.encode_frame(records, wall_time)
@@ -116,7 +116,7 @@
         return segment
 
     def _append(self, segment: Segment, data: bytes, only_deletes: bool) -> None:
-        """Write behind the durable end of a segment. A partial write is truncated; a full disk raises ``StoreFull``."""
+        """Write at the durable end of a segment, whole or not at all. Raises ``StoreFullError`` or ``OSError``."""
         try:
             self._append_all(segment, data)
         except OSError as error:
