--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -24,11 +24,13 @@
 from lapishaven.lab.field.trial import TTL
 from lapishaven.lab.ownership_simulation import SimFleet
 from lapishaven.ownership.duties import budgets
-from lapishaven.ownership.fence import Act
+from lapishaven.ownership.fence import EffectRequest
 from lapishaven.ownership.fenced_store import FencedStore
+from lapishaven.ownership.notices import NoticeKind
 
 MODULE = "lapishaven.lab.field.trial"
 FALLBACK, SPAN, BURST = 0.1, 6.0, 1.0
+FALSE_LOSSES = {NoticeKind.SHARD_LOST, NoticeKind.SESSION_ENDED, NoticeKind.OUTCOME_UNCERTAIN}
 LONG = [(3, 1), (3, 64), (3, 1024), (30, 256), (30, 1024), (300, 1024)]  # members, shards
 
 
@@ -62,7 +64,7 @@
     fleet.run(45.0)
     join = fleet.moves(before) / max(1, count // (members + 1))
     before, had = fleet.owners(), fleet.counts()["m0"]
-    fleet.leave("m0")
+    fleet.drain("m0")
     fleet.run(60.0)
     leave = fleet.moves(before) / max(1, had)
     return {
@@ -108,7 +110,7 @@
     for n in range(8):
         fleet.start(f"m{n}")
     fleet.run(3600.0)
-    return sum(notice.what in ("lost", "out", "doubt") for one in fleet.members.values() for _, notice in one.notices)
+    return sum(notice.kind in FALSE_LOSSES for one in fleet.members.values() for _, notice in one.notices)
 
 
 def budget(members: int, seed: int, seconds: float, dealt: bool, shift: float = 0.0) -> dict[str, Any]:
@@ -116,9 +118,9 @@
     ``shift`` seconds if that is not 0; the dealer dies every 5 s and is followed 3 to 4 s later. The baseline,
     ``dealt`` false: each member has its even part for good."""
     rate, random, now = 200.0, Random(seed), 0.0
-    book = FencedStore(":memory:", {"budgets": budgets.PLAN})
-    purses = [budgets.Purse(rate, members, FALLBACK if dealt else 1.0, BURST) for _ in range(members)]
-    dealing, token, number = budgets.Dealing({"c": rate}, SPAN, book.read), 1, 0
+    book = FencedStore(":memory:", {"budgets": budgets.DUTY_SCHEMA})
+    purses = [budgets.QuotaBucket(rate, members, FALLBACK if dealt else 1.0, BURST) for _ in range(members)]
+    dealing, token, number = budgets.QuotaDistribution({"c": rate}, SPAN, book.read), 1, 0
     due, dies, flush, up = 0.0, 5.0, 0.0, 0.0
     spent: Counter[int] = Counter()
     weights = [random.expovariate(1.0) for _ in range(members)]
@@ -126,7 +128,7 @@
     def act(effect: str, detail: Any) -> Any:
         nonlocal number
         number += 1
-        return book.admit(Act(("budgets", 0), token, number), effect, detail).answer
+        return book.admit(EffectRequest(("budgets", 0), token, number), effect, detail).answer
 
     step, arrivals = 0.01, np.random.default_rng(seed)
     rounds = 0
@@ -135,22 +137,22 @@
         if dealt and now >= dies:
             # The owner dies; a new one, which knows only the book, comes within the lease and a second.
             up, dies = now + random.uniform(3.0, 4.0), now + 5.0
-            dealing, token, number = budgets.Dealing({"c": rate}, SPAN, book.read), token + 1, 0
+            dealing, token, number = budgets.QuotaDistribution({"c": rate}, SPAN, book.read), token + 1, 0
         if dealt and now >= due and now >= up:
             due = now + dealing.step(0, act, now)
         if dealt and now >= flush:
             flush, rounds = now + 0.5, rounds + 1
             for k, purse in enumerate(purses):
-                need = purse.need(now)
-                book.note(
+                need = purse.measure_demand(now)
+                book.write(
                     partial(
-                        budgets.tell,
+                        budgets.report_demand,
                         contract="c",
                         member=f"m{k}",
                         need=need,
                         seen=rounds,
                         adopted=purse.round,
-                        spill=purse.spill,
+                        spill=purse.overflow_rate,
                     )
                 )
             grants = {row[0]: float(row[1]) for row in book.read("select member, rate from budget_grant")}
@@ -208,7 +210,7 @@
     shifting = [budget(m, args.seed, 60.0 if args.short else 120.0, True, 20.0) for m in sizes]
     fixed = [budget(m, args.seed, 40.0 if args.short else 120.0, False) for m in sizes]
     for each in dealt:
-        if each["most"] > 1.0 + FALLBACK + budgets.OVER + BURST / 5 or each["used"] < 0.97:
+        if each["most"] > 1.0 + FALLBACK + budgets.MAX_OVERFLOW_SHARE + BURST / 5 or each["used"] < 0.97:
             missed.append(f"budgets: {each}")
     figures = {
         "seed": args.seed,
--- a/lapishaven/lab/field/checker.py
+++ b/lapishaven/lab/field/checker.py
@@ -6,15 +6,15 @@
 from typing import Any
 
 from lapishaven.ownership.model import Shard
-from lapishaven.ownership.verify import Row, doubled, interleaved
+from lapishaven.ownership.verify import EffectRow, find_duplicate, find_interleaved
 
 
-def lost(rows: Iterable[Row], lines: Iterable[Mapping[str, Any]]) -> str | None:
+def lost(rows: Iterable[EffectRow], lines: Iterable[Mapping[str, Any]]) -> str | None:
     """An act that was acknowledged and is not there."""
     there = set(rows)
     for line in lines:
         if line["what"] == "acked":
-            row = Row((line["duty"], line["shard"]), line["token"], line["number"])
+            row = EffectRow((line["duty"], line["shard"]), line["token"], line["number"])
             if row not in there:
                 return f"{row.shard}: act {row.number} of token {row.token}, acknowledged to {line['who']}, is gone"
     return None
@@ -31,9 +31,9 @@
     return None
 
 
-def broken(rows: Sequence[Row], lines: Sequence[Mapping[str, Any]]) -> str | None:
+def broken(rows: Sequence[EffectRow], lines: Sequence[Mapping[str, Any]]) -> str | None:
     """The first broken property, in plain words; None if all hold."""
-    return interleaved(rows) or doubled(rows) or lost(rows, lines) or shared(lines)
+    return find_interleaved(rows) or find_duplicate(rows) or lost(rows, lines) or shared(lines)
 
 
 def returns(rows: Iterable[tuple[Shard, str]]) -> int:
--- a/lapishaven/lab/field/long.py
+++ b/lapishaven/lab/field/long.py
@@ -20,9 +20,9 @@
 from lapishaven.lab.field.field import Field, Line
 from lapishaven.lab.field.member_process import FAST, Team, evenly
 from lapishaven.lab.field.relay import Mode, Relays
-from lapishaven.ownership.verify import interleaved
+from lapishaven.ownership.verify import find_interleaved
 
-WIDE = {**FAST, "ttl": 3.0, "margin": 0.3, "poll": 0.3, "spread": 0.5}
+WIDE = {**FAST, "ttl": 3.0, "margin": 0.3, "poll_interval": 0.3, "rejoin_spread": 0.5}
 WAIT = 90.0  # s
 
 
@@ -50,7 +50,7 @@
                 "span": self.span,
                 "fenced": self.fenced,
                 "effects": len(rows),
-                "older_accepted": int(interleaved(rows) is not None),
+                "older_accepted": int(find_interleaved(rows) is not None),
                 "broken": self._team.broken(),
                 "stale_refused": sum(line["what"] == "stale" for line in lines),
                 "real_s": round(time.monotonic() - began, 1),
--- a/lapishaven/lab/field/member_process.py
+++ b/lapishaven/lab/field/member_process.py
@@ -10,9 +10,16 @@
 
 from lapishaven.lab.field.checker import broken
 from lapishaven.lab.field.field import Field, Line
-from lapishaven.ownership.verify import Row
+from lapishaven.ownership.verify import EffectRow
 
-FAST = {"ttl": 0.9, "margin": 0.1, "settle": 0.1, "poll": 0.1, "spread": 0.1, "hand_wait": 0.3}
+FAST = {
+    "ttl": 0.9,
+    "margin": 0.1,
+    "settling_time": 0.1,
+    "poll_interval": 0.1,
+    "rejoin_spread": 0.1,
+    "transfer_delay": 0.3,
+}
 ETCD = {**FAST, "ttl": 1.0}
 
 
@@ -49,11 +56,11 @@
         self.field.start(name, **{"seed": seed, **place, **base, **spec})
         return f"{name}:{self.field.procs[name].pid}"
 
-    def effects(self) -> list[Row]:
+    def effects(self) -> list[EffectRow]:
         """What took effect, in its order."""
         with closing(sqlite3.connect(self.book)) as base:
             found = base.execute("select duty, shard, token, number from fence_log order by position").fetchall()
-        return [Row((duty, shard), token, number) for duty, shard, token, number in found]
+        return [EffectRow((duty, shard), token, number) for duty, shard, token, number in found]
 
     def broken(self) -> str | None:
         """The first broken property; none if all hold."""
--- a/lapishaven/lab/field/process.py
+++ b/lapishaven/lab/field/process.py
@@ -22,10 +22,11 @@
 from lapishaven.ownership.agent import Agent, Duty, Receiver
 from lapishaven.ownership.coordinators.sqlite import SqliteCoordinator
 from lapishaven.ownership.duties import periods
-from lapishaven.ownership.fenced_store import FencedStore, FencedStoreError, Plan
-from lapishaven.ownership.member import Member, Rules
+from lapishaven.ownership.fenced_store import DutySchema, FencedStore, FencedStoreError
+from lapishaven.ownership.member import Member
 from lapishaven.ownership.model import Coordinator, MemberRecord
-from lapishaven.ownership.receiver import Remote
+from lapishaven.ownership.receiver import RemoteReceiver
+from lapishaven.ownership.rules import MembershipRules
 
 SHARDS, LENGTH = 2, 0.3  # of the periods that the field closes: shards, and s
 
@@ -35,7 +36,9 @@
     return base.execute("select count(*) from tick where shard = ?", (detail["shard"],)).fetchone()[0]
 
 
-TICK = Plan("create table if not exists tick (shard integer not null, who text not null)", ("tick",), {"tick": _tick})
+TICK = DutySchema(
+    "create table if not exists tick (shard integer not null, who text not null)", ("tick",), {"tick": _tick}
+)
 
 
 class Ticking:
@@ -60,34 +63,34 @@
     ) -> None:
         super().__init__(daemon=True)
         self._book, self._told = book, told
-        self._collector = periods.Collector(name, start, SHARDS, LENGTH)
+        self._collector = periods.ConsumptionCollector(name, start, SHARDS, LENGTH)
 
     def run(self) -> None:
         while True:
             for team in ("red", "green", "blue"):
-                self._collector.served(time.time(), team, "c", 1.0)
-            rows = self._collector.rows()
+                self._collector.record(time.time(), team, "c", 1.0)
+            rows = self._collector.pending_rows()
             try:
-                self._book.note(lambda base, rows=rows: periods.add(base, rows))  # type: ignore[misc]
+                self._book.write(lambda base, rows=rows: periods.insert_rows(base, rows))  # type: ignore[misc]
             except FencedStoreError:
                 continue
-            self._collector.kept(rows)
+            self._collector.confirm(rows)
             self._told("served", {"count": sum(row[7] for row in rows), "numbers": [row[2] for row in rows]})
             time.sleep(0.03)
 
 
-def closing(path: str, points: Callable[[str], None]) -> tuple[FencedStore, periods.Periods]:
+def closing(path: str, points: Callable[[str], None]) -> tuple[FencedStore, periods.PeriodClosing]:
     """The duty of closing periods, with points within the receiver's transaction."""
 
     def close(base: sqlite3.Connection, detail: Any) -> Any:
         points("in-act")
-        found = periods.close(base, detail)
+        found = periods.close_period(base, detail)
         points("end-act")
         return found
 
-    plan = Plan(periods.SCHEMA, periods.PLAN.guarded, {"close": close})
+    plan = DutySchema(periods.SCHEMA, periods.DUTY_SCHEMA.guarded_tables, {"close": close})
     book = FencedStore(path, {"periods": plan})
-    return book, periods.Periods(
+    return book, periods.PeriodClosing(
         SHARDS,
         LENGTH,
         0.1,
@@ -134,7 +137,7 @@
     points = Points(told)
     for each in spec.get("arm", []):
         points.arm(*each)
-    rules = Rules(**spec.get("rules", {}))
+    rules = MembershipRules(**spec.get("rules", {}))
 
     def coordinator() -> Coordinator:
         if "etcd" in spec:
@@ -147,11 +150,11 @@
     book: Receiver
     if spec.get("duty") == "periods":
         book, duty = closing(spec["book"], points)
-        Serving(FencedStore(spec["book"], {"periods": periods.PLAN}), name, start, told).start()
+        Serving(FencedStore(spec["book"], {"periods": periods.DUTY_SCHEMA}), name, start, told).start()
     else:
         duty = Ticking(start, spec["shards"], spec.get("every", 0.05))
         if "receiver" in spec:
-            book = Remote("127.0.0.1", spec["receiver"], spec.get("act_timeout", 1.0))
+            book = RemoteReceiver("127.0.0.1", spec["receiver"], spec.get("act_timeout", 1.0))
         else:
             book = FencedStore(spec["book"], {"tick": TICK})
     member = Member(
@@ -167,18 +170,18 @@
             if "step" in words:
                 clock.offset += words["step"]
             if words.get("leave"):
-                agent.leave()
+                agent.drain()
             if "shed" in words:
                 with agent.driver.lock:
                     member.shed(clock.now(), tuple(words["shed"]), 5.0)
-                agent.driver.poke()
+                agent.driver.wake()
         agent.stop()  # the field is gone
 
     threading.Thread(target=listen, daemon=True).start()
     told("start", {"pid": os.getpid()})
     agent.start()
     agent.join()
-    told("end", {"calls": agent.driver.calls})
+    told("end", {"calls": agent.driver.call_count})
 
 
 if __name__ == "__main__":
--- a/lapishaven/lab/field/receiver_process.py
+++ b/lapishaven/lab/field/receiver_process.py
@@ -15,7 +15,7 @@
 
 from lapishaven.lab.field.process import TICK
 from lapishaven.ownership.fenced_store import FencedStore
-from lapishaven.ownership.receiver import serve
+from lapishaven.ownership.receiver import serve_receiver
 
 
 class FaultyBook(FencedStore):
@@ -33,7 +33,7 @@
 def main() -> None:
     spec = json.loads(sys.argv[1])
     book = FaultyBook(spec["book"], {"tick": TICK}, fenced=spec.get("fenced", True))
-    _, port = serve("127.0.0.1", spec.get("port", 0), book)
+    _, port = serve_receiver("127.0.0.1", spec.get("port", 0), book)
 
     def say(what: str, **facts: Any) -> None:
         line = {"at": time.clock_gettime(time.CLOCK_BOOTTIME), "who": spec["name"], "what": what, **facts}
--- a/lapishaven/lab/field/trial.py
+++ b/lapishaven/lab/field/trial.py
@@ -17,10 +17,18 @@
 from lapishaven.lab.field.checker import broken, followed, handed_over, lost, returns
 from lapishaven.lab.field.field import Field
 from lapishaven.lab.field.plan import Fault, draw
-from lapishaven.ownership.verify import Row, doubled, interleaved
+from lapishaven.ownership.verify import EffectRow, find_duplicate, find_interleaved
 
 TTL = 1.0
-RULES = {"ttl": TTL, "margin": 0.1, "settle": 0.1, "poll": 0.1, "spread": 0.3, "hand_wait": 0.3, "flap_limit": 1.0}
+RULES = {
+    "ttl": TTL,
+    "margin": 0.1,
+    "settling_time": 0.1,
+    "poll_interval": 0.1,
+    "rejoin_spread": 0.3,
+    "transfer_delay": 0.3,
+    "max_settling_time": 1.0,
+}
 
 
 @dataclass
@@ -171,7 +179,7 @@
         with closing(sqlite3.connect(self._field.folder / "book.db")) as base:
             query = "select duty, shard, token, number, detail from fence_log order by position"
             found = base.execute(query).fetchall()
-        rows = [Row((duty, shard), token, number) for duty, shard, token, number, _ in found]
+        rows = [EffectRow((duty, shard), token, number) for duty, shard, token, number, _ in found]
         acts = [((duty, shard), f"{json.loads(detail)['who']}/{token}") for duty, shard, token, _, detail in found]
         kills, leaves = followed(lines, "quiet kill"), handed_over(lines)
         return {
@@ -182,8 +190,8 @@
             "effects": len(rows),
             "interleaved": returns(acts),
             "broken": broken(rows, lines),
-            "older_accepted": int(interleaved(rows) is not None),
-            "doubled": int(doubled(rows) is not None),
+            "older_accepted": int(find_interleaved(rows) is not None),
+            "doubled": int(find_duplicate(rows) is not None),
             "acts_lost": int(lost(rows, lines) is not None),
             "stale_refused": sum(line["what"] == "stale" for line in lines),
             "after_kill_s": sorted(round(span, 3) for span in kills),
--- a/lapishaven/lab/modelcheck.py
+++ b/lapishaven/lab/modelcheck.py
@@ -19,7 +19,7 @@
 
 import z3
 
-from lapishaven.ownership.lease import TABLE, USABLE, Event, State
+from lapishaven.ownership.lease import TRANSITIONS, USABLE_STATES, LeaseEvent, LeaseState
 
 BITS = 5
 RULES = 8  # bits that number a model's rules
@@ -201,14 +201,14 @@
 # ---- The lease: one holder, its clock and its messages; the coordinator lets another in once it may
 TTL, MARGIN = 4, 1  # ticks; a clock that drifts lags by at most a tick in the time of a lease
 LEASE_NAMES = ("state", "time", "clock", "steady", "sent", "until", "ends", "asks", "mine", "wire", "reply")
-_NUMBER = {state: k for k, state in enumerate(State)}
+_NUMBER = {state: k for k, state in enumerate(LeaseState)}
 ASKED, RENEWAL = 1, 2
 YES, NO = 1, 2
 
 
-def _moves(v: Vars, event: Event) -> tuple[Var, Var]:
+def _moves(v: Vars, event: LeaseEvent) -> tuple[Var, Var]:
     """Whether the table has a move for the event in this state, and the state that follows."""
-    there = [(_NUMBER[old], _NUMBER[new]) for (old, what), new in TABLE.items() if what is event]
+    there = [(_NUMBER[old], _NUMBER[new]) for (old, what), new in TRANSITIONS.items() if what is event]
     value = v["state"]
     for old, new in there:
         value = z3.If(v["state"] == n(old), n(new), value)
@@ -228,7 +228,7 @@
     def after(ticks: int) -> Var:
         return z3.If(z3.UGT(v["steady"], ticks), v["steady"] - ticks, n(0))
 
-    def step(event: Event, **then: Var) -> Rule:
+    def step(event: LeaseEvent, **then: Var) -> Rule:
         may, new = _moves(v, event)
         return Rule(event.value, may, {"state": new, **then})
 
@@ -261,26 +261,30 @@
         Rule("gone there", z3.And(v["wire"] == RENEWAL, v["mine"] != v["asks"]), {"wire": n(0), "reply": n(NO)}),
         Rule("another is let in", z3.And(v["mine"] != 0, z3.UGE(v["time"], v["ends"])), {"mine": n(0)}),
     ]
-    for event, wire in ((Event.ASK, ASKED), (Event.RENEW, RENEWAL)):
+    for event, wire in ((LeaseEvent.REQUEST, ASKED), (LeaseEvent.RENEW, RENEWAL)):
         rule = step(event, sent=v["clock"], wire=n(wire))
-        if event is Event.ASK:
+        if event is LeaseEvent.REQUEST:
             rule.then["asks"] = v["asks"] + 1  # each is another start of the member
         rules.append(Rule(rule.name, z3.And(rule.when, idle, z3.ULT(v["clock"], 14)), rule.then))
-    for event, reply in ((Event.GRANTED, YES), (Event.RENEWED, YES), (Event.NOT_OURS, NO)):
+    for event, reply in ((LeaseEvent.GRANTED, YES), (LeaseEvent.RENEWED, YES), (LeaseEvent.REVOKED, NO)):
         then: Vars = {"reply": n(0)}
         then["until"] = reckoned(v["clock"]) if reply == YES else n(0)
         rule = step(event, **then)
         rules.append(Rule(rule.name, z3.And(rule.when, v["reply"] == n(reply)), rule.then))
-    silent = step(Event.SILENT, wire=n(0), reply=n(0))  # asked or answered, and lost on the way
+    silent = step(LeaseEvent.NO_ANSWER, wire=n(0), reply=n(0))  # asked or answered, and lost on the way
     rules.append(Rule("silent", z3.And(silent.when, z3.Or(v["wire"] != 0, v["reply"] != 0)), silent.then))
-    back = step(Event.OURS, until=z3.If(v["until"] == 0, reckoned(v["clock"]), v["until"]))
+    back = step(LeaseEvent.CONFIRMED, until=z3.If(v["until"] == 0, reckoned(v["clock"]), v["until"]))
     ours = v["mine"] != 0 if "start in the read-back" in out else v["mine"] == v["asks"]
     rules.append(
-        Rule("ours", z3.And(back.when, idle, ours, v["mine"] != 0, v["state"] == n(_NUMBER[State.DOUBTFUL])), back.then)
+        Rule(
+            "ours",
+            z3.And(back.when, idle, ours, v["mine"] != 0, v["state"] == n(_NUMBER[LeaseState.UNCERTAIN])),
+            back.then,
+        )
     )
     if "own expiry" not in out:
         # Before it does anything the holder looks at its clock; what is out is void with it.
-        expired = step(Event.EXPIRED, until=n(0), wire=n(0), reply=n(0))
+        expired = step(LeaseEvent.EXPIRED, until=n(0), wire=n(0), reply=n(0))
         rules.append(
             Rule("expired", z3.And(expired.when, v["until"] != 0, z3.UGE(v["clock"], v["until"])), expired.then)
         )
@@ -288,7 +292,7 @@
 
 
 def _lease_bad(v: Vars, out: frozenset[str]) -> dict[str, Var]:
-    usable = z3.And(z3.Or([v["state"] == n(_NUMBER[state]) for state in USABLE]), v["until"] != 0)
+    usable = z3.And(z3.Or([v["state"] == n(_NUMBER[state]) for state in USABLE_STATES]), v["until"] != 0)
     if "own expiry" not in out:
         usable = z3.And(usable, z3.ULT(v["clock"], v["until"]))
     return {
--- a/lapishaven/lab/ownership_simulation.py
+++ b/lapishaven/lab/ownership_simulation.py
@@ -10,8 +10,11 @@
 
 from lapishaven.ownership.coordinators.sqlite import SqliteCoordinator
 from lapishaven.ownership.driver import perform
-from lapishaven.ownership.member import Member, Notice, Rules, Unknown
+from lapishaven.ownership.member import Member
 from lapishaven.ownership.model import MemberRecord, Shard
+from lapishaven.ownership.notices import Notice
+from lapishaven.ownership.operations import Unknown
+from lapishaven.ownership.rules import MembershipRules
 
 LEAST = 0.002  # s between two steps of a member
 
@@ -37,11 +40,11 @@
 class SimFleet:
     """``run(until)`` moves time on; ``start``, ``kill`` and ``leave`` act now. ``latency`` in s for each call."""
 
-    def __init__(self, shards: int, seed: int, rules: Rules | None = None, latency: float = 0.002) -> None:
+    def __init__(self, shards: int, seed: int, rules: MembershipRules | None = None, latency: float = 0.002) -> None:
         self.clock, self.random = SimClock(), Random(seed)
         self.coordinator = SqliteCoordinator(":memory:", self.clock)
         self.shards: Sequence[Shard] = [("work", n) for n in range(shards)]
-        self.rules, self._latency = rules or Rules(), latency
+        self.rules, self._latency = rules or MembershipRules(), latency
         self.members: dict[str, Simulated] = {}
         self.calls: Counter[str] = Counter()
         self.away: Callable[[str], bool] = lambda name: False  # whom the coordinator does not answer
@@ -59,8 +62,8 @@
     def kill(self, name: str) -> None:
         self.members[name].alive = False
 
-    def leave(self, name: str) -> None:
-        self.members[name].member.leave(self.clock.time)
+    def drain(self, name: str) -> None:
+        self.members[name].member.drain(self.clock.time)
         self._wake(self.clock.time, name)
 
     def _wake(self, at: float, name: str) -> None:
@@ -72,20 +75,19 @@
             at, _, name = heappop(self._queue)
             self.clock.time = max(self.clock.time, at)
             one = self.members[name]
-            if not one.alive or one.member.left:
+            if not one.alive or one.member.deregistered:
                 continue
-            op = one.member.next(self.clock.time)
-            one.notices += [(self.clock.time, notice) for notice in one.member.notices]
-            one.member.notices.clear()
+            op = one.member.next_operation(self.clock.time)
+            one.notices += [(self.clock.time, notice) for notice in one.member.take_notices()]
             if op is None:
-                self._wake(max(self.clock.time + LEAST, one.member.next_at()), name)
+                self._wake(max(self.clock.time + LEAST, one.member.next_due()), name)
                 continue
-            self.calls[type(op).__name__] += 1
+            self.calls[op.fault_point] += 1
             sent, silent = self.clock.time, self.away(name)
             outcome = Unknown() if silent else perform(self.coordinator, op, self.rules.ttl)
             self.clock.time = sent  # what happens meanwhile is in the queue
             took = 0.5 if silent else self._latency
-            one.member.done(sent + took, op, outcome)
+            one.member.record_outcome(sent + took, op, outcome)
             self._wake(sent + took, name)
         self.clock.time = max(self.clock.time, until)
 
@@ -94,7 +96,7 @@
         found: dict[Shard, list[str]] = {shard: [] for shard in self.shards}
         for name, one in self.members.items():
             if one.alive:
-                for shard in one.member.held:
+                for shard in one.member.tokens:
                     if one.member.token(self.clock.time, shard) is not None:
                         found[shard].append(name)
         return found
--- a/lapishaven/ownership/coordinators/etcd.py
+++ b/lapishaven/ownership/coordinators/etcd.py
@@ -1,9 +1,12 @@
 """The coordinator on etcd v3, over its JSON gateway, by etcd3gw.
 
-A member is a key with its own lease; so is each shard that it owns, and both go when the lease ends, by etcd's own
-clock. A shard's token is the revision that last wrote its key, so tokens grow over the whole store and a hand-over is
-one transaction on that revision. A watch is not needed: every answer bears the store's revision, and a look is asked
-for only when it has moved. Nothing is read at an old revision, so compaction does not matter.
+A member is a key with its own lease; so is each shard that it owns. All of them go when the lease ends, by etcd's own
+clock. A shard's token is the revision that last wrote its key, so tokens grow over the whole store and a transfer is
+one transaction on that revision. No watch is needed: every answer bears the store's revision, and the state is read
+only when it has moved. Nothing is read at an old revision, so compaction does not matter.
+
+Keys, behind the prefix: ``member/NAME``, ``owner/DUTY/SHARD``, ``mark/DUTY/SHARD`` (effect counts) and ``past/NAME``
+(join counts). See https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/.
 """
 
 from __future__ import annotations
@@ -11,7 +14,7 @@
 import base64
 import json
 import math
-from collections.abc import Iterator
+from collections.abc import Iterator, Mapping
 from contextlib import contextmanager
 from typing import Any
 
@@ -20,169 +23,202 @@
 from etcd3gw.exceptions import Etcd3Exception
 
 from lapishaven.ownership.model import (
-    AlreadyOwned,
+    AlreadyOwnedError,
     CoordinatorError,
-    Joined,
+    ListedMember,
     MemberRecord,
-    Owned,
-    Seen,
-    SessionGone,
+    MemberState,
+    SessionExpiredError,
+    SessionGrant,
     Shard,
-    Standing,
+    ShardOwner,
     View,
 )
 
-
-def _b64(text: str) -> str:
-    return base64.b64encode(text.encode()).decode()
-
-
-def _text(value: str) -> str:
-    return base64.b64decode(value).decode()
+DEFAULT_TIMEOUT_S = 1.0
+MIN_TTL_S = 1  # etcd takes whole seconds
 
 
 class EtcdCoordinator:
-    """``timeout`` in s for each request. Not to be shared by threads."""
+    """``timeout`` in seconds for each request. Not to be shared by threads."""
 
-    def __init__(self, host: str, port: int, prefix: str, timeout: float = 1.0) -> None:
+    def __init__(self, host: str, port: int, prefix: str, timeout: float = DEFAULT_TIMEOUT_S) -> None:
         self._client = Etcd3Client(host, port, timeout=timeout, api_path="/v3/")
-        self._client.session.trust_env = False  # the address is as it was given, whatever proxies the environment names
+        self._client.session.trust_env = False  # the address is used as given, whatever proxies the environment names
         self._prefix = prefix.rstrip("/") + "/"
 
+    def join(self, record: MemberRecord, ttl: float) -> SessionGrant:
+        """Open a session: a lease, and the member's key under it."""
+        ttl_s = max(MIN_TTL_S, math.ceil(ttl))
+        session = int(self._post("/lease/grant", {"TTL": str(ttl_s), "ID": "0"})["ID"])
+        past = self._post("/kv/range", {"key": self._key("past", record.name)}).get("kvs", [])
+        join_count = 1 + (int(_decode(past[0]["value"])) if past else 0)
+        member_key = self._key("member", record.name)
+        revision = self._transaction(
+            [_is_absent(member_key)],
+            [
+                _put(member_key, _record_text(session, record), session),
+                _put(self._key("past", record.name), str(join_count)),
+            ],
+        )
+        if revision is None:
+            self._post("/lease/revoke", {"ID": str(session)})
+            raise AlreadyOwnedError
+        return SessionGrant(session, join_count)
+
+    def renew(self, session: int) -> int:
+        """Renew the session's lease; gives the revision."""
+        answer = self._post("/lease/keepalive", {"ID": str(session)})
+        with self._translated_errors():
+            result = answer["result"]
+            if int(result.get("TTL", 0)) <= 0:
+                raise SessionExpiredError
+            return int(result["header"]["revision"])
+
+    def read_revision(self) -> int:
+        """The store's revision."""
+        with self._translated_errors():
+            answer = self._post("/kv/range", {"key": self._key("none"), "count_only": True})
+            return int(answer["header"]["revision"])
+
+    def announce(self, session: int, record: MemberRecord, stable: bool = False) -> None:
+        """Replace the member's record."""
+        key = self._key("member", record.name)
+        operations = [_put(key, _record_text(session, record), session)]
+        if stable:
+            operations.append({"request_delete_range": {"key": self._key("past", record.name)}})
+        # The lease names the session; etcd rejects a put with one that has ended.
+        if self._transaction([_has_lease(key, session)], operations) is None:
+            raise SessionExpiredError
+
+    def read_state(self) -> View:
+        """All keys behind the prefix."""
+        start = self._prefix.encode()
+        end = start[:-1] + bytes([start[-1] + 1])
+        answer = self._post(
+            "/kv/range", {"key": base64.b64encode(start).decode(), "range_end": base64.b64encode(end).decode()}
+        )
+        with self._translated_errors():
+            return self._parse_state(answer)
+
+    def _parse_state(self, answer: Mapping[str, Any]) -> View:
+        members: list[ListedMember] = []
+        owners: dict[Shard, ShardOwner] = {}
+        effect_counts: dict[Shard, int] = {}
+        for entry in answer.get("kvs", []):
+            kind, _, name = _decode(entry["key"])[len(self._prefix) :].partition("/")
+            value = _decode(entry.get("value", ""))
+            if kind == "member":
+                members.append(_parse_member(name, value))
+            elif kind == "owner":
+                owners[_parse_shard(name)] = ShardOwner(int(value), int(entry["mod_revision"]))
+            elif kind == "mark":
+                effect_counts[_parse_shard(name)] = int(value)
+        return View(int(answer["header"]["revision"]), tuple(members), owners, effect_counts)
+
+    def claim(self, session: int, shard: Shard) -> int:
+        """Take a shard that has no owner; gives its token."""
+        key = self._key("owner", *shard)
+        revision = self._transaction([_is_absent(key)], [_put(key, str(session), session)])
+        if revision is None:
+            raise AlreadyOwnedError
+        return revision
+
+    def transfer(self, session: int, shard: Shard, token: int, successor: int | None) -> bool:
+        """Give a shard to another session, or to nobody, also where the successor's session has ended."""
+        key = self._key("owner", *shard)
+        if successor is not None:
+            try:
+                put = _put(key, str(successor), successor)
+                return self._transaction([_is_at_revision(key, token)], [put]) is not None
+            except SessionExpiredError:
+                pass
+        delete = {"request_delete_range": {"key": key}}
+        return self._transaction([_is_at_revision(key, token)], [delete]) is not None
+
+    def record_effect_count(self, session: int, shard: Shard, token: int, effect_count: int) -> bool:
+        """Keep how many effects the shard's receiver holds."""
+        in_force = _is_at_revision(self._key("owner", *shard), token)
+        put = _put(self._key("mark", *shard), str(effect_count))
+        return self._transaction([in_force], [put]) is not None
+
+    def deregister(self, session: int) -> None:
+        """Revoke the session's lease."""
+        self._post("/lease/revoke", {"ID": str(session)})
+
+    def close(self) -> None:
+        """Close the connections."""
+        self._client.session.close()
+
     # ---- The gateway
     @contextmanager
-    def _asking(self) -> Iterator[None]:
+    def _translated_errors(self) -> Iterator[None]:
         try:
             yield
         except Etcd3Exception as error:
             # "requested lease not found" is an answer, of which the gateway makes an error.
             if "lease not found" in (error.detail_text or ""):
-                raise SessionGone from None
+                raise SessionExpiredError from None
             raise CoordinatorError(f"{type(error).__name__}: {error.detail_text}") from None
         except (requests.RequestException, ValueError, KeyError, TypeError) as error:
             raise CoordinatorError(f"{type(error).__name__}: {error}") from None
 
     def _post(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
-        with self._asking():
-            found = self._client.post(self._client.get_url(path), json=body)
-            if not isinstance(found, dict):
+        with self._translated_errors():
+            answer = self._client.post(self._client.get_url(path), json=body)
+            if not isinstance(answer, dict):
                 raise ValueError("the answer is no object")
-            return found
+            return answer
 
     def _key(self, *parts: object) -> str:
-        return _b64(self._prefix + "/".join(str(part) for part in parts))
+        return _encode(self._prefix + "/".join(str(part) for part in parts))
 
-    def _txn(self, compare: list[dict[str, Any]], then: list[dict[str, Any]]) -> int | None:
+    def _transaction(self, comparisons: list[dict[str, Any]], operations: list[dict[str, Any]]) -> int | None:
         """The revision if the transaction was done, None if a comparison failed."""
-        with self._asking():
-            found = self._client.transaction({"compare": compare, "success": then, "failure": []})
-            return int(found["header"]["revision"]) if found.get("succeeded") else None
-
-    @staticmethod
-    def _absent(key: str) -> dict[str, Any]:
-        return {"key": key, "target": "CREATE", "result": "EQUAL", "create_revision": "0"}
-
-    @staticmethod
-    def _at(key: str, revision: int) -> dict[str, Any]:
-        return {"key": key, "target": "MOD", "result": "EQUAL", "mod_revision": str(revision)}
-
-    @staticmethod
-    def _put(key: str, value: str, lease: int = 0) -> dict[str, Any]:
-        put = {"key": key, "value": _b64(value)}
-        return {"request_put": {**put, "lease": str(lease)} if lease else put}
-
-    # ---- The port
-    def _card(self, session: int, card: MemberRecord) -> str:
-        return json.dumps(
-            {"session": session, "start": card.start, "standing": card.standing.value, "weight": card.weight}
-        )
+        with self._translated_errors():
+            answer = self._client.transaction({"compare": comparisons, "success": operations, "failure": []})
+            return int(answer["header"]["revision"]) if answer.get("succeeded") else None
 
-    def join(self, card: MemberRecord, ttl: float) -> Joined:
-        session = int(self._post("/lease/grant", {"TTL": str(max(1, math.ceil(ttl))), "ID": "0"})["ID"])
-        past = self._post("/kv/range", {"key": self._key("past", card.name)}).get("kvs", [])
-        joins = 1 + (int(_text(past[0]["value"])) if past else 0)
-        key = self._key("member", card.name)
-        done = self._txn(
-            [self._absent(key)],
-            [self._put(key, self._card(session, card), session), self._put(self._key("past", card.name), str(joins))],
-        )
-        if done is None:
-            self._post("/lease/revoke", {"ID": str(session)})
-            raise AlreadyOwned
-        return Joined(session, joins)
 
-    def renew(self, session: int) -> int:
-        found = self._post("/lease/keepalive", {"ID": str(session)})
-        with self._asking():
-            result = found["result"]
-            if int(result.get("TTL", 0)) <= 0:
-                raise SessionGone
-            return int(result["header"]["revision"])
+# ---- The gateway's JSON
+def _encode(text: str) -> str:
+    return base64.b64encode(text.encode()).decode()
 
-    def peek(self) -> int:
-        with self._asking():
-            return int(self._post("/kv/range", {"key": self._key("none"), "count_only": True})["header"]["revision"])
 
-    def announce(self, session: int, card: MemberRecord, calm: bool = False) -> None:
-        key = self._key("member", card.name)
-        then = [self._put(key, self._card(session, card), session)]
-        if calm:
-            then.append({"request_delete_range": {"key": self._key("past", card.name)}})
-        # The lease names the session: a put with one that is over is turned down.
-        if self._txn([{"key": key, "target": "LEASE", "result": "EQUAL", "lease": str(session)}], then) is None:
-            raise SessionGone
+def _decode(value: str) -> str:
+    return base64.b64decode(value).decode()
 
-    def look(self) -> View:
-        start = self._prefix.encode()
-        end = start[:-1] + bytes([start[-1] + 1])
-        found = self._post(
-            "/kv/range", {"key": base64.b64encode(start).decode(), "range_end": base64.b64encode(end).decode()}
-        )
-        members: list[Seen] = []
-        owners: dict[Shard, Owned] = {}
-        marks: dict[Shard, int] = {}
-        with self._asking():
-            for kv in found.get("kvs", []):
-                kind, _, rest = _text(kv["key"])[len(self._prefix) :].partition("/")
-                value = _text(kv.get("value", ""))
-                if kind == "member":
-                    card = json.loads(value)
-                    members.append(
-                        Seen(
-                            int(card["session"]),
-                            MemberRecord(rest, card["start"], Standing(card["standing"]), card["weight"]),
-                        )
-                    )
-                elif kind in ("owner", "mark"):
-                    duty, _, number = rest.rpartition("/")
-                    if kind == "owner":
-                        owners[duty, int(number)] = Owned(int(value), int(kv["mod_revision"]))
-                    else:
-                        marks[duty, int(number)] = int(value)
-            return View(int(found["header"]["revision"]), tuple(members), owners, marks)
 
-    def claim(self, session: int, shard: Shard) -> int:
-        key = self._key("owner", *shard)
-        done = self._txn([self._absent(key)], [self._put(key, str(session), session)])
-        if done is None:
-            raise AlreadyOwned
-        return done
+def _is_absent(key: str) -> dict[str, Any]:
+    return {"key": key, "target": "CREATE", "result": "EQUAL", "create_revision": "0"}
 
-    def hand(self, session: int, shard: Shard, token: int, to: int | None) -> bool:
-        key = self._key("owner", *shard)
-        if to is not None:
-            try:
-                return self._txn([self._at(key, token)], [self._put(key, str(to), to)]) is not None
-            except SessionGone:
-                pass  # the heir's session is over: nobody's then
-        return self._txn([self._at(key, token)], [{"request_delete_range": {"key": key}}]) is not None
 
-    def mark(self, session: int, shard: Shard, token: int, held: int) -> bool:
-        key = self._key("owner", *shard)
-        return self._txn([self._at(key, token)], [self._put(self._key("mark", *shard), str(held))]) is not None
+def _is_at_revision(key: str, revision: int) -> dict[str, Any]:
+    return {"key": key, "target": "MOD", "result": "EQUAL", "mod_revision": str(revision)}
 
-    def leave(self, session: int) -> None:
-        self._post("/lease/revoke", {"ID": str(session)})
 
-    def close(self) -> None:
-        self._client.session.close()
+def _has_lease(key: str, lease: int) -> dict[str, Any]:
+    return {"key": key, "target": "LEASE", "result": "EQUAL", "lease": str(lease)}
+
+
+def _put(key: str, value: str, lease: int = 0) -> dict[str, Any]:
+    put = {"key": key, "value": _encode(value)}
+    return {"request_put": {**put, "lease": str(lease)} if lease else put}
+
+
+# ---- Stored values
+def _record_text(session: int, record: MemberRecord) -> str:
+    return json.dumps(
+        {"session": session, "start": record.incarnation, "standing": record.state.value, "weight": record.weight}
+    )
+
+
+def _parse_member(name: str, value: str) -> ListedMember:
+    fields = json.loads(value)
+    record = MemberRecord(name, fields["start"], MemberState(fields["standing"]), fields["weight"])
+    return ListedMember(int(fields["session"]), record)
+
+
+def _parse_shard(name: str) -> Shard:
+    duty, _, number = name.rpartition("/")
+    return duty, int(number)
--- a/lapishaven/ownership/coordinators/sqlite.py
+++ b/lapishaven/ownership/coordinators/sqlite.py
@@ -1,8 +1,9 @@
-"""The coordinator in a SQLite file, for the processes of one box.
+"""The coordinator in a SQLite file, for the processes of one machine.
 
-No clock is compared between processes: a session has a count that grows with each renewal, and it is over when some
-member has seen the count stand still for the session's time, on its own clock. It says so in a transaction that holds
-only if the count still is what it saw: a renewal that comes first wins, one that comes later finds its session gone.
+No clock is compared between processes. A session has a count that grows with each renewal. It has expired when some
+member has seen the count stand still for the session's time to live, on its own clock. That member ends it in a
+transaction that holds only if the count still is what it saw: a renewal that comes first wins, one that comes later
+finds its session gone.
 """
 
 from __future__ import annotations
@@ -10,19 +11,20 @@
 import sqlite3
 from collections.abc import Iterator
 from contextlib import contextmanager
+from typing import NamedTuple
 
 from lapishaven import sqlite
 from lapishaven.ownership.model import (
-    AlreadyOwned,
+    AlreadyOwnedError,
     Clock,
     CoordinatorError,
-    Joined,
+    ListedMember,
     MemberRecord,
-    Owned,
-    Seen,
-    SessionGone,
+    MemberState,
+    SessionExpiredError,
+    SessionGrant,
     Shard,
-    Standing,
+    ShardOwner,
     SystemClock,
     View,
 )
@@ -44,162 +46,207 @@
     duty text not null, shard integer not null, held integer not null, primary key (duty, shard)
 ) without rowid
 """
+BUSY_TIMEOUT_S = 1.0  # a call waits this long for other processes
+
+
+class _RenewalCount(NamedTuple):
+    renewals: int
+    since: float
 
 
 class SqliteCoordinator:
-    """``busy`` is how long, in s, a call waits for other processes before it gives up as unanswered."""
+    """``busy_timeout`` in seconds; a call that waits for longer gives up as unanswered."""
 
-    def __init__(self, path: str, clock: Clock | None = None, busy: float = 1.0) -> None:
+    def __init__(self, path: str, clock: Clock | None = None, busy_timeout: float = BUSY_TIMEOUT_S) -> None:
         self._clock = clock or SystemClock()
-        self._watched: dict[int, tuple[int, float]] = {}  # session: its count, and since when it stands there
-        self.calls = 0
+        self._renewal_counts: dict[int, _RenewalCount] = {}  # by session, as this process has seen them
         try:
-            self._base = sqlite.connect(path, busy)
+            self._base = sqlite.connect(path, busy_timeout)
             with sqlite.writing(self._base):
                 sqlite.script(self._base, SCHEMA)
         except sqlite3.Error as error:
             raise CoordinatorError(f"{path}: {error}") from None
 
-    @contextmanager
-    def _call(self, writes: bool = True) -> Iterator[sqlite3.Connection]:
-        self.calls += 1
-        try:
-            if writes:
-                with sqlite.writing(self._base):
-                    yield self._base
-            else:
-                yield self._base
-        except sqlite3.Error as error:
-            raise CoordinatorError(str(error)) from None
-
-    def _grow(self) -> int:
-        """The next revision; tokens are revisions, so they only grow."""
-        row = self._base.execute("update meta set revision = revision + 1 returning revision").fetchone()
-        return int(row[0])
-
-    def _alive(self, session: int) -> None:
-        if self._base.execute("select 1 from session where id = ?", (session,)).fetchone() is None:
-            raise SessionGone
-
-    def _end(self, session: int) -> None:
-        self._base.execute("delete from session where id = ?", (session,))
-        self._base.execute("delete from owner where session = ?", (session,))
-        self._grow()
-
-    def _bury(self) -> None:
-        """End the sessions whose count stood still for their time."""
-        now, ripe = self._clock.now(), []
-        rows = self._base.execute("select id, count, ttl from session").fetchall()
-        for session, count, ttl in rows:
-            seen = self._watched.get(session)
-            if seen is None or seen[0] != count:
-                self._watched[session] = count, now
-            elif now - seen[1] >= ttl:
-                ripe.append((session, count))
-        there = {row[0] for row in rows}
-        self._watched = {session: seen for session, seen in self._watched.items() if session in there}
-        if not ripe:
-            return
-        with sqlite.writing(self._base):
-            for session, count in ripe:
-                found = self._base.execute("select count from session where id = ?", (session,)).fetchone()
-                if found is not None and found[0] == count:
-                    self._end(session)
-
-    def join(self, card: MemberRecord, ttl: float) -> Joined:
-        with self._call(False):
-            self._bury()
-        with self._call() as base:
-            if base.execute("select 1 from session where name = ?", (card.name,)).fetchone() is not None:
-                raise AlreadyOwned
-            session = self._grow()
+    def join(self, record: MemberRecord, ttl: float) -> SessionGrant:
+        """Open a session."""
+        with self._reading():
+            self._end_expired_sessions()
+        with self._writing() as base:
+            if base.execute("select 1 from session where name = ?", (record.name,)).fetchone() is not None:
+                raise AlreadyOwnedError
+            session = self._next_revision()
             base.execute(
                 "insert into session values (?, ?, ?, ?, ?, ?, 0)",
-                (session, card.name, card.start, card.standing.value, card.weight, ttl),
+                (session, record.name, record.incarnation, record.state.value, record.weight, ttl),
             )
-            joins = base.execute(
+            (join_count,) = base.execute(
                 "insert into past values (?, 1) on conflict do update set joins = joins + 1 returning joins",
-                (card.name,),
+                (record.name,),
             ).fetchone()
-        return Joined(session, int(joins[0]))
+        return SessionGrant(session, int(join_count))
 
     def renew(self, session: int) -> int:
-        with self._call() as base:
+        """Count one more renewal; gives the revision."""
+        with self._writing() as base:
             base.execute("update session set count = count + 1 where id = ?", (session,))
-            self._alive(session)
-        return self.peek()
-
-    def peek(self) -> int:
-        with self._call(False) as base:
-            self._bury()
-            return int(base.execute("select revision from meta").fetchone()[0])
-
-    def announce(self, session: int, card: MemberRecord, calm: bool = False) -> None:
-        with self._call() as base:
-            self._alive(session)
-            if calm:
-                base.execute("delete from past where name = ?", (card.name,))
+            self._require_session(session)
+        return self.read_revision()
+
+    def read_revision(self) -> int:
+        """The file's revision; ends expired sessions first."""
+        with self._reading() as base:
+            self._end_expired_sessions()
+            return _read_revision(base)
+
+    def announce(self, session: int, record: MemberRecord, stable: bool = False) -> None:
+        """Replace the member's record."""
+        with self._writing() as base:
+            self._require_session(session)
+            if stable:
+                base.execute("delete from past where name = ?", (record.name,))
             base.execute(
-                "update session set standing = ?, weight = ? where id = ?", (card.standing.value, card.weight, session)
+                "update session set standing = ?, weight = ? where id = ?",
+                (record.state.value, record.weight, session),
             )
-            self._grow()
+            self._next_revision()
 
-    def look(self) -> View:
-        with self._call(False) as base:
-            self._bury()
-            base.execute("begin")  # one state of the file for all four
+    def read_state(self) -> View:
+        """All that the file holds; ends expired sessions first."""
+        with self._reading() as base:
+            self._end_expired_sessions()
+            base.execute("begin")  # all reads see one state of the file
             try:
-                revision = int(base.execute("select revision from meta").fetchone()[0])
-                members = tuple(
-                    Seen(row[0], MemberRecord(row[1], row[2], Standing(row[3]), row[4]))
-                    for row in base.execute("select id, name, start, standing, weight from session order by name")
-                )
-                owners = {
-                    (row[0], row[1]): Owned(row[2], row[3])
-                    for row in base.execute("select duty, shard, session, token from owner")
-                }
-                marks = {(row[0], row[1]): int(row[2]) for row in base.execute("select duty, shard, held from mark")}
+                return View(_read_revision(base), _read_members(base), _read_owners(base), _read_effect_counts(base))
             finally:
                 base.execute("commit")
-        return View(revision, members, owners, marks)
 
     def claim(self, session: int, shard: Shard) -> int:
-        with self._call() as base:
-            self._alive(session)
-            if base.execute("select 1 from owner where duty = ? and shard = ?", shard).fetchone() is not None:
-                raise AlreadyOwned
-            token = self._grow()
+        """Take a shard that has no owner; gives its token."""
+        with self._writing() as base:
+            self._require_session(session)
+            if _read_token(base, shard) is not None:
+                raise AlreadyOwnedError
+            token = self._next_revision()
             base.execute("insert into owner values (?, ?, ?, ?)", (*shard, token, session))
         return token
 
-    def hand(self, session: int, shard: Shard, token: int, to: int | None) -> bool:
-        with self._call() as base:
-            found = base.execute("select token from owner where duty = ? and shard = ?", shard).fetchone()
-            if found is None or found[0] != token:
+    def transfer(self, session: int, shard: Shard, token: int, successor: int | None) -> bool:
+        """Give a shard to another session, or to nobody, also where the successor's session has ended."""
+        with self._writing() as base:
+            if _read_token(base, shard) != token:
                 return False
-            new = self._grow()
-            heir = base.execute("select 1 from session where id = ?", (to,)).fetchone() if to is not None else None
-            if heir is None:
-                base.execute("delete from owner where duty = ? and shard = ?", shard)
+            new_token = self._next_revision()
+            if successor is not None and self._is_alive(successor):
+                base.execute(
+                    "update owner set token = ?, session = ? where duty = ? and shard = ?",
+                    (new_token, successor, *shard),
+                )
             else:
-                base.execute("update owner set token = ?, session = ? where duty = ? and shard = ?", (new, to, *shard))
+                base.execute("delete from owner where duty = ? and shard = ?", shard)
         return True
 
-    def mark(self, session: int, shard: Shard, token: int, held: int) -> bool:
-        with self._call() as base:
-            found = base.execute("select token from owner where duty = ? and shard = ?", shard).fetchone()
-            if found is None or found[0] != token:
+    def record_effect_count(self, session: int, shard: Shard, token: int, effect_count: int) -> bool:
+        """Keep how many effects the shard's receiver holds; the count never falls."""
+        with self._writing() as base:
+            if _read_token(base, shard) != token:
                 return False
             base.execute(
                 "insert into mark values (?, ?, ?) on conflict do update set held = max(held, excluded.held)",
-                (*shard, held),
+                (*shard, effect_count),
             )
         return True
 
-    def leave(self, session: int) -> None:
-        with self._call():
-            self._alive(session)
-            self._end(session)
+    def deregister(self, session: int) -> None:
+        """End the session."""
+        with self._writing():
+            self._require_session(session)
+            self._end_session(session)
 
     def close(self) -> None:
+        """Close the file."""
         self._base.close()
+
+    # ---- Calls
+    @contextmanager
+    def _reading(self) -> Iterator[sqlite3.Connection]:
+        try:
+            yield self._base
+        except sqlite3.Error as error:
+            raise CoordinatorError(str(error)) from None
+
+    @contextmanager
+    def _writing(self) -> Iterator[sqlite3.Connection]:
+        with self._reading() as base, sqlite.writing(base):
+            yield base
+
+    # ---- Sessions
+    def _next_revision(self) -> int:
+        """Count the file's revision up. Tokens are revisions, so they only grow."""
+        row = self._base.execute("update meta set revision = revision + 1 returning revision").fetchone()
+        return int(row[0])
+
+    def _is_alive(self, session: int) -> bool:
+        return self._base.execute("select 1 from session where id = ?", (session,)).fetchone() is not None
+
+    def _require_session(self, session: int) -> None:
+        if not self._is_alive(session):
+            raise SessionExpiredError
+
+    def _end_session(self, session: int) -> None:
+        self._base.execute("delete from session where id = ?", (session,))
+        self._base.execute("delete from owner where session = ?", (session,))
+        self._next_revision()
+
+    def _end_expired_sessions(self) -> None:
+        """End the sessions whose renewal count has stood still for their time to live."""
+        expired = self._find_expired_sessions()
+        if not expired:
+            return
+        with sqlite.writing(self._base):
+            for session, count in expired:
+                row = self._base.execute("select count from session where id = ?", (session,)).fetchone()
+                if row is not None and row[0] == count:
+                    self._end_session(session)
+
+    def _find_expired_sessions(self) -> list[tuple[int, int]]:
+        """Sessions that have expired by this process's clock, with the renewal count that it saw."""
+        now = self._clock.now()
+        expired: list[tuple[int, int]] = []
+        seen: dict[int, _RenewalCount] = {}
+        for session, count, ttl in self._base.execute("select id, count, ttl from session").fetchall():
+            renewal_count = self._renewal_counts.get(session)
+            if renewal_count is None or renewal_count.renewals != count:
+                renewal_count = _RenewalCount(count, now)
+            elif now - renewal_count.since >= ttl:
+                expired.append((session, count))
+            seen[session] = renewal_count
+        self._renewal_counts = seen
+        return expired
+
+
+def _read_revision(base: sqlite3.Connection) -> int:
+    return int(base.execute("select revision from meta").fetchone()[0])
+
+
+def _read_members(base: sqlite3.Connection) -> tuple[ListedMember, ...]:
+    rows = base.execute("select id, name, start, standing, weight from session order by name")
+    return tuple(
+        ListedMember(session, MemberRecord(name, incarnation, MemberState(state), weight))
+        for session, name, incarnation, state, weight in rows
+    )
+
+
+def _read_owners(base: sqlite3.Connection) -> dict[Shard, ShardOwner]:
+    rows = base.execute("select duty, shard, session, token from owner")
+    return {(duty, number): ShardOwner(session, token) for duty, number, session, token in rows}
+
+
+def _read_effect_counts(base: sqlite3.Connection) -> dict[Shard, int]:
+    rows = base.execute("select duty, shard, held from mark")
+    return {(duty, number): int(effect_count) for duty, number, effect_count in rows}
+
+
+def _read_token(base: sqlite3.Connection, shard: Shard) -> int | None:
+    """The token under which a shard is owned; None without an owner."""
+    row = base.execute("select token from owner where duty = ? and shard = ?", shard).fetchone()
+    return int(row[0]) if row is not None else None
--- a/lapishaven/ownership/driver.py
+++ b/lapishaven/ownership/driver.py
@@ -1,18 +1,20 @@
-"""The thread that asks the coordinator what a member wants asked. It blocks there, so that nothing else has to."""
+"""The thread that carries out a member's operations. Calls to the coordinator block here and nowhere else."""
 
 from __future__ import annotations
 
 import threading
 from collections.abc import Callable
+from typing import Protocol
 
-from lapishaven.ownership.member import (
+from lapishaven.ownership.member import Member
+from lapishaven.ownership.model import AlreadyOwnedError, Clock, Coordinator, SessionExpiredError, SessionGrant, View
+from lapishaven.ownership.notices import Notice
+from lapishaven.ownership.operations import (
     Announce,
     Claim,
     Completed,
     Join,
-    Member,
-    Notice,
-    Op,
+    Operation,
     Outcome,
     ReadRevision,
     ReadState,
@@ -22,94 +24,120 @@
     Transfer,
     Unknown,
 )
-from lapishaven.ownership.model import AlreadyOwned, Clock, Coordinator, SessionGone
 
-STEP = 0.5  # s at most between two looks at the own clock, so that a wake-up is noticed
+MAX_WAIT_S = 0.5  # between two looks at the clock, which may have moved on while the process was stopped
+MIN_WAIT_S = 0.001
 
 
-def perform(coordinator: Coordinator, op: Op, ttl: float) -> Outcome:
-    """Ask, and say what came back."""
+class FaultPoint(Protocol):
+    """Called at named points of the code, where tests stop or kill the process."""
+
+    def __call__(self, point: str) -> None:
+        """The thread has come to ``point``."""
+
+
+def ignore_fault_point(point: str) -> None:
+    """Do nothing: the fault point outside of tests."""
+
+
+def perform(coordinator: Coordinator, operation: Operation, ttl: float) -> Outcome:
+    """Carry out one operation. ``ttl``: of the lease of a new session, in seconds. Raises nothing."""
     try:
-        if isinstance(op, Join):
-            return Completed(coordinator.join(op.card, ttl))
-        if isinstance(op, Renew):
-            return Completed(coordinator.renew(op.session))
-        if isinstance(op, ReadState):
-            return Completed(coordinator.look())
-        if isinstance(op, Announce):
-            coordinator.announce(op.session, op.card, op.calm)
-            return Completed()
-        if isinstance(op, ReadRevision):
-            return Completed(coordinator.peek())
-        if isinstance(op, Claim):
-            return Completed(coordinator.claim(op.session, op.shard))
-        if isinstance(op, Transfer):
-            return Completed(coordinator.hand(op.session, op.shard, op.token, op.to))
-        coordinator.leave(op.session)
-        return Completed()
-    except AlreadyOwned:
+        return Completed(_call(coordinator, operation, ttl))
+    except AlreadyOwnedError:
         return Rejected()
-    except SessionGone:
+    except SessionExpiredError:
         return SessionExpired()
     except Exception:
-        # ``CoordinatorError``, or an answer that makes no sense, which is none either: the thread must go on.
+        # ``CoordinatorError``, or an answer that makes no sense and is as good as none: the thread must go on.
         return Unknown()
 
 
+def _call(coordinator: Coordinator, operation: Operation, ttl: float) -> int | bool | View | SessionGrant | None:
+    if isinstance(operation, Join):
+        return coordinator.join(operation.record, ttl)
+    if isinstance(operation, Renew):
+        return coordinator.renew(operation.session)
+    if isinstance(operation, ReadState):
+        return coordinator.read_state()
+    if isinstance(operation, Announce):
+        coordinator.announce(operation.session, operation.record, operation.stable)
+        return None
+    if isinstance(operation, ReadRevision):
+        return coordinator.read_revision()
+    if isinstance(operation, Claim):
+        return coordinator.claim(operation.session, operation.shard)
+    if isinstance(operation, Transfer):
+        return coordinator.transfer(operation.session, operation.shard, operation.token, operation.successor)
+    coordinator.deregister(operation.session)
+    return None
+
+
 class Driver(threading.Thread):
-    """``lock`` guards the member; ``told`` is called on this thread with each notice, without the lock."""
+    """Runs a member until it has deregistered. ``lock`` guards the member; ``on_notice`` is called on this thread,
+    without the lock."""
 
     def __init__(
         self,
         member: Member,
         coordinator: Coordinator,
         clock: Clock,
-        told: Callable[[Notice], None],
-        probe: Callable[[str], None] = lambda point: None,
+        on_notice: Callable[[Notice], None],
+        fault_point: FaultPoint = ignore_fault_point,
     ) -> None:
         super().__init__(name="ownership", daemon=True)
-        self.member, self.coordinator, self.clock, self._told, self._probe = member, coordinator, clock, told, probe
+        self.member = member
+        self.coordinator = coordinator
+        self.clock = clock
         self.lock = threading.Lock()
+        self.call_count = 0
+        """Calls to the coordinator so far."""
+        self._on_notice = on_notice
+        self._fault_point = fault_point
         self._wake = threading.Event()
-        self._stopped = self._leaving = False
-        self.calls = 0
+        self._stopped = False
+        self._draining = False
 
-    def poke(self) -> None:
-        """Something about the member has changed. Never waits."""
+    def wake(self) -> None:
+        """Something about the member has changed. Never blocks."""
         self._wake.set()
 
-    def leave(self) -> None:
-        """Have the member hand over and go; ``run`` ends then. Never waits: the event path may call it."""
-        self._leaving = True
+    def drain(self) -> None:
+        """Have the member transfer its shards and deregister; ``run`` ends then. Never blocks: the event path may
+        call it."""
+        self._draining = True
         self._wake.set()
 
     def stop(self) -> None:
-        """End at once, with nothing handed over."""
+        """End at once, with nothing transferred."""
         self._stopped = True
         self._wake.set()
 
     def run(self) -> None:
+        """Carry out operations as they become due."""
         while not self._stopped:
             self._wake.clear()
             with self.lock:
                 now = self.clock.now()
-                if self._leaving:
-                    self.member.leave(now)
-                op = self.member.next(now)
-                notices, self.member.notices = self.member.notices, []
-                left = self.member.left
-                next_at = self.member.next_at()
+                if self._draining:
+                    self.member.drain(now)
+                operation = self.member.next_operation(now)
+                notices = self.member.take_notices()
+                deregistered = self.member.deregistered
+                next_due = self.member.next_due()
             for notice in notices:
-                self._told(notice)
-            if op is not None:
-                point = type(op).__name__.lower()
-                self._probe(f"before-{point}")
-                self.calls += 1
-                outcome = perform(self.coordinator, op, self.member.rules.ttl)
-                self._probe(f"after-{point}")
-                with self.lock:
-                    self.member.done(self.clock.now(), op, outcome)
-            elif left:
+                self._on_notice(notice)
+            if operation is not None:
+                self._perform(operation)
+            elif deregistered:
                 return
             else:
-                self._wake.wait(max(0.001, min(STEP, next_at - self.clock.now())))
+                self._wake.wait(max(MIN_WAIT_S, min(MAX_WAIT_S, next_due - self.clock.now())))
+
+    def _perform(self, operation: Operation) -> None:
+        self._fault_point(f"before-{operation.fault_point}")
+        self.call_count += 1
+        outcome = perform(self.coordinator, operation, self.member.rules.ttl)
+        self._fault_point(f"after-{operation.fault_point}")
+        with self.lock:
+            self.member.record_outcome(self.clock.now(), operation, outcome)
--- a/lapishaven/ownership/duties/restart.py
+++ b/lapishaven/ownership/duties/restart.py
@@ -1,7 +1,8 @@
-"""Rolling restart: which members may restart now, at most ``k`` at once and no more than a share of the capacity.
+"""Rolling restart: which members may restart now, so many at once and no more than a share of the capacity.
 
-``choose`` is pure. The plan lives in the book, so an owner that dies is followed by one that goes on where it stood.
-A member obeys a permit only if its token is not older than the newest that it has obeyed (``Obedience``).
+``choose_permitted`` is pure. The rollout is kept in the store, so an owner that dies is followed by one that goes on
+where it stood. A member obeys a permit only if its token is not older than the newest that it has obeyed
+(``PermitGuard``).
 """
 
 from __future__ import annotations
@@ -10,9 +11,9 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any
+from typing import Any, NamedTuple
 
-from lapishaven.ownership.fenced_store import Plan
+from lapishaven.ownership.fenced_store import DutySchema
 
 SCHEMA = """
 create table if not exists restart_member (
@@ -26,82 +27,114 @@
     name text primary key, start text not null, ready integer not null, obeys integer not null
 ) without rowid
 """
+STEP_INTERVAL_S = 0.2
 
+ApplyEffect = Callable[[str, Any], Any]
+ReadRows = Callable[..., list[tuple[Any, ...]]]
+
+
+class RolloutStage(Enum):
+    """Where a member of a rollout stands. The values are stored."""
 
-class Stage(Enum):
     WAITING = "waiting"
     PERMITTED = "permitted"  # may restart; counted as away until it is back
     DONE = "done"
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """A member's place in a rollout. ``start``: the start of its process that has to be followed by another."""
+class RolloutMember:
+    """A member of a rollout."""
 
     name: str
     weight: float
-    stage: Stage
-    start: str
+    stage: RolloutStage
+    incarnation: str
+    """Of the process that has to be followed by another."""
+
 
+class MemberReport(NamedTuple):
+    """What a member reports of itself."""
 
-def choose(places: Sequence[Place], away: frozenset[str], at_once: int, share: float) -> list[str]:
-    """Who may restart now, by name. ``away``: members that are not ready for whatever reason; they count too.
+    incarnation: str
+    ready: bool
+    obeys: bool = False
+    """Whether it, or what started it, obeys permits."""
+
+
+class Rollout(NamedTuple):
+    """A rolling restart that was ordered."""
+
+    name: str
+    at_once: int
+    """Members that may be away at one time."""
+    share: float
+    """Of the capacity that may be away at one time."""
+
+
+def choose_permitted(
+    members: Sequence[RolloutMember], unavailable: frozenset[str], at_once: int, share: float
+) -> list[str]:
+    """Who may restart now, by name. ``unavailable``: members that are not ready for whatever reason; they count too.
 
     One may always go where nobody is away, whatever its share, or a small fleet would never get through.
     """
-    total = sum(place.weight for place in places)
-    gone = {place.name for place in places if place.stage is Stage.PERMITTED or place.name in away}
-    weight = sum(place.weight for place in places if place.name in gone)
+    total_weight = sum(member.weight for member in members)
+    away = {member.name for member in members if member.stage is RolloutStage.PERMITTED or member.name in unavailable}
+    away_weight = sum(member.weight for member in members if member.name in away)
     chosen: list[str] = []
-    for place in sorted(places, key=lambda each: each.name):
-        if place.stage is not Stage.WAITING or place.name in away:
+    for member in sorted(members, key=lambda member: member.name):
+        if member.stage is not RolloutStage.WAITING or member.name in unavailable:
             continue
-        if len(gone) >= at_once or (gone and weight + place.weight > share * total):
+        if len(away) >= at_once or (away and away_weight + member.weight > share * total_weight):
             break
-        gone.add(place.name)
-        weight += place.weight
-        chosen.append(place.name)
+        away.add(member.name)
+        away_weight += member.weight
+        chosen.append(member.name)
     return chosen
 
 
-def finished(places: Sequence[Place], reports: Mapping[str, tuple[str, bool]]) -> list[str]:
-    """Permitted members that are back: ready, as another start of their process."""
+def find_restarted(members: Sequence[RolloutMember], reports: Mapping[str, MemberReport]) -> list[str]:
+    """Permitted members that are back: ready, as another incarnation."""
     return [
-        place.name
-        for place in places
-        if place.stage is Stage.PERMITTED
-        and (found := reports.get(place.name)) is not None
-        and found[1]
-        and found[0] != place.start
+        member.name
+        for member in members
+        if member.stage is RolloutStage.PERMITTED
+        and (report := reports.get(member.name)) is not None
+        and report.ready
+        and report.incarnation != member.incarnation
     ]
 
 
 @dataclass(slots=True)
-class Obedience:
-    """The member's side: the newest token that it has obeyed."""
+class PermitGuard:
+    """The member's side: rejects permits of older owners."""
 
     token: int = 0
+    """The newest that it has obeyed."""
 
-    def obeys(self, token: int) -> bool:
+    def accept(self, token: int) -> bool:
+        """Whether to obey a permit with this fencing token."""
         if token < self.token:
             return False
         self.token = token
         return True
 
 
-def permit(base: sqlite3.Connection, detail: Any) -> Any:
-    """Let members restart; whoever is not waiting any more is left as it is."""
-    done = 0
-    for name, start in detail["members"]:
-        done += base.execute(
+# ---- Effects
+def permit_members(base: sqlite3.Connection, detail: Any) -> Any:
+    """The effect ``permit``: let members restart; who is not waiting any more is left as it is."""
+    permitted = 0
+    for name, incarnation in detail["members"]:
+        permitted += base.execute(
             "update restart_member set state = 'permitted', token = ?, start = ?"
             " where rollout = ? and name = ? and state = 'waiting'",
-            (detail["token"], start, detail["rollout"], name),
+            (detail["token"], incarnation, detail["rollout"], name),
         ).rowcount
-    return {"permitted": done}
+    return {"permitted": permitted}
 
 
-def complete(base: sqlite3.Connection, detail: Any) -> Any:
+def complete_members(base: sqlite3.Connection, detail: Any) -> Any:
+    """The effect ``complete``: permitted members are back."""
     done = 0
     for name in detail["members"]:
         done += base.execute(
@@ -111,8 +144,8 @@
     return {"done": done}
 
 
-def enlist(base: sqlite3.Connection, detail: Any) -> Any:
-    """Take a rollout's members into the plan; those that are there stay as they are."""
+def enlist_members(base: sqlite3.Connection, detail: Any) -> Any:
+    """The effect ``enlist``: take members into a rollout; those that are there stay as they are."""
     for name, weight in detail["members"]:
         base.execute(
             "insert or ignore into restart_member values (?, ?, ?, 'waiting', 0, '')", (detail["rollout"], name, weight)
@@ -120,72 +153,105 @@
     return {"members": len(detail["members"])}
 
 
-PLAN = Plan(SCHEMA, ("restart_member",), {"permit": permit, "complete": complete, "enlist": enlist})
+DUTY_SCHEMA = DutySchema(
+    SCHEMA,
+    ("restart_member",),
+    {"permit": permit_members, "complete": complete_members, "enlist": enlist_members},
+)
 
 
-def order(base: sqlite3.Connection, rollout: str, at_once: int, share: float, number: int) -> None:
-    """An operator's wish for a rollout, which the duty's owner carries out."""
+# ---- Writes of operators and members
+def order_rollout(base: sqlite3.Connection, rollout: str, at_once: int, share: float, number: int) -> None:
+    """Order a rolling restart, which the duty's owner carries out. ``number``: its place among all that were
+    ordered."""
     base.execute("insert or ignore into restart_rollout values (?, ?, ?, ?)", (rollout, at_once, share, number))
 
 
-def report(base: sqlite3.Connection, name: str, start: str, ready: bool, obeys: bool) -> None:
-    """What a member says of itself: which start of its process is there, whether it is ready, and obeys permits."""
-    base.execute("insert or replace into restart_report values (?, ?, ?, ?)", (name, start, int(ready), int(obeys)))
+def report_member(base: sqlite3.Connection, name: str, incarnation: str, ready: bool, obeys: bool) -> None:
+    """Store what a member reports of itself."""
+    base.execute(
+        "insert or replace into restart_report values (?, ?, ?, ?)", (name, incarnation, int(ready), int(obeys))
+    )
 
 
-Read = Callable[..., list[tuple[Any, ...]]]
+class RollingRestart:
+    """The duty: one shard, all rollouts in the order in which they were ordered.
 
-
-class Rolling:
-    """The duty: one shard, all rollouts in the order in which they were ordered. ``serving``: the members that the
-    coordinator lists as serving, by weight; one that it does not list is away, whatever it last said of itself."""
+    ``read`` reads rows from the store; ``token`` gives the fencing token of the duty's shard; ``serving`` gives the
+    members that the coordinator lists as serving, by weight. One that it does not list is away, whatever it last
+    reported.
+    """
 
     name = "restart"
     shards = 1
 
     def __init__(
         self,
-        read: Read,
+        read: ReadRows,
         token: Callable[[], int],
         serving: Callable[[], Mapping[str, float]],
-        every: float = 0.2,
+        step_interval: float = STEP_INTERVAL_S,
     ) -> None:
-        self._read, self._token, self._serving, self._every = read, token, serving, every
+        self._read = read
+        self._token = token
+        self._serving = serving
+        self._step_interval = step_interval
 
-    def step(self, number: int, act: Callable[[str, Any], Any], now: float) -> float:
+    def step(self, shard_number: int, apply_effect: ApplyEffect, now: float) -> float:
+        """Go on with the first rollout that is not done."""
         serving = self._serving()
-        reports = {
-            name: (start, bool(ready) and name in serving, bool(obeys))
-            for name, start, ready, obeys in self._read("select name, start, ready, obeys from restart_report")
-        }
-        orders = self._read("select rollout, at_once, share from restart_rollout order by number")
-        for rollout, at_once, share in orders:
-            places = self._places(rollout)
-            if not places:
-                if obeying := [
-                    (name, weight) for name, weight in sorted(serving.items()) if name in reports and reports[name][2]
-                ]:
-                    act("enlist", {"rollout": rollout, "members": obeying})
+        reports = self._read_reports(serving)
+        for rollout in self._read_rollouts():
+            members = self._read_members(rollout.name)
+            if not members:
+                if _enlist(rollout, serving, reports, apply_effect):
                     return 0.0
                 continue  # nobody there obeys
-            if back := finished(places, {name: report[:2] for name, report in reports.items()}):
-                act("complete", {"rollout": rollout, "members": back})
+            if restarted := find_restarted(members, reports):
+                apply_effect("complete", {"rollout": rollout.name, "members": restarted})
                 return 0.0
-            if all(place.stage is Stage.DONE for place in places):
-                continue
-            away = frozenset(place.name for place in places if not reports.get(place.name, ("", False, False))[1])
-            if chosen := choose(places, away, at_once, share):
-                act(
-                    "permit",
-                    {
-                        "rollout": rollout,
-                        "token": self._token(),
-                        "members": [(name, reports[name][0]) for name in chosen],
-                    },
-                )
-            break
-        return self._every
+            if any(member.stage is not RolloutStage.DONE for member in members):
+                self._permit(rollout, members, reports, apply_effect)
+                break
+        return self._step_interval
 
-    def _places(self, rollout: str) -> list[Place]:
+    def _permit(
+        self,
+        rollout: Rollout,
+        members: Sequence[RolloutMember],
+        reports: Mapping[str, MemberReport],
+        apply_effect: ApplyEffect,
+    ) -> None:
+        ready = {name for name, report in reports.items() if report.ready}
+        unavailable = frozenset(member.name for member in members if member.name not in ready)
+        chosen = choose_permitted(members, unavailable, rollout.at_once, rollout.share)
+        if not chosen:
+            return
+        permits = [(name, reports[name].incarnation) for name in chosen]
+        apply_effect("permit", {"rollout": rollout.name, "token": self._token(), "members": permits})
+
+    def _read_reports(self, serving: Mapping[str, float]) -> dict[str, MemberReport]:
+        rows = self._read("select name, start, ready, obeys from restart_report")
+        return {
+            name: MemberReport(incarnation, bool(ready) and name in serving, bool(obeys))
+            for name, incarnation, ready, obeys in rows
+        }
+
+    def _read_rollouts(self) -> list[Rollout]:
+        return [
+            Rollout(*row) for row in self._read("select rollout, at_once, share from restart_rollout order by number")
+        ]
+
+    def _read_members(self, rollout: str) -> list[RolloutMember]:
         rows = self._read("select name, weight, state, start from restart_member where rollout = ?", (rollout,))
-        return [Place(name, weight, Stage(state), start) for name, weight, state, start in rows]
+        return [RolloutMember(name, weight, RolloutStage(stage), start) for name, weight, stage, start in rows]
+
+
+def _enlist(
+    rollout: Rollout, serving: Mapping[str, float], reports: Mapping[str, MemberReport], apply_effect: ApplyEffect
+) -> bool:
+    """Take the members that serve and obey into a rollout; whether there are any."""
+    obeying = [(name, weight) for name, weight in sorted(serving.items()) if name in reports and reports[name].obeys]
+    if obeying:
+        apply_effect("enlist", {"rollout": rollout.name, "members": obeying})
+    return bool(obeying)
--- a/lapishaven/ownership/fenced_store.py
+++ b/lapishaven/ownership/fenced_store.py
@@ -1,21 +1,22 @@
 """A receiver of effects in one SQLite file, behind the fence.
 
-The fence's mark, the effect and its first answer are written in one transaction. Tables of effects are guarded by
-triggers: a write to them outside ``Book.admit`` is refused by the file itself.
+The high-water mark, the effect and its first answer are written in one transaction. Tables of effects are guarded by
+triggers: SQLite itself rejects a write to them outside ``FencedStore.admit``.
 """
 
 from __future__ import annotations
 
 import json
 import sqlite3
-from collections.abc import Callable, Iterator, Mapping
+from collections.abc import Callable, Iterable, Iterator, Mapping
 from dataclasses import dataclass
 from typing import Any
 
 from lapishaven import sqlite
-from lapishaven.ownership.fence import Act, Mark, Verdict, judge, judge_unfenced, moved
+from lapishaven.ownership.fence import EffectRequest, HighWaterMark, Verdict, advance, judge, judge_unfenced
+from lapishaven.ownership.model import Shard
 
-VERSION = 1
+SCHEMA_VERSION = 1
 SCHEMA = """
 create table if not exists fence_mark (
     duty text not null, shard integer not null, token integer not null, number integer not null,
@@ -28,36 +29,43 @@
 );
 create table if not exists fence_open (one integer primary key check (one = 1));
 """
-BUSY = 5.0  # s for which a call waits for another writer
+BUSY_TIMEOUT_S = 5.0  # a call waits this long for another writer
 
 
 class FencedStoreError(Exception):
-    """The receiver could not do it (disk full, I/O, busy, an act that makes no sense): nothing took effect."""
+    """The receiver could not do it (disk full, I/O, busy, an effect that makes no sense): nothing took effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """What became of an act. ``token`` is the one in force, ``held`` how many effects the shard has now."""
+    """What became of a request."""
 
     verdict: Verdict
     token: int
-    held: int
+    """The fencing token in force."""
+    effect_count: int
+    """How many effects the shard has now."""
     answer: Any = None
+    """What the effect answered, also to a repeat; JSON."""
 
 
-Effect = Callable[[sqlite3.Connection, Any], Any]  # within the transaction; gives what is answered
+Effect = Callable[[sqlite3.Connection, Any], Any]
+"""Applies one effect within the transaction, from its detail; gives its answer. Both are JSON."""
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """What a duty keeps in a book: its tables, those that only the fence may write, and its effects by name."""
+class DutySchema:
+    """What a duty keeps in a store."""
 
     schema: str
-    guarded: tuple[str, ...]
+    """SQL that creates its tables."""
+    guarded_tables: tuple[str, ...]
+    """Tables that only effects may write."""
     effects: Mapping[str, Effect]
+    """Its effects by name."""
 
 
-def _guards(table: str) -> Iterator[str]:
+def _guard_triggers(table: str) -> Iterator[str]:
     for verb in ("insert", "update", "delete"):
         yield (
             f"create trigger if not exists fence_{table}_{verb} before {verb} on {table} begin"
@@ -66,68 +74,90 @@
 
 
 class FencedStore:
-    """One file. Not to be shared by threads; processes may share the file. ``fenced=False`` is for measurements only:
-    the baseline of leases without fences."""
-
-    def __init__(self, path: str, plans: Mapping[str, Plan], busy: float = BUSY, fenced: bool = True) -> None:
+    """One file. Not to be shared by threads; processes may share the file.
+
+    ``busy_timeout`` in seconds. ``fenced=False`` is for measurements only: the baseline of leases without fencing.
+    """
+
+    def __init__(
+        self,
+        path: str,
+        duty_schemas: Mapping[str, DutySchema],
+        busy_timeout: float = BUSY_TIMEOUT_S,
+        fenced: bool = True,
+    ) -> None:
         self._judge = judge if fenced else judge_unfenced
-        self._effects = {name: effect for plan in plans.values() for name, effect in plan.effects.items()}
+        self._effects = {name: effect for duty in duty_schemas.values() for name, effect in duty.effects.items()}
         try:
-            self._base = sqlite.connect(path, busy)
+            self._base = sqlite.connect(path, busy_timeout)
             with sqlite.writing(self._base):
-                there = self._base.execute("pragma user_version").fetchone()[0]
-                if there > VERSION:
-                    raise FencedStoreError(f"{path} is of schema {there}, newer than {VERSION}")
-                sqlite.script(self._base, SCHEMA)
-                for plan in plans.values():
-                    sqlite.script(self._base, plan.schema)
-                    for table in plan.guarded:
-                        for guard in _guards(table):
-                            self._base.execute(guard)
-                self._base.execute(f"pragma user_version = {VERSION}")
+                self._create_tables(path, duty_schemas.values())
         except sqlite3.Error as error:
             raise FencedStoreError(f"{path}: {error}") from None
 
-    def admit(self, act: Act, effect: str, detail: Any) -> Admission:
-        """Judge an act and, if it is admitted, let it take effect; all or nothing. ``BookError`` if it could not."""
-        run = self._effects.get(effect)
-        if run is None:
+    def _create_tables(self, path: str, duty_schemas: Iterable[DutySchema]) -> None:
+        version = self._base.execute("pragma user_version").fetchone()[0]
+        if version > SCHEMA_VERSION:
+            raise FencedStoreError(f"{path} is of schema {version}, newer than {SCHEMA_VERSION}")
+        sqlite.script(self._base, SCHEMA)
+        for duty in duty_schemas:
+            sqlite.script(self._base, duty.schema)
+            for table in duty.guarded_tables:
+                for trigger in _guard_triggers(table):
+                    self._base.execute(trigger)
+        self._base.execute(f"pragma user_version = {SCHEMA_VERSION}")
+
+    def admit(self, request: EffectRequest, effect: str, detail: Any) -> Admission:
+        """Judge a request and, if it is admitted, apply its effect; all or nothing. Raises ``FencedStoreError`` if
+        that failed."""
+        apply = self._effects.get(effect)
+        if apply is None:
             raise FencedStoreError(f"no effect {effect!r}")
-        duty, shard = act.shard
         try:
             with sqlite.writing(self._base):
-                row = self._base.execute(
-                    "select token, number, held from fence_mark where duty = ? and shard = ?", act.shard
-                ).fetchone()
-                mark = Mark(*row) if row else Mark()
-                verdict = self._judge(mark, act)
+                mark = self._read_mark(request.shard)
+                verdict = self._judge(mark, request)
                 if verdict is Verdict.REPEAT:
-                    first = self._base.execute(
-                        "select answer from fence_log where duty = ? and shard = ? and token = ? and number = ?",
-                        (duty, shard, act.token, act.number),
-                    ).fetchone()
-                    return Admission(verdict, mark.token, mark.held, json.loads(first[0]) if first else None)
+                    return Admission(verdict, mark.token, mark.effect_count, self._first_answer(request))
                 if verdict is not Verdict.ADMIT:
-                    return Admission(verdict, mark.token, mark.held)
+                    return Admission(verdict, mark.token, mark.effect_count)
                 self._base.execute("insert into fence_open values (1)")
-                answer = run(self._base, detail)
+                answer = apply(self._base, detail)
                 self._base.execute("delete from fence_open")
-                new = moved(mark, act)
-                self._base.execute(
-                    "insert or replace into fence_mark values (?, ?, ?, ?, ?)",
-                    (duty, shard, new.token, new.number, new.held),
-                )
-                self._base.execute(
-                    "insert into fence_log (duty, shard, token, number, effect, detail, answer)"
-                    " values (?, ?, ?, ?, ?, ?, ?)",
-                    (duty, shard, act.token, act.number, effect, json.dumps(detail), json.dumps(answer)),
-                )
-                return Admission(verdict, new.token, new.held, answer)
+                new_mark = advance(mark, request)
+                self._write_mark(request.shard, new_mark)
+                self._log_effect(request, effect, detail, answer)
+                return Admission(verdict, new_mark.token, new_mark.effect_count, answer)
         except (sqlite3.Error, LookupError, TypeError, ValueError) as error:
             raise FencedStoreError(f"{effect}: {error}") from None
 
-    def note(self, work: Callable[[sqlite3.Connection], Any]) -> Any:
-        """Write to tables that are not guarded (what members say of themselves), in one transaction."""
+    def _read_mark(self, shard: Shard) -> HighWaterMark:
+        row = self._base.execute(
+            "select token, number, held from fence_mark where duty = ? and shard = ?", shard
+        ).fetchone()
+        return HighWaterMark(*row) if row else HighWaterMark()
+
+    def _write_mark(self, shard: Shard, mark: HighWaterMark) -> None:
+        self._base.execute(
+            "insert or replace into fence_mark values (?, ?, ?, ?, ?)",
+            (*shard, mark.token, mark.number, mark.effect_count),
+        )
+
+    def _first_answer(self, request: EffectRequest) -> Any:
+        row = self._base.execute(
+            "select answer from fence_log where duty = ? and shard = ? and token = ? and number = ?",
+            (*request.shard, request.token, request.number),
+        ).fetchone()
+        return json.loads(row[0]) if row else None
+
+    def _log_effect(self, request: EffectRequest, effect: str, detail: Any, answer: Any) -> None:
+        self._base.execute(
+            "insert into fence_log (duty, shard, token, number, effect, detail, answer) values (?, ?, ?, ?, ?, ?, ?)",
+            (*request.shard, request.token, request.number, effect, json.dumps(detail), json.dumps(answer)),
+        )
+
+    def write(self, work: Callable[[sqlite3.Connection], Any]) -> Any:
+        """Write to tables that are not guarded (what members report of themselves), in one transaction."""
         try:
             with sqlite.writing(self._base):
                 return work(self._base)
@@ -135,10 +165,12 @@
             raise FencedStoreError(str(error)) from None
 
     def read(self, query: str, values: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+        """All rows of a query."""
         try:
             return self._base.execute(query, values).fetchall()
         except sqlite3.Error as error:
             raise FencedStoreError(str(error)) from None
 
     def close(self) -> None:
+        """Close the file."""
         self._base.close()
--- a/lapishaven/ownership/lease.py
+++ b/lapishaven/ownership/lease.py
@@ -1,6 +1,7 @@
-"""A lease as its holder sees it: one table of states, and the rule of how long it may be used. Pure.
+"""A lease as its holder sees it: a table of states, and the rule of how long it may be used. Pure.
 
-The table is used by the code (``Lease``) and by the model checker (``lapishaven.lab.modelcheck``) alike.
+``Lease`` and the model checker (``lapishaven.lab.modelcheck``) share the table. See Gray and Cheriton, "Leases: an
+efficient fault-tolerant mechanism for distributed file cache consistency", 1989.
 """
 
 from __future__ import annotations
@@ -9,100 +10,120 @@
 from enum import Enum
 
 
-class State(Enum):
-    FREE = "free"  # nothing was asked for
-    ASKING = "asking"  # asked, not answered yet
+class LeaseState(Enum):
+    """Where a lease stands."""
+
+    FREE = "free"  # not requested
+    REQUESTING = "asking"  # requested, not answered yet
     HELD = "held"
-    RENEWING = "renewing"  # held, a renewal is out
-    DOUBTFUL = "doubtful"  # something was asked and no answer came: neither yes nor no, to be read back
-    LOST = "lost"  # its time is over, or the coordinator says that it is another's
+    RENEWING = "renewing"  # held, with a renewal in flight
+    UNCERTAIN = "doubtful"  # a request got no answer: it may have been granted or not, and has to be read back
+    LOST = "lost"  # expired, or another's by the coordinator's word
     RELEASED = "released"
 
 
-class Event(Enum):
-    ASK = "ask"
+class LeaseEvent(Enum):
+    """What may happen to a lease."""
+
+    REQUEST = "ask"
     GRANTED = "granted"
     DENIED = "denied"
-    SILENT = "silent"  # no answer came in time
+    NO_ANSWER = "silent"  # within the time of a call
     RENEW = "renew"
     RENEWED = "renewed"
-    OURS = "ours"  # read back: it is ours
-    NOT_OURS = "not ours"  # read back or answered: it is not
+    CONFIRMED = "ours"  # read back: the lease is this holder's
+    REVOKED = "not ours"  # read back or answered: it is not
     EXPIRED = "expired"  # by the holder's own clock
     RELEASE = "release"
 
 
-S, E = State, Event
-TABLE: dict[tuple[State, Event], State] = {
-    (S.FREE, E.ASK): S.ASKING,
-    (S.LOST, E.ASK): S.ASKING,
-    (S.RELEASED, E.ASK): S.ASKING,
-    (S.ASKING, E.GRANTED): S.HELD,
-    (S.ASKING, E.DENIED): S.FREE,
-    (S.ASKING, E.SILENT): S.DOUBTFUL,
-    (S.ASKING, E.EXPIRED): S.LOST,
-    (S.HELD, E.RENEW): S.RENEWING,
-    (S.HELD, E.OURS): S.HELD,
-    (S.RENEWING, E.RENEWED): S.HELD,
-    (S.RENEWING, E.SILENT): S.DOUBTFUL,
-    (S.DOUBTFUL, E.OURS): S.HELD,
-    (S.DOUBTFUL, E.SILENT): S.DOUBTFUL,
-    **{(s, E.NOT_OURS): S.LOST for s in (S.HELD, S.RENEWING, S.DOUBTFUL)},
-    **{(s, E.EXPIRED): S.LOST for s in (S.HELD, S.RENEWING, S.DOUBTFUL)},
-    **{(s, E.RELEASE): S.RELEASED for s in (S.HELD, S.RENEWING, S.DOUBTFUL)},
+USABLE_STATES = frozenset({LeaseState.HELD, LeaseState.RENEWING, LeaseState.UNCERTAIN})
+"""The states in which a lease may be used until it expires."""
+ENDED_STATES = frozenset({LeaseState.FREE, LeaseState.LOST, LeaseState.RELEASED})
+
+TRANSITIONS: dict[tuple[LeaseState, LeaseEvent], LeaseState] = {
+    (LeaseState.FREE, LeaseEvent.REQUEST): LeaseState.REQUESTING,
+    (LeaseState.LOST, LeaseEvent.REQUEST): LeaseState.REQUESTING,
+    (LeaseState.RELEASED, LeaseEvent.REQUEST): LeaseState.REQUESTING,
+    (LeaseState.REQUESTING, LeaseEvent.GRANTED): LeaseState.HELD,
+    (LeaseState.REQUESTING, LeaseEvent.DENIED): LeaseState.FREE,
+    (LeaseState.REQUESTING, LeaseEvent.NO_ANSWER): LeaseState.UNCERTAIN,
+    (LeaseState.REQUESTING, LeaseEvent.EXPIRED): LeaseState.LOST,
+    (LeaseState.HELD, LeaseEvent.RENEW): LeaseState.RENEWING,
+    (LeaseState.HELD, LeaseEvent.CONFIRMED): LeaseState.HELD,
+    (LeaseState.RENEWING, LeaseEvent.RENEWED): LeaseState.HELD,
+    (LeaseState.RENEWING, LeaseEvent.NO_ANSWER): LeaseState.UNCERTAIN,
+    (LeaseState.UNCERTAIN, LeaseEvent.CONFIRMED): LeaseState.HELD,
+    (LeaseState.UNCERTAIN, LeaseEvent.NO_ANSWER): LeaseState.UNCERTAIN,
+    (LeaseState.HELD, LeaseEvent.REVOKED): LeaseState.LOST,
+    (LeaseState.RENEWING, LeaseEvent.REVOKED): LeaseState.LOST,
+    (LeaseState.UNCERTAIN, LeaseEvent.REVOKED): LeaseState.LOST,
+    (LeaseState.HELD, LeaseEvent.EXPIRED): LeaseState.LOST,
+    (LeaseState.RENEWING, LeaseEvent.EXPIRED): LeaseState.LOST,
+    (LeaseState.UNCERTAIN, LeaseEvent.EXPIRED): LeaseState.LOST,
+    (LeaseState.HELD, LeaseEvent.RELEASE): LeaseState.RELEASED,
+    (LeaseState.RENEWING, LeaseEvent.RELEASE): LeaseState.RELEASED,
+    (LeaseState.UNCERTAIN, LeaseEvent.RELEASE): LeaseState.RELEASED,
 }
-USABLE = frozenset({S.HELD, S.RENEWING, S.DOUBTFUL})  # while its time lasts
+"""The next state by state and event; what is not listed is a fault of the program."""
 NEVER = float("-inf")
 
 
 class LeaseError(RuntimeError):
-    """An event that the table does not have in this state: a fault of the program."""
+    """An event that is impossible in the lease's state: a fault of the program."""
 
 
 @dataclass(slots=True)
 class Lease:
-    """One lease. ``ttl`` and ``margin`` in seconds; ``now`` on a clock that never steps nor stands still.
+    """One lease. Times in seconds, on a clock that never steps nor stands still.
 
     It may be used until ``ttl`` less ``margin`` after the last answered request was **sent**: the coordinator cannot
-    have counted from earlier than that. ``margin`` covers that its clock may run faster than ours.
+    have counted from an earlier instant. ``margin`` covers that its clock may run faster than the holder's.
     """
 
     ttl: float
     margin: float
-    state: State = State.FREE
-    until: float = NEVER
-    _sent: float = NEVER
-
-    def step(self, event: Event) -> State:
-        new = TABLE.get((self.state, event))
-        if new is None:
+    state: LeaseState = LeaseState.FREE
+    expires_at: float = NEVER
+    _sent_at: float = NEVER
+
+    def apply(self, event: LeaseEvent) -> LeaseState:
+        """Move to the next state. Raises ``LeaseError`` if the event is impossible."""
+        new_state = TRANSITIONS.get((self.state, event))
+        if new_state is None:
             raise LeaseError(f"{event.value} in state {self.state.value}")
-        self.state = new
-        if new in (State.LOST, State.RELEASED, State.FREE):
-            self.until = self._sent = NEVER
-        return new
+        self.state = new_state
+        if new_state in ENDED_STATES:
+            self.expires_at = NEVER
+            self._sent_at = NEVER
+        return new_state
 
-    def ask(self, now: float) -> None:
-        self.step(Event.ASK)
-        self._sent = now
+    def request(self, now: float) -> None:
+        """A request for the lease is sent."""
+        self.apply(LeaseEvent.REQUEST)
+        self._sent_at = now
 
     def renew(self, now: float) -> None:
-        self.step(Event.RENEW)
-        self._sent = now
-
-    def answered(self, event: Event) -> None:
-        """``GRANTED``, ``RENEWED``, or ``OURS`` read back of an acquisition: it counts from when that was sent."""
-        fresh = event in (Event.GRANTED, Event.RENEWED) or (event is Event.OURS and self.until == NEVER)
-        self.step(event)
-        if fresh:
-            self.until = max(self.until, self._sent + self.ttl - self.margin)
+        """A renewal is sent."""
+        self.apply(LeaseEvent.RENEW)
+        self._sent_at = now
+
+    def confirm(self, event: LeaseEvent) -> None:
+        """The lease is held: ``GRANTED`` or ``RENEWED``, or ``CONFIRMED`` by a read. A request that is confirmed by
+        a read counts from when it was sent; a renewal that is confirmed so does not lengthen the lease."""
+        read_back_of_request = event is LeaseEvent.CONFIRMED and self.expires_at == NEVER
+        lengthens = read_back_of_request or event in (LeaseEvent.GRANTED, LeaseEvent.RENEWED)
+        self.apply(event)
+        if lengthens:
+            self.expires_at = max(self.expires_at, self._sent_at + self.ttl - self.margin)
 
     def expire(self, now: float) -> bool:
-        """Whether it ended by the holder's clock, just now."""
-        if self.state in USABLE and self.until != NEVER and now >= self.until:
-            self.step(Event.EXPIRED)
+        """End the lease if its time is over; whether it ended just now."""
+        if self.state in USABLE_STATES and self.expires_at != NEVER and now >= self.expires_at:
+            self.apply(LeaseEvent.EXPIRED)
             return True
         return False
 
     def usable(self, now: float) -> bool:
-        return self.state in USABLE and now < self.until
+        """Whether the holder may act under the lease."""
+        return self.state in USABLE_STATES and now < self.expires_at
--- a/lapishaven/ownership/overload.py
+++ b/lapishaven/ownership/overload.py
@@ -1,76 +1,88 @@
-"""When an overloaded member gives shards back, and how many. Pure.
+"""When an overloaded member sheds shards, and how many. Pure.
 
-A server is overloaded while a fifth of what it answers is refused, or while it reads what comes too late for every aim.
-A member is strained once it has been overloaded for ``after`` seconds without a break, so that a burst moves nothing.
-It then goes by half its weight and hands over what is more than its part by that, one shard each ``pace``, as long as
-some other member is not strained: where all are, moving work helps nobody. It takes its full part again ``rest``
-seconds after the last time that it was overloaded.
+A server is overloaded while it rejects ``rejected_share`` of what it answers, or reads requests too late for every
+latency objective. A member sheds once that has lasted for ``sustained_for`` seconds without a break, so that a burst
+moves nothing. It then goes by half its weight and transfers what is more than its part by that, one shard each
+``shed_interval``, as long as some other member is not overloaded: where all are, moving work helps nobody. It takes its
+full part again ``recovery_time`` seconds after the last time that it was overloaded.
 """
 
 from __future__ import annotations
 
 import math
+from collections.abc import Sequence
 from dataclasses import dataclass
 
-from lapishaven.ownership.model import Shard, Standing, View
+from lapishaven.ownership.model import MemberRecord, MemberState, Shard, View
 
-SMOOTH = 0.3  # part that the answers since the last time count
+SMOOTHING_FACTOR = 0.3  # weight of the latest answers in the moving average of the rejected share
 
 
 @dataclass(frozen=True, slots=True)
 class OverloadRules:
-    """Seconds."""
+    """Times in seconds."""
 
-    after: float = 2.0
-    pace: float = 0.5
-    rest: float = 20.0
-    refused: float = 0.2  # part of the answers
+    sustained_for: float = 2.0
+    shed_interval: float = 0.5
+    recovery_time: float = 20.0
+    rejected_share: float = 0.2
+    """Of the answers, from which on a server counts as overloaded."""
 
 
 class OverloadDetector:
-    """Told how it goes from time to time; ``due`` says what to give back."""
+    """``observe`` the server from time to time; ``shard_to_shed`` says what to give up."""
 
     def __init__(self, rules: OverloadRules) -> None:
         self.rules = rules
-        self._since: float | None = None  # overloaded since then
-        self._answers = self._refusals = 0
-        self._part = 0.0  # refused of late
-        self._next = float("-inf")  # nothing more is given before
-        self._full: dict[str, float] = {}  # the most that each start of another member was seen to go by
-        self.given = 0
+        self.shed_count = 0
+        self._overloaded_since: float | None = None
+        self._answers = 0
+        self._rejections = 0
+        self._rejected_share = 0.0  # moving average
+        self._next_shed_at = float("-inf")
+        self._full_weights: dict[str, float] = {}  # the highest that each incarnation of another member has announced
 
-    def told(self, now: float, answers: int, refusals: int, late: bool) -> None:
-        """``answers`` and ``refusals`` so far, whether it reads late now."""
-        more, self._answers = answers - self._answers, answers
-        refused, self._refusals = refusals - self._refusals, refusals
-        if more:
-            self._part += SMOOTH * (refused / more - self._part)
-        if not late and self._part < self.rules.refused:
-            self._since = None
-        elif self._since is None:
-            self._since = now
+    def observe(self, now: float, answers: int, rejections: int, reads_late: bool) -> None:
+        """``answers`` and ``rejections``: since the start of the process. ``reads_late``: whether the server reads
+        requests too late now."""
+        new_answers = answers - self._answers
+        new_rejections = rejections - self._rejections
+        self._answers = answers
+        self._rejections = rejections
+        if new_answers:
+            self._rejected_share += SMOOTHING_FACTOR * (new_rejections / new_answers - self._rejected_share)
+        if not reads_late and self._rejected_share < self.rules.rejected_share:
+            self._overloaded_since = None
+        elif self._overloaded_since is None:
+            self._overloaded_since = now
 
-    def strained(self, now: float) -> bool:
-        return self._since is not None and now - self._since >= self.rules.after
+    def overloaded(self, now: float) -> bool:
+        """Whether the server has been overloaded for long enough to shed."""
+        return self._overloaded_since is not None and now - self._overloaded_since >= self.rules.sustained_for
 
-    def due(
-        self, now: float, name: str, weight: float, view: View | None, held: dict[Shard, int], shards: int
+    def shard_to_shed(
+        self, now: float, name: str, weight: float, view: View | None, tokens: dict[Shard, int], shard_count: int
     ) -> Shard | None:
-        """A shard to give back now, if any. ``weight``: this member's when it is not strained; ``shards``: how many
-        there are in all."""
-        if view is None or not self.strained(now) or now < self._next or not held:
+        """A shard to give up now, if any. ``weight``: of this member, ``name``, when it is not overloaded;
+        ``tokens``: of the shards that it owns; ``shard_count``: of the whole fleet."""
+        if view is None or not self.overloaded(now) or now < self._next_shed_at or not tokens:
             return None
-        others = [
-            each.card for each in view.members if each.card.standing is Standing.SERVING and each.card.name != name
-        ]
-        for card in others:
-            self._full[card.start] = max(card.weight, self._full.get(card.start, 0.0))
-        if not any(card.weight >= self._full[card.start] for card in others):
-            return None  # all go by less than they once did, as this one is about to
-        fair = shards * weight / 2 / (weight / 2 + sum(card.weight for card in others))
-        if len(held) <= math.ceil(fair):
+        records = [member.record for member in view.members if member.record.state is MemberState.SERVING]
+        others = [record for record in records if record.name != name]
+        if not self._some_at_full_weight(others):
             return None
-        self._next = now + self.rules.pace
-        self.given += 1
-        # The one that was taken last, as it has the least under way here.
-        return max(held, key=lambda shard: (held[shard], shard))
+        reduced_weight = weight / 2
+        fair_count = shard_count * weight / 2 / (reduced_weight + sum(record.weight for record in others))
+        if len(tokens) <= math.ceil(fair_count):
+            return None
+        self._next_shed_at = now + self.rules.shed_interval
+        self.shed_count += 1
+        # The newest token: the shard that was taken last has the least in flight here.
+        return max(tokens, key=lambda shard: (tokens[shard], shard))
+
+    def _some_at_full_weight(self, others: Sequence[MemberRecord]) -> bool:
+        """Whether some other member is not overloaded: it goes by the highest weight that it has announced."""
+        for record in others:
+            known = self._full_weights.get(record.incarnation, 0.0)
+            self._full_weights[record.incarnation] = max(record.weight, known)
+        return any(record.weight >= self._full_weights[record.incarnation] for record in others)
--- a/lapishaven/ownership/placement.py
+++ b/lapishaven/ownership/placement.py
@@ -1,8 +1,12 @@
-"""Which member should own which shard: rendezvous hashing with bounded load, moved as little as can be. Pure.
+"""Which member should own which shard: rendezvous hashing with bounded load and few moves. Pure.
 
-Every member computes the same plan from the same view. Shards stay where they are while their owner is alive, serves
-and is not over its bound; only those without an owner are placed anew, each at the first member in its own order
-(highest hash) that has room. A member under its fair part then draws shards from the fullest, no more than it lacks.
+Every member computes the same placement from the same view. A shard stays where it is while its owner is alive, serves
+and is not over its bound; only shards without an owner are placed anew, each at the first member in its own order
+(highest hash) that has capacity. A member under its fair part then takes shards from the fullest, no more than it
+lacks.
+
+Sources: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998 (rendezvous hashing); Mirrokni,
+Thorup and Zadimoghaddam, "Consistent hashing with bounded loads", 2016.
 """
 
 from __future__ import annotations
@@ -16,12 +20,13 @@
 
 from lapishaven.ownership.model import Shard
 
-LOOSE = 1.25  # of the mean: no member is given more
-_MIX, _MASK = 0x9E3779B97F4A7C15, (1 << 64) - 1
+LOAD_BOUND = 1.25  # factor of the mean: no member is given more
+_HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 divided by the golden ratio (Fibonacci hashing)
+_HASH_MASK = (1 << 64) - 1
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class Candidate:
     """A member that may be given shards."""
 
     name: str
@@ -29,93 +34,121 @@
 
 
 @lru_cache(maxsize=4096)
-def _key(text: str) -> int:
+def _hash(text: str) -> int:
     return int(xxhash.xxh3_64_intdigest(text.encode()))
 
 
-def score(shard: Shard, part: Part) -> float:
-    """The member's place in the shard's order, the highest first; in proportion to its weight (``-w / ln u``)."""
-    bits = (_key(f"{shard[0]}/{shard[1]}") ^ _key(part.name)) * _MIX & _MASK
+def rendezvous_score(shard: Shard, candidate: Candidate) -> float:
+    """The member's rank in the shard's order, the highest first; in proportion to its weight (``1 + ln u / w``)."""
+    duty, number = shard
+    bits = (_hash(f"{duty}/{number}") ^ _hash(candidate.name)) * _HASH_MULTIPLIER & _HASH_MASK
     bits ^= bits >> 32
-    u = ((bits * _MIX & _MASK) + 0.5) / 2.0**64
-    return u if part.weight == 1.0 else 1.0 + math.log(u) / part.weight
-
-
-def bound(shards: int, part: Part, total: float, loose: float = LOOSE) -> int:
-    """Shards that a member may have at most; together they always have room for all."""
-    mean = shards * part.weight / total
-    return max(math.ceil(mean), math.floor(loose * mean))
-
-
-def place(
-    shards: Sequence[Shard], parts: Sequence[Part], current: Mapping[Shard, str], loose: float = LOOSE
+    uniform = ((bits * _HASH_MULTIPLIER & _HASH_MASK) + 0.5) / 2.0**64
+    return uniform if candidate.weight == 1.0 else 1.0 + math.log(uniform) / candidate.weight
+
+
+def max_shards(shard_count: int, candidate: Candidate, total_weight: float, load_bound: float = LOAD_BOUND) -> int:
+    """Shards that a member may own at most; together the members always have capacity for all."""
+    mean = shard_count * candidate.weight / total_weight
+    return max(math.ceil(mean), math.floor(load_bound * mean))
+
+
+@dataclass(slots=True)
+class _Plan:
+    """A placement in the making."""
+
+    candidates: Mapping[str, Candidate]
+    fair_counts: Mapping[str, float]
+    owned: dict[str, list[Shard]]
+
+    def assign(self, shards: Sequence[Shard]) -> None:
+        """Give each shard to the first member in its own order of those that lack work, and then of those that have
+        capacity."""
+        lacking = {name for name in self.owned if len(self.owned[name]) < math.floor(self.fair_counts[name])}
+        with_capacity = {name for name in self.owned if len(self.owned[name]) < math.ceil(self.fair_counts[name])}
+        for shard in shards:
+            best = max(lacking or with_capacity, key=lambda name: (self._score(shard, name), name))
+            self.owned[best].append(shard)
+            if len(self.owned[best]) >= math.floor(self.fair_counts[best]):
+                lacking.discard(best)
+            if len(self.owned[best]) >= math.ceil(self.fair_counts[best]):
+                with_capacity.discard(best)
+
+    def rebalance(self) -> None:
+        """Members under their fair part take shards from those that are furthest over it, until they have it."""
+        lacking = [name for name in self.owned if len(self.owned[name]) < math.floor(self.fair_counts[name])]
+        for name in sorted(lacking, key=lambda name: (self._excess(name), name)):
+            while len(self.owned[name]) < math.floor(self.fair_counts[name]):
+                fullest = max(self.fair_counts, key=lambda other: (self._excess(other), other))
+                if len(self.owned[fullest]) <= self.fair_counts[fullest]:
+                    return
+                taken = max(self.owned[fullest], key=lambda shard: self._score(shard, name))
+                self.owned[fullest].remove(taken)
+                self.owned[name].append(taken)
+
+    def take_over_bound(self, name: str, bound: int) -> list[Shard]:
+        """Take from a member what it has over ``bound``: the shards that rank it lowest."""
+        shards = self.owned[name]
+        excess = len(shards) - bound
+        if excess <= 0:
+            return []
+        shards.sort(key=lambda shard: self._score(shard, name))
+        taken = shards[:excess]
+        del shards[:excess]
+        return taken
+
+    def _excess(self, name: str) -> float:
+        return len(self.owned[name]) - self.fair_counts[name]
+
+    def _score(self, shard: Shard, name: str) -> float:
+        return rendezvous_score(shard, self.candidates[name])
+
+
+def compute_placement(
+    shards: Sequence[Shard],
+    candidates: Sequence[Candidate],
+    current: Mapping[Shard, str],
+    load_bound: float = LOAD_BOUND,
 ) -> dict[Shard, str]:
-    """The owner of every shard, of the members in ``parts``; none where there are none.
+    """The owner of every shard, by name; empty without candidates.
 
-    ``current`` has the owners as they are, by name; owners that are not in ``parts`` do not count. What has to move
-    goes to members that lack it, so that nothing moves twice.
+    ``current`` has the present owners; those that are not candidates do not count. What has to move goes to members
+    that lack work, so that nothing moves twice.
     """
-    if not parts:
+    if not candidates:
         return {}
-    by_name = {part.name: part for part in parts}
-    total = sum(part.weight for part in parts)
-    fair = {part.name: len(shards) * part.weight / total for part in parts}
-    has: dict[str, list[Shard]] = {part.name: [] for part in parts}
-    homeless: list[Shard] = []
+    by_name = {candidate.name: candidate for candidate in candidates}
+    total_weight = sum(candidate.weight for candidate in candidates)
+    plan = _Plan(
+        by_name,
+        {candidate.name: len(shards) * candidate.weight / total_weight for candidate in candidates},
+        {candidate.name: [] for candidate in candidates},
+    )
+    unowned: list[Shard] = []
     for shard in sorted(shards):
         owner = current.get(shard)
-        (has[owner] if owner is not None and owner in by_name else homeless).append(shard)
-    _house(homeless, has, fair, by_name)
-    _level(has, fair, by_name)
-    over: list[Shard] = []
-    for name, mine in has.items():
-        if (more := len(mine) - bound(len(shards), by_name[name], total, loose)) > 0:
-            # Those that it ranks lowest for go.
-            mine.sort(key=lambda shard: score(shard, by_name[name]))
-            over += mine[:more]
-            del mine[:more]
-    _house(sorted(over), has, fair, by_name)
-    return {shard: name for name, mine in has.items() for shard in mine}
+        if owner is not None and owner in by_name:
+            plan.owned[owner].append(shard)
+        else:
+            unowned.append(shard)
+    plan.assign(unowned)
+    plan.rebalance()
+    over_bound: list[Shard] = []
+    for name, candidate in by_name.items():
+        over_bound += plan.take_over_bound(name, max_shards(len(shards), candidate, total_weight, load_bound))
+    plan.assign(sorted(over_bound))
+    return {shard: name for name, owned in plan.owned.items() for shard in owned}
 
 
 @lru_cache(maxsize=8)
-def _placed(
-    shards: tuple[Shard, ...], parts: tuple[Part, ...], current: frozenset[tuple[Shard, str]]
+def _placement(
+    shards: tuple[Shard, ...], candidates: tuple[Candidate, ...], current: frozenset[tuple[Shard, str]]
 ) -> dict[Shard, str]:
-    return place(shards, parts, dict(current))
-
-
-def plan(shards: tuple[Shard, ...], parts: Sequence[Part], current: Mapping[Shard, str]) -> Mapping[Shard, str]:
-    """What ``place`` gives, kept for those who ask the same again."""
-    return _placed(shards, tuple(parts), frozenset(current.items()))
-
-
-def _house(
-    homeless: Sequence[Shard], has: dict[str, list[Shard]], fair: Mapping[str, float], by_name: Mapping[str, Part]
-) -> None:
-    """Each at the first member in its own order of those that lack work, and then of those that have room."""
-    poor = {name for name in has if len(has[name]) < math.floor(fair[name])}
-    room = {name for name in has if len(has[name]) < math.ceil(fair[name])}
-    for shard in homeless:
-        best = max(poor or room, key=lambda name: (score(shard, by_name[name]), name))
-        has[best].append(shard)
-        if len(has[best]) >= math.floor(fair[best]):
-            poor.discard(best)
-        if len(has[best]) >= math.ceil(fair[best]):
-            room.discard(best)
-
-
-def _level(has: dict[str, list[Shard]], fair: Mapping[str, float], by_name: Mapping[str, Part]) -> None:
-    """Members under their fair part draw from those that are furthest over it, until they have it."""
-    poor = sorted(
-        (name for name in has if len(has[name]) < math.floor(fair[name])),
-        key=lambda name: (len(has[name]) - fair[name], name),
-    )
-    for name in poor:
-        while len(has[name]) < math.floor(fair[name]):
-            giver = max(fair, key=lambda other: (len(has[other]) - fair[other], other))
-            if len(has[giver]) <= fair[giver]:
-                return
-            shard = max(has[giver], key=lambda each: score(each, by_name[name]))
-            has[giver].remove(shard)
-            has[name].append(shard)
+    return compute_placement(shards, candidates, dict(current))
+
+
+def cached_placement(
+    shards: tuple[Shard, ...], candidates: Sequence[Candidate], current: Mapping[Shard, str]
+) -> Mapping[Shard, str]:
+    """``compute_placement``, cached by its arguments: a view is read several times before it changes."""
+    return _placement(shards, tuple(candidates), frozenset(current.items()))
--- a/lapishaven/ownership/receiver.py
+++ b/lapishaven/ownership/receiver.py
@@ -1,7 +1,7 @@
-"""The receiver of effects over TCP, for members that do not share its file: JSON lines, one act, one answer.
+"""The receiver of effects over TCP, for members that do not share its file: JSON lines, one request, one answer.
 
-A member that is stopped within a call holds no lock of the file then. ``serve`` stands before a ``Book``; ``Remote`` is
-the member's side, and knows of a lost answer only that there was none.
+A member that is stopped within a call then holds no lock of the file. ``serve_receiver`` answers for a ``FencedStore``;
+``RemoteReceiver`` is the member's side, which knows of a lost answer only that there was none.
 """
 
 from __future__ import annotations
@@ -13,36 +13,22 @@
 from contextlib import suppress
 from typing import Any
 
-from lapishaven.ownership.fence import Act, Verdict
+from lapishaven.ownership.fence import EffectRequest, Verdict
 from lapishaven.ownership.fenced_store import Admission, FencedStore, FencedStoreError
 
-LINE = 64 * 1024  # bytes of one act or answer at most
+MAX_LINE_BYTES = 64 * 1024  # of one request or answer
+LISTEN_BACKLOG = 512
+DEFAULT_TIMEOUT_S = 1.0
 
 
 class _Server(socketserver.ThreadingTCPServer):
     daemon_threads = True
     allow_reuse_address = True
-    request_queue_size = 512
+    request_queue_size = LISTEN_BACKLOG
 
 
-def _answer(book: FencedStore, line: bytes) -> dict[str, Any]:
-    try:
-        words = json.loads(line)
-        act = Act(
-            (str(words["duty"]), int(words["shard"])), int(words["token"]), int(words["number"]), int(words["after"])
-        )
-        effect = str(words["effect"])
-    except (ValueError, KeyError, TypeError) as error:
-        return {"error": f"no act: {type(error).__name__}: {error}"}
-    try:
-        found = book.admit(act, effect, words.get("detail"))
-    except FencedStoreError as error:
-        return {"error": str(error)}
-    return {"verdict": found.verdict.value, "token": found.token, "held": found.held, "answer": found.answer}
-
-
-def serve(host: str, port: int, book: FencedStore) -> tuple[socketserver.ThreadingTCPServer, int]:
-    """Answer acts at an address, on threads; gives the server, to be shut down, and its port."""
+def serve_receiver(host: str, port: int, store: FencedStore) -> tuple[socketserver.ThreadingTCPServer, int]:
+    """Answer requests at an address, on threads; gives the server, to be shut down, and its port."""
     lock = threading.Lock()
 
     class Handler(socketserver.StreamRequestHandler):
@@ -50,60 +36,100 @@
 
         def handle(self) -> None:
             with suppress(OSError):
-                while line := self.rfile.readline(LINE):
+                while line := self.rfile.readline(MAX_LINE_BYTES):
                     if not line.endswith(b"\n"):
-                        return  # cut off within an act, or too long: not done
+                        return  # cut off within a request, or too long: not done
                     with lock:
-                        found = _answer(book, line)
-                    self.wfile.write(json.dumps(found).encode() + b"\n")
+                        answer = _answer_request(store, line)
+                    self.wfile.write(json.dumps(answer).encode() + b"\n")
 
     server = _Server((host, port), Handler)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     return server, int(server.server_address[1])
 
 
-class Remote:
-    """A receiver at an address. ``timeout`` in s for each act; without an answer in it the act may still be done."""
-
-    def __init__(self, host: str, port: int, timeout: float = 1.0) -> None:
-        self._address, self._timeout = (host, port), timeout
-        self._sock: socket.socket | None = None
-        self._file: Any = None
-
-    def admit(self, act: Act, effect: str, detail: Any) -> Admission:
-        line = (
-            json.dumps(
-                {
-                    "duty": act.shard[0],
-                    "shard": act.shard[1],
-                    "token": act.token,
-                    "number": act.number,
-                    "after": act.after,
-                    "effect": effect,
-                    "detail": detail,
-                }
-            ).encode()
-            + b"\n"
-        )
+def _answer_request(store: FencedStore, line: bytes) -> dict[str, Any]:
+    try:
+        fields = json.loads(line)
+        request = _decode_request(fields)
+        effect = str(fields["effect"])
+    except (ValueError, KeyError, TypeError) as error:
+        return {"error": f"no act: {type(error).__name__}: {error}"}
+    try:
+        admission = store.admit(request, effect, fields.get("detail"))
+    except FencedStoreError as error:
+        return {"error": str(error)}
+    return {
+        "verdict": admission.verdict.value,
+        "token": admission.token,
+        "held": admission.effect_count,
+        "answer": admission.answer,
+    }
+
+
+def _decode_request(fields: Any) -> EffectRequest:
+    return EffectRequest(
+        (str(fields["duty"]), int(fields["shard"])),
+        int(fields["token"]),
+        int(fields["number"]),
+        int(fields["after"]),
+    )
+
+
+def _encode_request(request: EffectRequest, effect: str, detail: Any) -> bytes:
+    duty, number = request.shard
+    fields = {
+        "duty": duty,
+        "shard": number,
+        "token": request.token,
+        "number": request.number,
+        "after": request.known_effects,
+        "effect": effect,
+        "detail": detail,
+    }
+    return json.dumps(fields).encode() + b"\n"
+
+
+class RemoteReceiver:
+    """A receiver at an address. ``timeout`` in seconds for each request; one without an answer in it may still be
+    applied."""
+
+    def __init__(self, host: str, port: int, timeout: float = DEFAULT_TIMEOUT_S) -> None:
+        self._address = host, port
+        self._timeout = timeout
+        self._socket: socket.socket | None = None
+        self._answers: Any = None  # the socket's lines
+
+    def admit(self, request: EffectRequest, effect: str, detail: Any) -> Admission:
+        """Send a request and wait for its answer. Raises ``FencedStoreError`` if it failed or got none."""
+        line = _encode_request(request, effect, detail)
         try:
-            if self._sock is None:
-                self._sock = socket.create_connection(self._address, self._timeout)
-                self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                self._file = self._sock.makefile("rb")
-            self._sock.sendall(line)
-            got = self._file.readline(LINE)
-            if not got.endswith(b"\n"):
-                raise OSError("the connection ended")
-            found = json.loads(got)
+            if self._socket is None:
+                self._connect()
+            answer = json.loads(self._exchange(line))
         except (OSError, ValueError) as error:
             self.close()
             raise FencedStoreError(f"no answer: {error}") from None
-        if "error" in found:
-            raise FencedStoreError(found["error"])
-        return Admission(Verdict(found["verdict"]), found["token"], found["held"], found["answer"])
+        if "error" in answer:
+            raise FencedStoreError(answer["error"])
+        return Admission(Verdict(answer["verdict"]), answer["token"], answer["held"], answer["answer"])
+
+    def _connect(self) -> None:
+        self._socket = socket.create_connection(self._address, self._timeout)
+        self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self._answers = self._socket.makefile("rb")
+
+    def _exchange(self, line: bytes) -> bytes:
+        assert self._socket is not None
+        self._socket.sendall(line)
+        answer: bytes = self._answers.readline(MAX_LINE_BYTES)
+        if not answer.endswith(b"\n"):
+            raise OSError("the connection ended")
+        return answer
 
     def close(self) -> None:
-        if self._sock is not None:
-            self._file.close()
-            self._sock.close()
-            self._sock = None
+        """Close the connection; the next request opens another."""
+        if self._socket is not None:
+            self._answers.close()
+            self._socket.close()
+            self._socket = None
--- a/lapishaven/ownership/verify.py
+++ b/lapishaven/ownership/verify.py
@@ -1,17 +1,20 @@
-"""What must hold in a receiver's book, whatever happened: the first thing that does not, in plain words. Pure."""
+"""What must hold in a receiver's store, whatever happened. Pure; each check gives the first violation in words."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from lapishaven.ownership.fence import Mark
+from lapishaven.ownership.fence import HighWaterMark
 from lapishaven.ownership.model import Shard
 
+NO_STATEMENT = -1  # the period of consumption that no statement has taken in yet
+
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class EffectRow:
     """One effect as the receiver holds it, in the order in which they took effect."""
 
     shard: Shard
@@ -19,7 +22,18 @@
     number: int
 
 
-def interleaved(rows: Iterable[Row]) -> str | None:
+class ConsumptionTotal(NamedTuple):
+    """Consumption of a team in one row, or in one statement."""
+
+    team: str
+    period: int
+    """Of the statement that takes it in; ``NO_STATEMENT`` if there is none yet."""
+    request_count: int
+    weight: int
+    """Priority weight, in thousandths."""
+
+
+def find_interleaved(rows: Iterable[EffectRow]) -> str | None:
     """An effect of an older owner after one of a newer owner."""
     highest: dict[Shard, int] = {}
     for row in rows:
@@ -29,8 +43,8 @@
     return None
 
 
-def doubled(rows: Iterable[Row]) -> str | None:
-    """The same act twice, or one before an earlier one of the same owner."""
+def find_duplicate(rows: Iterable[EffectRow]) -> str | None:
+    """The same effect twice, or one before an earlier one of the same owner."""
     last: dict[tuple[Shard, int], int] = {}
     for row in rows:
         if row.number <= last.get((row.shard, row.token), 0):
@@ -39,37 +53,54 @@
     return None
 
 
-def mismarked(rows: Sequence[Row], marks: Mapping[Shard, Mark]) -> str | None:
-    """A mark that is not what the effects make it."""
-    held = Counter(row.shard for row in rows)
+def find_mark_mismatch(rows: Sequence[EffectRow], marks: Mapping[Shard, HighWaterMark]) -> str | None:
+    """A high-water mark that is not what the effects make it."""
+    counts = Counter(row.shard for row in rows)
     last = {row.shard: row for row in rows}
-    for shard in sorted(held.keys() | marks.keys()):
-        mark, row = marks.get(shard, Mark()), last.get(shard)
-        there = Mark(row.token, row.number, held[shard]) if row is not None else Mark()
-        if mark != there:
-            return f"{shard}: the mark says {mark}, the effects say {there}"
+    for shard in sorted(counts.keys() | marks.keys()):
+        mark = marks.get(shard, HighWaterMark())
+        row = last.get(shard)
+        expected = HighWaterMark(row.token, row.number, counts[shard]) if row is not None else HighWaterMark()
+        if mark != expected:
+            return f"{shard}: the mark says {_mark_text(mark)}, the effects say {_mark_text(expected)}"
     return None
 
 
-Served = tuple[str, int, int, int]  # team, period of its statement (-1: none yet), count, worth
+def _mark_text(mark: HighWaterMark) -> str:
+    """The mark as operators have always seen it printed."""
+    return f"Mark(token={mark.token}, number={mark.number}, held={mark.effect_count})"
 
 
-def misbilled(rows: Iterable[Served], statements: Iterable[Served]) -> str | None:
+def find_statement_mismatch(
+    consumption: Iterable[ConsumptionTotal], statements: Iterable[ConsumptionTotal]
+) -> str | None:
     """A statement that is not the sum of the rows that it took in."""
-    sums: dict[tuple[str, int], tuple[int, int]] = {}
-    for team, period, count, worth in rows:
-        if period >= 0:
-            old = sums.get((team, period), (0, 0))
-            sums[team, period] = old[0] + count, old[1] + worth
-    there = {(team, period): (count, worth) for team, period, count, worth in statements}
-    for key in sorted(sums.keys() | there.keys()):
-        if sums.get(key) != there.get(key):
-            return f"team {key[0]!r}, period {key[1]}: rows sum to {sums.get(key)}, its statement says {there.get(key)}"
+    expected: dict[tuple[str, int], tuple[int, int]] = {}
+    for row in consumption:
+        if row.period >= 0:
+            count, weight = expected.get((row.team, row.period), (0, 0))
+            expected[row.team, row.period] = count + row.request_count, weight + row.weight
+    found = {
+        (statement.team, statement.period): (statement.request_count, statement.weight) for statement in statements
+    }
+    for key in sorted(expected.keys() | found.keys()):
+        if expected.get(key) != found.get(key):
+            team, period = key
+            sums = f"rows sum to {expected.get(key)}, its statement says {found.get(key)}"
+            return f"team {key[0]!r}, period {key[1]}: {sums}"
     return None
 
 
-def broken(
-    rows: Sequence[Row], marks: Mapping[Shard, Mark], served: Iterable[Served], statements: Iterable[Served]
+def first_violation(
+    rows: Sequence[EffectRow],
+    marks: Mapping[Shard, HighWaterMark],
+    consumption: Iterable[ConsumptionTotal],
+    statements: Iterable[ConsumptionTotal],
 ) -> str | None:
-    """The first thing in a book that does not hold."""
-    return interleaved(rows) or doubled(rows) or mismarked(rows, marks) or misbilled(served, statements)
+    """The first thing in a store that does not hold; None if all does."""
+    return (
+        find_interleaved(rows)
+        or find_duplicate(rows)
+        or find_mark_mismatch(rows, marks)
+        or find_statement_mismatch(consumption, statements)
+    )
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -17,70 +17,75 @@
 from lapishaven.core.contracts import Contract, Contracts, Denied
 from lapishaven.lab import modelcheck
 from lapishaven.lab.ownership_simulation import SimClock, SimFleet
-from lapishaven.ownership.agent import Agent, Standing
-from lapishaven.ownership.command import read_book
+from lapishaven.ownership.agent import Agent, ShardProgress
+from lapishaven.ownership.command import find_store_violation
 from lapishaven.ownership.coordinators.sqlite import SqliteCoordinator
 from lapishaven.ownership.duties import budgets, periods, restart
-from lapishaven.ownership.fence import Act, Mark, Verdict, judge, moved
+from lapishaven.ownership.fence import EffectRequest, HighWaterMark, Verdict, advance, judge
 from lapishaven.ownership.fenced_store import Admission, FencedStore, FencedStoreError
-from lapishaven.ownership.lease import TABLE, Event, Lease, LeaseError, State
-from lapishaven.ownership.member import Completed, Join, Member, Renew, Rules, Unknown
-from lapishaven.ownership.model import Joined, MemberRecord, Seen, Shard, View
-from lapishaven.ownership.model import Standing as Serves
+from lapishaven.ownership.lease import TRANSITIONS, Lease, LeaseError, LeaseEvent, LeaseState
+from lapishaven.ownership.member import Member
+from lapishaven.ownership.model import ListedMember, MemberRecord, SessionGrant, Shard, View
+from lapishaven.ownership.model import MemberState as Serves
+from lapishaven.ownership.notices import NoticeKind
+from lapishaven.ownership.operations import Completed, Join, Renew, Unknown
 from lapishaven.ownership.overload import OverloadDetector, OverloadRules
-from lapishaven.ownership.participant import PLANS
-from lapishaven.ownership.placement import Part, place
+from lapishaven.ownership.participant import DUTY_SCHEMAS
+from lapishaven.ownership.placement import Candidate, compute_placement
+from lapishaven.ownership.rules import MembershipRules
 from lapishaven.ownership.settings import OwnershipError, load
 
+UNEXPECTED = {NoticeKind.SHARD_LOST, NoticeKind.SESSION_ENDED, NoticeKind.OUTCOME_UNCERTAIN}
+
 
 # ---- Leases
 def test_a_lease_counts_from_when_it_was_sent_less_the_margin() -> None:
     """Guards the send time: an answer that took 2 s must not make the lease 2 s longer than the coordinator's."""
     lease = Lease(3.0, 0.3)
-    lease.ask(10.0)
-    lease.answered(Event.GRANTED)  # whenever it comes
+    lease.request(10.0)
+    lease.confirm(LeaseEvent.GRANTED)  # whenever it comes
     assert lease.usable(12.69) and not lease.usable(12.7)
     lease.renew(12.0)
-    lease.step(Event.SILENT)
-    assert lease.state is State.DOUBTFUL and lease.usable(12.69)  # an unanswered renewal does not lengthen it
-    assert lease.expire(12.7) and lease.state is State.LOST
+    lease.apply(LeaseEvent.NO_ANSWER)
+    assert lease.state is LeaseState.UNCERTAIN and lease.usable(12.69)  # an unanswered renewal does not lengthen it
+    assert lease.expire(12.7) and lease.state is LeaseState.LOST
 
 
 def test_the_table_says_what_is_impossible() -> None:
     """Guards the table: an event that it does not have is a fault, and is not passed over."""
     lease = Lease(3.0, 0.3)
     with pytest.raises(LeaseError):
-        lease.step(Event.RENEWED)
-    assert {state for state, _ in TABLE} == set(State)  # from every state something leads on
+        lease.apply(LeaseEvent.RENEWED)
+    assert {state for state, _ in TRANSITIONS} == set(LeaseState)  # from every state something leads on
 
 
 # ---- Fences
 def test_a_fence_refuses_older_repeats_equal_and_tells_an_older_copy() -> None:
     """Guards each verdict: the receiver's only protection against owners that woke up late."""
     shard: Shard = ("work", 1)
-    mark = Mark(7, 3, 10)
-    assert judge(mark, Act(shard, 6, 99)) is Verdict.STALE
-    assert judge(mark, Act(shard, 7, 3)) is Verdict.REPEAT
-    assert judge(mark, Act(shard, 7, 4, 11)) is Verdict.BEHIND
-    assert judge(mark, Act(shard, 7, 4, 10)) is Verdict.ADMIT
-    assert moved(mark, Act(shard, 8, 1)) == Mark(8, 1, 11)
+    mark = HighWaterMark(7, 3, 10)
+    assert judge(mark, EffectRequest(shard, 6, 99)) is Verdict.STALE
+    assert judge(mark, EffectRequest(shard, 7, 3)) is Verdict.REPEAT
+    assert judge(mark, EffectRequest(shard, 7, 4, 11)) is Verdict.BEHIND
+    assert judge(mark, EffectRequest(shard, 7, 4, 10)) is Verdict.ADMIT
+    assert advance(mark, EffectRequest(shard, 8, 1)) == HighWaterMark(8, 1, 11)
 
 
 @given(st.lists(st.tuples(st.integers(1, 4), st.integers(1, 4)), max_size=30))
 def test_whatever_comes_in_whatever_order_tokens_and_numbers_only_grow(acts: list[tuple[int, int]]) -> None:
     """Guards the property itself, over any order of delays and repeats."""
-    mark, done = Mark(), []
+    mark, done = HighWaterMark(), []
     for token, number in acts:
-        if judge(mark, act := Act(("work", 0), token, number)) is Verdict.ADMIT:
-            mark = moved(mark, act)
+        if judge(mark, act := EffectRequest(("work", 0), token, number)) is Verdict.ADMIT:
+            mark = advance(mark, act)
             done.append((token, number))
     assert done == sorted(set(done))
 
 
-@pytest.mark.parametrize("table", [table for plan in PLANS.values() for table in plan.guarded])
+@pytest.mark.parametrize("table", [table for plan in DUTY_SCHEMAS.values() for table in plan.guarded_tables])
 def test_no_duty_s_effect_can_be_reached_around_the_fence(tmp_path: Path, table: str) -> None:
     """Guards every receiver in the product: plain SQL on the same file must not write what only the fence may."""
-    FencedStore(str(tmp_path / "b"), PLANS).close()
+    FencedStore(str(tmp_path / "b"), DUTY_SCHEMAS).close()
     base = sqlite3.connect(tmp_path / "b")
     columns = [row[1] for row in base.execute(f"pragma table_info({table})")]
     with pytest.raises(sqlite3.Error, match="not through the fence"):
@@ -90,13 +95,13 @@
 
 def test_an_effect_that_fails_leaves_no_mark_and_the_act_may_come_again(tmp_path: Path) -> None:
     """Guards the one transaction: a mark without its effect would answer the repeat as done."""
-    book = FencedStore(str(tmp_path / "b"), PLANS)
-    act = Act(("periods", 0), 5, 1)
+    book = FencedStore(str(tmp_path / "b"), DUTY_SCHEMAS)
+    act = EffectRequest(("periods", 0), 5, 1)
     with pytest.raises(FencedStoreError):
         book.admit(act, "close", {"shard": "no number", "period": 1})
     assert book.admit(act, "close", {"shard": 0, "period": 1}).verdict is Verdict.ADMIT
     assert book.admit(act, "close", {"shard": 0, "period": 1}).verdict is Verdict.REPEAT
-    assert read_book(book) is None
+    assert find_store_violation(book) is None
     book.close()
 
 
@@ -106,7 +111,7 @@
     base.execute("pragma user_version = 99")
     base.close()
     with pytest.raises(FencedStoreError, match="newer"):
-        FencedStore(str(tmp_path / "b"), PLANS)
+        FencedStore(str(tmp_path / "b"), DUTY_SCHEMAS)
 
 
 # ---- Placement
@@ -115,21 +120,21 @@
 def test_shards_are_spread_evenly_and_move_least(members: int, count: int, seed: int) -> None:
     """Guards both bars at once: a plan that balances by moving everything, or that moves nothing, fails."""
     shards: list[Shard] = [("w", n) for n in range(count)]
-    parts = [Part(f"m{n}") for n in range(members)]
-    plan = place(shards, parts, {})
+    parts = [Candidate(f"m{n}") for n in range(members)]
+    plan = compute_placement(shards, parts, {})
     loads = Counter(plan.values())
     assert set(plan) == set(shards)
     assert max(loads.values()) <= max(-(-count // members), int(1.25 * count / members))
-    assert place(shards, parts, plan) == plan
+    assert compute_placement(shards, parts, plan) == plan
     gone = Random(seed).choice(parts)
     if members > 1:
         rest = [part for part in parts if part != gone]
-        after = place(shards, rest, plan)
+        after = compute_placement(shards, rest, plan)
         least = loads[gone.name]
         fair = count // (members - 1)
         lacking = sum(max(0, fair - loads[part.name]) for part in rest)
         assert sum(after[shard] != plan[shard] for shard in shards) <= max(least, lacking)
-    joined = place(shards, [*parts, Part("new")], plan)
+    joined = compute_placement(shards, [*parts, Candidate("new")], plan)
     assert sum(joined[shard] != plan[shard] for shard in shards) <= max(1, count // (members + 1) * 1.1 + 1)
 
 
@@ -142,7 +147,7 @@
     fleet.run(10.0)
     assert all(len(names) == 1 for names in fleet.owners().values())
     fleet.kill("m0")
-    fleet.leave("m1")
+    fleet.drain("m1")
     fleet.run(10.0 + fleet.rules.ttl + 1.0)
     assert all(len(names) == 1 for names in fleet.owners().values())
     for n in range(2, 6):
@@ -158,9 +163,7 @@
     for n in range(3):
         fleet.start(f"m{n}")
     fleet.run(3600.0)
-    assert not [
-        notice for one in fleet.members.values() for _, notice in one.notices if notice.what in ("lost", "out", "doubt")
-    ]
+    assert not [notice for one in fleet.members.values() for _, notice in one.notices if notice.kind in UNEXPECTED]
 
 
 def test_an_outage_makes_nobody_an_owner_and_its_end_is_no_herd() -> None:
@@ -169,18 +172,18 @@
     for n in range(30):
         fleet.start(f"m{n}")
     fleet.run(10.0)
-    gained = sum(n.what == "gained" for one in fleet.members.values() for _, n in one.notices)
+    gained = sum(n.kind is NoticeKind.SHARD_GAINED for one in fleet.members.values() for _, n in one.notices)
     fleet.away = lambda name: True
     fleet.run(10.0 + fleet.rules.ttl)
     assert not any(fleet.owners().values())
     fleet.run(200.0)
-    assert sum(n.what == "gained" for one in fleet.members.values() for _, n in one.notices) == gained
+    assert sum(n.kind is NoticeKind.SHARD_GAINED for one in fleet.members.values() for _, n in one.notices) == gained
     fleet.away = lambda name: False
     joins = []
     for step in range(10):
-        before = fleet.calls["Join"]
+        before = fleet.calls["join"]
         fleet.run(200.0 + (step + 1) * 0.1)
-        joins.append(fleet.calls["Join"] - before)
+        joins.append(fleet.calls["join"] - before)
     assert max(joins) <= 12  # of 30, in a tenth of a second
     fleet.run(215.0)
     assert all(len(names) == 1 for names in fleet.owners().values())
@@ -207,51 +210,51 @@
 def test_a_refused_act_ends_the_session_and_all_that_it_holds() -> None:
     """Guards the wake-up: one refusal says that time went by unseen, so nothing else may be believed either."""
     shards: list[Shard] = [("w", 0), ("w", 1)]
-    member = Member(MemberRecord("a", "a1"), shards, Rules(), Random(1))
-    op = member.next(0.0)
+    member = Member(MemberRecord("a", "a1"), shards, MembershipRules(), Random(1))
+    op = member.next_operation(0.0)
     assert op is not None
-    member.done(0.1, op, Completed(Joined(5, 1)))
-    member.held.update({("w", 0): 7, ("w", 1): 8})
-    member.refused(0.2, ("w", 0), 7, 9)
-    assert member.session is None and not member.held and member.token(0.3, ("w", 1)) is None
-    op = member.next(9.0)
-    assert isinstance(op, Join) and op.card.start != "a1"
+    member.record_outcome(0.1, op, Completed(SessionGrant(5, 1)))
+    member.tokens.update({("w", 0): 7, ("w", 1): 8})
+    member.effect_rejected(0.2, ("w", 0), 7, 9)
+    assert member.session is None and not member.tokens and member.token(0.3, ("w", 1)) is None
+    op = member.next_operation(9.0)
+    assert isinstance(op, Join) and op.record.incarnation != "a1"
 
 
 def test_each_attempt_to_join_is_another_start() -> None:
     """Guards the read-back, as the model does: a first attempt that came late must not be taken for the second, whose
     time is counted from a later instant."""
-    member = Member(MemberRecord("a", "a1"), [("w", 0)], Rules(), Random(1))
-    first = member.next(0.0)
+    member = Member(MemberRecord("a", "a1"), [("w", 0)], MembershipRules(), Random(1))
+    first = member.next_operation(0.0)
     assert isinstance(first, Join)
-    member.done(0.5, first, Unknown())
-    look = member.next(2.0)
+    member.record_outcome(0.5, first, Unknown())
+    look = member.next_operation(2.0)
     assert look is not None
-    member.done(2.0, look, Completed(View(1, (), {}, {})))  # not there, yet
-    second = member.next(4.0)
-    assert isinstance(second, Join) and second.card.start != first.card.start
-    member.done(4.5, second, Unknown())
-    late = View(2, (Seen(7, first.card),), {}, {})  # the first one came after the look
-    look = member.next(6.0)
+    member.record_outcome(2.0, look, Completed(View(1, (), {}, {})))  # not there, yet
+    second = member.next_operation(4.0)
+    assert isinstance(second, Join) and second.record.incarnation != first.record.incarnation
+    member.record_outcome(4.5, second, Unknown())
+    late = View(2, (ListedMember(7, first.record),), {}, {})  # the first one came after the look
+    look = member.next_operation(6.0)
     assert look is not None
-    member.done(6.0, look, Completed(late))
+    member.record_outcome(6.0, look, Completed(late))
     assert member.session is None
 
 
 def test_a_renewal_without_answer_keeps_the_old_time() -> None:
     """Guards doubt: neither yes nor no, so nothing is gained by it and nothing is given up before its time."""
-    rules = Rules(ttl=3.0, margin=0.3)
+    rules = MembershipRules(ttl=3.0, margin=0.3)
     member = Member(MemberRecord("a", "a1"), [("w", 0)], rules, Random(1))
-    op = member.next(0.0)
+    op = member.next_operation(0.0)
     assert op is not None
-    member.done(0.1, op, Completed(Joined(5, 1)))
-    member.held[("w", 0)] = 7
+    member.record_outcome(0.1, op, Completed(SessionGrant(5, 1)))
+    member.tokens[("w", 0)] = 7
     now, renewals = 0.1, 0
     while now < 4.0:
-        op = member.next(now)
+        op = member.next_operation(now)
         if op is not None:
             renewals += isinstance(op, Renew)
-            member.done(now, op, Unknown())
+            member.record_outcome(now, op, Unknown())
         assert (member.token(now, ("w", 0)) is not None) == (now < 2.7)
         now = round(now + 0.01, 2)
     assert renewals > 3  # it asks again while it doubts
@@ -260,56 +263,56 @@
 # ---- Duties
 def test_a_period_is_closed_once_and_late_rows_go_to_the_next(tmp_path: Path) -> None:
     """Guards billing: a row in no statement, or in two, is a dispute."""
-    book = FencedStore(str(tmp_path / "b"), PLANS)
-    collector = periods.Collector("n1", "n1:1", 1, 10.0)
+    book = FencedStore(str(tmp_path / "b"), DUTY_SCHEMAS)
+    collector = periods.ConsumptionCollector("n1", "n1:1", 1, 10.0)
     for wall, team in ((1.0, "x"), (2.0, "x"), (12.0, "y")):
-        collector.served(wall, team, "c", 0.5)
-    rows = collector.rows()
-    assert collector.rows() == rows  # until they are kept
+        collector.record(wall, team, "c", 0.5)
+    rows = collector.pending_rows()
+    assert collector.pending_rows() == rows  # until they are kept
     for _ in range(2):  # the answer to the first flush was lost
-        book.note(lambda base: periods.add(base, rows))
-    collector.kept(rows)
-    assert collector.rows() == []
+        book.write(lambda base: periods.insert_rows(base, rows))
+    collector.confirm(rows)
+    assert collector.pending_rows() == []
     for number, period in enumerate((0, 0, 1), 1):  # a new owner closes period 0 once more
-        book.admit(Act(("periods", 0), number, 1), "close", {"shard": 0, "period": period})
-    collector.served(3.0, "x", "c", 0.5)  # late
-    book.note(lambda base: periods.add(base, collector.rows()))
-    book.admit(Act(("periods", 0), 4, 1), "close", {"shard": 0, "period": 2})
+        book.admit(EffectRequest(("periods", 0), number, 1), "close", {"shard": 0, "period": period})
+    collector.record(3.0, "x", "c", 0.5)  # late
+    book.write(lambda base: periods.insert_rows(base, collector.pending_rows()))
+    book.admit(EffectRequest(("periods", 0), 4, 1), "close", {"shard": 0, "period": 2})
     assert book.read("select team, period, count, worth from statement order by period, team") == [
         ("x", 0, 2, 1000),
         ("y", 1, 1, 500),
         ("x", 2, 1, 500),
     ]
-    assert read_book(book) is None
+    assert find_store_violation(book) is None
     book.close()
 
 
 def test_periods_follow_what_is_closed_and_not_the_wall_clock() -> None:
     """Guards a clock that steps an hour: no period is left out, and none is closed while it may still grow."""
-    assert periods.due(100.0, 10.0, 2.0, 8) is None and periods.due(102.0, 10.0, 2.0, 8) == 9
-    assert periods.due(3702.0, 10.0, 2.0, 8) == 9  # an hour forward: the next one, not the newest
-    assert periods.due(-3500.0, 10.0, 2.0, 8) is None
+    assert periods.period_to_close(100.0, 10.0, 2.0, 8) is None and periods.period_to_close(102.0, 10.0, 2.0, 8) == 9
+    assert periods.period_to_close(3702.0, 10.0, 2.0, 8) == 9  # an hour forward: the next one, not the newest
+    assert periods.period_to_close(-3500.0, 10.0, 2.0, 8) is None
 
 
 def test_a_rollout_takes_at_most_k_and_its_share_and_counts_who_is_away_anyway() -> None:
     """Guards capacity: a member that died by itself is away too."""
-    places = [restart.Place(f"m{n}", 1.0, restart.Stage.WAITING, f"s{n}") for n in range(8)]
-    assert restart.choose(places, frozenset(), 3, 0.25) == ["m0", "m1"]
-    assert restart.choose(places, frozenset({"m7"}), 3, 0.25) == ["m0"]
-    assert restart.choose(places, frozenset({"m6", "m7"}), 3, 0.25) == []
-    assert restart.choose(places[:2], frozenset(), 1, 0.25) == ["m0"]  # a small fleet gets through
-    permitted = [restart.Place("m0", 1.0, restart.Stage.PERMITTED, "s0")]
-    assert restart.finished(permitted, {"m0": ("s0", True)}) == []  # not gone yet
-    assert restart.finished(permitted, {"m0": ("s0b", False)}) == []
-    assert restart.finished(permitted, {"m0": ("s0b", True)}) == ["m0"]
-    member = restart.Obedience()
-    assert member.obeys(5) and member.obeys(5) and not member.obeys(4)
+    places = [restart.RolloutMember(f"m{n}", 1.0, restart.RolloutStage.WAITING, f"s{n}") for n in range(8)]
+    assert restart.choose_permitted(places, frozenset(), 3, 0.25) == ["m0", "m1"]
+    assert restart.choose_permitted(places, frozenset({"m7"}), 3, 0.25) == ["m0"]
+    assert restart.choose_permitted(places, frozenset({"m6", "m7"}), 3, 0.25) == []
+    assert restart.choose_permitted(places[:2], frozenset(), 1, 0.25) == ["m0"]  # a small fleet gets through
+    permitted = [restart.RolloutMember("m0", 1.0, restart.RolloutStage.PERMITTED, "s0")]
+    assert restart.find_restarted(permitted, {"m0": restart.MemberReport("s0", True)}) == []  # not gone yet
+    assert restart.find_restarted(permitted, {"m0": restart.MemberReport("s0b", False)}) == []
+    assert restart.find_restarted(permitted, {"m0": restart.MemberReport("s0b", True)}) == ["m0"]
+    member = restart.PermitGuard()
+    assert member.accept(5) and member.accept(5) and not member.accept(4)
 
 
 @given(st.floats(1, 1000), st.dictionaries(st.text("ab", min_size=1, max_size=4), st.floats(0, 500), max_size=12))
 def test_dealt_rates_sum_to_the_contract_and_are_fair(rate: float, needs: dict[str, float]) -> None:
     """Guards both ends: more than the contract is overspent, less is service that was paid for."""
-    dealt = budgets.deal(rate, needs)
+    dealt = budgets.max_min_fair_rates(rate, needs)
     if needs:
         assert sum(dealt.values()) == pytest.approx(rate)
         starved = [name for name in needs if dealt[name] < needs[name] - 1e-6]
@@ -322,14 +325,14 @@
 )
 def test_what_may_still_be_out_is_never_dealt_again(wanted: dict[str, float], out: dict[str, float]) -> None:
     """Guards an owner change: the old owner's grants run on at members that do not know of the new one."""
-    grants = budgets.dealt_now(100.0, {k: min(v, 100.0 / 6) for k, v in wanted.items()}, out)
+    grants = budgets.grantable_rates(100.0, {k: min(v, 100.0 / 6) for k, v in wanted.items()}, out)
     alive = sum(max(grants.get(name, 0.0), out.get(name, 0.0)) for name in {*grants, *out})
     assert alive <= max(100.0, sum(out.values())) + 1e-6
 
 
 def test_a_purse_keeps_to_its_grant_and_falls_back_when_it_ends() -> None:
     """Guards a member cut off from the dealer: neither the old grant for ever, nor nothing."""
-    purse = budgets.Purse(rate=100.0, members=4, fallback=0.2, burst=1.0)
+    purse = budgets.QuotaBucket(rate=100.0, members=4, fallback_share=0.2, burst_s=1.0)
     purse.grant(0.0, 0.0, 50.0, 2.0, 1)
     spent: Counter[int] = Counter()
     for tick in range(5000):
@@ -338,29 +341,32 @@
     assert 45 <= spent[1] <= 55
     assert spent[3] + spent[4] <= 2 * 5 + 5  # the static part: 100 * 0.2 / 4 a second
     purse.grant(9.0, 5.0, 50.0, 2.0, 2)  # asked for at 5: over
-    assert purse.take(9.0) is None and purse.until == 2.0
+    assert purse.take(9.0) is None and purse.granted_until == 2.0
     purse.grant(10.0, 10.0, 50.0, 2.0, 3)
     purse.grant(13.0, 13.0, 50.0, 2.0, 3)  # the same round, for over a span: its dealer is gone
-    assert purse.until == 12.0
+    assert purse.granted_until == 12.0
 
 
 def test_a_dealer_that_owns_a_contract_again_counts_what_another_dealt_meanwhile() -> None:
     """Guards a process that loses its shard and gets it back: what it remembers of grants is not what is out."""
-    book = FencedStore(":memory:", {"budgets": budgets.PLAN})
+    book = FencedStore(":memory:", {"budgets": budgets.DUTY_SCHEMA})
     numbers: Counter[int] = Counter()
 
     def dealer(token: int) -> Any:
         def act(effect: str, detail: Any) -> Any:
             numbers[token] += 1
-            return book.admit(Act(("budgets", 0), token, numbers[token]), effect, detail).answer
+            return book.admit(EffectRequest(("budgets", 0), token, numbers[token]), effect, detail).answer
 
         return act
 
     def need(member: str, need: float, seen: int) -> None:
         adopted = book.read("select coalesce(max(round), 0) from budget_round")[0][0] if member == "y" else 0
-        book.note(lambda base: budgets.tell(base, "c", member, need, seen, adopted))
+        book.write(lambda base: budgets.report_demand(base, "c", member, need, seen, adopted))
 
-    first, other = budgets.Dealing({"c": 100.0}, 6.0, book.read), budgets.Dealing({"c": 100.0}, 6.0, book.read)
+    first, other = (
+        budgets.QuotaDistribution({"c": 100.0}, 6.0, book.read),
+        budgets.QuotaDistribution({"c": 100.0}, 6.0, book.read),
+    )
     need("x", 10.0, 1)
     first.step(0, dealer(1), 0.0)
     need("x", 100.0, 2)
@@ -381,13 +387,13 @@
     """What the duty does at one step, on a book with one rollout."""
     done: list[tuple[str, Any]] = []
     for name, report in reports.items():
-        book.note(lambda base, name=name, report=report: restart.report(base, name, *report))
-    duty = restart.Rolling(book.read, lambda: 7, lambda: serving)
+        book.write(lambda base, name=name, report=report: restart.report_member(base, name, *report))
+    duty = restart.RollingRestart(book.read, lambda: 7, lambda: serving)
     number = book.read("select count(*) from fence_log")[0][0]
 
     def act(effect: str, detail: Any) -> Any:
         done.append((effect, detail))
-        return book.admit(Act(("restart", 0), 7, number + len(done)), effect, detail).answer
+        return book.admit(EffectRequest(("restart", 0), 7, number + len(done)), effect, detail).answer
 
     for _ in range(3):
         duty.step(0, act, 0.0)
@@ -397,9 +403,9 @@
 def test_a_rollout_takes_only_members_that_serve_and_obey_and_counts_the_dead_as_away() -> None:
     """Guards a rollout from waiting for ever for an operator's session or a member that does not obey, and capacity
     from one that died while its last word was that it is ready."""
-    book = FencedStore(":memory:", PLANS)
+    book = FencedStore(":memory:", DUTY_SCHEMAS)
     assert rolling({}, {}, book) == []  # nobody ordered anything
-    book.note(lambda base: restart.order(base, "r", 1, 0.5, 1))
+    book.write(lambda base: restart.order_rollout(base, "r", 1, 0.5, 1))
     all_up = {name: (f"{name}1", True, name != "deaf") for name in ("a", "b", "deaf", "dead")}
     assert rolling({}, {}, book) == []  # nobody is there: no act, again and again
     done = rolling(all_up, {"a": 1.0, "b": 1.0, "deaf": 1.0, "dead": 1.0, "operator-1": 1.0}, book)
@@ -416,28 +422,28 @@
     sent: list[tuple[int, str]] = []
 
     class Deaf:
-        def admit(self, act: Act, effect: str, detail: Any) -> Admission:
+        def admit(self, act: EffectRequest, effect: str, detail: Any) -> Admission:
             sent.append((act.number, detail))
             if len(sent) <= 6:
                 raise FencedStoreError("no answer")
             return Admission(Verdict.ADMIT, act.token, 1, "yes")
 
     shard: Shard = ("w", 0)
-    member = Member(MemberRecord("a", "a1"), [shard], Rules(), Random(1))
+    member = Member(MemberRecord("a", "a1"), [shard], MembershipRules(), Random(1))
     clock = SimClock()
-    op = member.next(0.0)
+    op = member.next_operation(0.0)
     assert op is not None
-    member.done(0.0, op, Completed(Joined(5, 1)))
-    member.held[shard] = 7
+    member.record_outcome(0.0, op, Completed(SessionGrant(5, 1)))
+    member.tokens[shard] = 7
     agent = Agent(member, SqliteCoordinator(":memory:", clock), Deaf(), [], clock)
     agent._wake.set()  # nothing is waited for
-    standing = Standing(7)
+    standing = ShardProgress(7)
     for detail in ("one", "one", "two"):
         if len(sent) < 6:
             with pytest.raises(FencedStoreError):
-                agent._act(shard, standing, "e", detail)
+                agent._apply_effect(shard, standing, "e", detail)
         else:
-            assert agent._act(shard, standing, "e", detail) == "yes"
+            assert agent._apply_effect(shard, standing, "e", detail) == "yes"
     assert sent == [(1, "one")] * 6 + [(2, "two")] and standing.number == 2
 
 
@@ -499,20 +505,22 @@
 
     def view(*weights: float) -> View:
         seen = tuple(
-            Seen(n, MemberRecord(f"m{n}", f"s{n}", Serves.SERVING, weight)) for n, weight in enumerate(weights)
+            ListedMember(n, MemberRecord(f"m{n}", f"s{n}", Serves.SERVING, weight)) for n, weight in enumerate(weights)
         )
         return View(1, seen, {}, {})
 
     def moved_by(there: View, until: float, overloaded: Callable[[float], bool], before: View | None = None) -> int:
-        strain, now = OverloadDetector(OverloadRules(after=2.0, pace=0.5)), 0.0
+        strain, now = OverloadDetector(OverloadRules(sustained_for=2.0, shed_interval=0.5)), 0.0
         held = {shard: n for n, shard in enumerate(shards[:4])}
         if before is not None:
-            strain.told(now, 0, 0, True)
-            strain.due(2.0, "m0", 1.0, before, {}, 12)
-            assert strain.due(2.0, "m0", 1.0, before, {shards[11]: 1}, 12) is None  # one is less than its part
+            strain.observe(now, 0, 0, True)
+            strain.shard_to_shed(2.0, "m0", 1.0, before, {}, 12)
+            assert (
+                strain.shard_to_shed(2.0, "m0", 1.0, before, {shards[11]: 1}, 12) is None
+            )  # one is less than its part
         while now < until:
-            strain.told(now, 0, 0, overloaded(now))
-            shard = strain.due(now, "m0", 1.0, there, held, 12)
+            strain.observe(now, 0, 0, overloaded(now))
+            shard = strain.shard_to_shed(now, "m0", 1.0, there, held, 12)
             if shard is not None:
                 assert held.pop(shard) == max([*held.values(), -1]) + 1  # the last that it took
             now += 0.1
@@ -527,38 +535,42 @@
     assert moved_by(view(1.0), 10.0, lambda now: True) == 0  # nobody there
     assert moved_by(view(1.0, 0.5, 0.5), 10.0, lambda now: True, even) == 0  # all the others are strained too
     assert moved_by(view(1.0, 0.5, 1.0), 10.0, lambda now: True, even) == 1
-    strain, answers, refusals = OverloadDetector(OverloadRules(after=2.0)), 0, 0
+    strain, answers, refusals = OverloadDetector(OverloadRules(sustained_for=2.0)), 0, 0
     for n in range(40):  # a tenth refused is no overload, three tenths are
         answers, refusals = answers + 10, refusals + (1 if n < 20 else 3)
-        strain.told(n * 0.2, answers, refusals, False)
-        assert strain.strained(n * 0.2) == (n > 30), n
-    strain.told(8.0, answers, refusals, False)
-    assert strain.strained(8.0)  # nothing answered says nothing
+        strain.observe(n * 0.2, answers, refusals, False)
+        assert strain.overloaded(n * 0.2) == (n > 30), n
+    strain.observe(8.0, answers, refusals, False)
+    assert strain.overloaded(8.0)  # nothing answered says nothing
 
 
 def test_what_purses_spill_is_dealt_once_more_up_to_the_stated_part() -> None:
     """Guards the contract's use where many small members each waste a little, and its bound whatever they claim."""
-    book = FencedStore(":memory:", {"budgets": budgets.PLAN})
+    book = FencedStore(":memory:", {"budgets": budgets.DUTY_SCHEMA})
     numbers = [0]
 
     def act(effect: str, detail: Any) -> Any:
         numbers[0] += 1
-        return book.admit(Act(("budgets", 0), 1, numbers[0]), effect, detail).answer
+        return book.admit(EffectRequest(("budgets", 0), 1, numbers[0]), effect, detail).answer
 
     def dealt(spill: float) -> float:
         for n in range(2):
             for member in ("a", "b"):
-                book.note(lambda base, n=n, member=member: budgets.tell(base, "c", member, 90.0, n, numbers[0], spill))
-        budgets.Dealing({"c": 100.0}, 6.0, book.read).step(0, act, 100.0 * numbers[0])
+                book.write(
+                    lambda base, n=n, member=member: budgets.report_demand(
+                        base, "c", member, 90.0, n, numbers[0], spill
+                    )
+                )
+        budgets.QuotaDistribution({"c": 100.0}, 6.0, book.read).step(0, act, 100.0 * numbers[0])
         return float(book.read("select sum(rate) from budget_grant")[0][0])
 
     assert dealt(0.0) == pytest.approx(100.0)
-    book.note(lambda base: base.execute("delete from budget_need"))
-    assert dealt(50.0) == pytest.approx(100.0 * (1 + budgets.OVER))
-    purse = budgets.Purse(rate=100.0, members=2, fallback=0.1, burst=1.0)
-    purse.need(0.0)
+    book.write(lambda base: base.execute("delete from budget_need"))
+    assert dealt(50.0) == pytest.approx(100.0 * (1 + budgets.MAX_OVERFLOW_SHARE))
+    purse = budgets.QuotaBucket(rate=100.0, members=2, fallback_share=0.1, burst_s=1.0)
+    purse.measure_demand(0.0)
     purse.grant(0.0, 0.0, 50.0, 100.0, 1)
     for n in range(1, 40):
-        purse.need(float(n))
-    assert purse.spill == pytest.approx(50.0, rel=0.01)  # nobody asks: all runs over
+        purse.measure_demand(float(n))
+    assert purse.overflow_rate == pytest.approx(50.0, rel=0.01)  # nobody asks: all runs over
     book.close()
--- a/tests/test_ownership_budgets.py
+++ b/tests/test_ownership_budgets.py
@@ -9,10 +9,10 @@
 
 from lapishaven.lab.field import Field
 from lapishaven.lab.field.tier import Call, Tier
-from lapishaven.ownership.command import read_book
+from lapishaven.ownership.command import find_store_violation
 from lapishaven.ownership.duties import budgets
 from lapishaven.ownership.fenced_store import FencedStore
-from lapishaven.ownership.participant import PLANS
+from lapishaven.ownership.participant import DUTY_SCHEMAS
 
 RATE, FALLBACK, MEMBERS = 60.0, 0.1, 3
 PARTY = {"HTTP_X_TEAM": "t", "HTTP_X_SERVICE": "s"}
@@ -77,15 +77,15 @@
         calls, started, killed = asyncio.run(work())
         assert {call.status for call in calls if call.at < killed - 0.5} == {200, 503}
         ran = sorted(call.at for call in calls if call.status == 200)
-        bound = RATE * (1.0 + FALLBACK + budgets.OVER)
+        bound = RATE * (1.0 + FALLBACK + budgets.MAX_OVERFLOW_SHARE)
         for begin in range(int(ran[-1] - started) - 4):  # over any 4 s, beside what purses may hold
             count = sum(started + begin <= at < started + begin + 4.0 for at in ran)
-            assert count <= 4.0 * bound + budgets.DEEP * MEMBERS, begin
+            assert count <= 4.0 * bound + budgets.MIN_BUCKET_DEPTH * MEMBERS, begin
         used = sum(killed - 4.0 <= at < killed for at in ran) / (4.0 * RATE)
         assert used >= 0.88, used  # even parts would give 0.83
         after = sum(at >= ran[-1] - 3.0 for at in ran) / (3.0 * RATE)
         assert after >= 0.88, after  # an heir deals on, and what the dead had is dealt again
-    book = FencedStore(str(tmp_path / "book.db"), PLANS)
-    assert read_book(book) is None
+    book = FencedStore(str(tmp_path / "book.db"), DUTY_SCHEMAS)
+    assert find_store_violation(book) is None
     assert book.read("select count(distinct token) from fence_log where duty = 'budgets'")[0][0] >= 2
     book.close()
--- a/tests/test_ownership_field.py
+++ b/tests/test_ownership_field.py
@@ -17,9 +17,9 @@
 from lapishaven.lab.field import Field
 from lapishaven.lab.field.member_process import FAST, Team, evenly
 from lapishaven.lab.field.relay import Mode, Relays
-from lapishaven.ownership.command import read_book
+from lapishaven.ownership.command import find_store_violation
 from lapishaven.ownership.fenced_store import FencedStore
-from lapishaven.ownership.participant import PLANS
+from lapishaven.ownership.participant import DUTY_SCHEMAS
 
 
 @pytest.fixture(params=["sqlite", "etcd"])
@@ -274,7 +274,7 @@
     with Field() as field:
         team = Team(field, "sqlite")
         names = [f"m{n}" for n in range(40)]
-        slow = {**FAST, "ttl": 3.0, "margin": 0.3, "poll": 0.3, "spread": 0.5}
+        slow = {**FAST, "ttl": 3.0, "margin": 0.3, "poll_interval": 0.3, "rejoin_spread": 0.5}
         for name in names:
             team.start(name, shards=80, every=0.5, rules=slow)
 
@@ -323,8 +323,8 @@
         served = [line for line in list(field.lines) if line["what"] == "served"]
         count = sum(line["count"] for line in served)
         field.kill("b")
-        checked = FencedStore(str(book), PLANS)
-        assert read_book(checked) is None
+        checked = FencedStore(str(book), DUTY_SCHEMAS)
+        assert find_store_violation(checked) is None
         # All that a server knew to be in the book is there, in one statement or in none yet.
         rows = set(checked.read("select start, number from consumption"))
         assert {(line["who"], number) for line in served for number in line["numbers"]} <= rows
--- a/tests/test_ownership_participant.py
+++ b/tests/test_ownership_participant.py
@@ -12,7 +12,7 @@
 from lapishaven.core.contracts import Contract, Contracts
 from lapishaven.ownership import command
 from lapishaven.ownership.fenced_store import FencedStore
-from lapishaven.ownership.participant import PLANS, Participant
+from lapishaven.ownership.participant import DUTY_SCHEMAS, Participant
 from lapishaven.ownership.settings import load
 
 TERMS = [Contract("t", "s", 0, 1.0, "interpreter", 80.0, 80.0)]
@@ -52,12 +52,14 @@
     """Guards the dealing on real threads and files: the busy one gets what the idle one does not ask for."""
     _, there = parts
     books = {name: Contracts(TERMS, part) for name, part in there.items()}
-    busy = there["a"]._purses["t/s/fuzzy"]
+    busy = there["a"]._quota
+    assert busy is not None
+    bucket = busy.buckets["t/s/fuzzy"]
 
     def ask() -> bool:
         for _ in range(10):
             books["a"].admit(0.0, ("t", "s", 0))
-        return busy.granted > 60.0
+        return bucket.granted_rate > 60.0
 
     until("a grant of most of the rate", ask)
     served, began = 0, time.monotonic()
@@ -107,7 +109,7 @@
             part.request_served("t", "c", 1.0, key)
     finally:
         part.close()
-    book = FencedStore(str(tmp_path / "b.db"), PLANS)
+    book = FencedStore(str(tmp_path / "b.db"), DUTY_SCHEMAS)
     assert book.read("select sum(count) from consumption") == [(3,)]
     assert book.read("select ready from restart_report") == [(0,)]
     book.close()
--- a/tests/test_ownership_serve.py
+++ b/tests/test_ownership_serve.py
@@ -25,9 +25,9 @@
 from lapishaven.lab.handover.caller import Caller, Load, arrivals
 from lapishaven.lab.handover.platform import Platform, Process
 from lapishaven.lab.interpreter import Box, Interpreter
-from lapishaven.ownership.command import read_book
+from lapishaven.ownership.command import find_store_violation
 from lapishaven.ownership.fenced_store import FencedStore
-from lapishaven.ownership.participant import PLANS
+from lapishaven.ownership.participant import DUTY_SCHEMAS
 from lapishaven.proto import jsonrpc
 
 ROOT = Path(__file__).parent.parent
@@ -140,8 +140,8 @@
             assert sorted(left) == sorted(fleet.nodes)
             starts: Counter[str] = Counter(name for _, what, name in fleet.events if what == "start")
             assert set(starts.values()) == {2}
-        book = FencedStore(str(tmp_path / "book.db"), PLANS)
-        assert read_book(book) is None
+        book = FencedStore(str(tmp_path / "book.db"), DUTY_SCHEMAS)
+        assert find_store_violation(book) is None
         acts = book.read("select effect, answer from fence_log where duty = 'restart' order by position")
         book.close()
         away = most = 0
