--- a/lapishaven/lab/field/clock.py
+++ b/lapishaven/lab/field/clock.py
@@ -14,11 +14,14 @@
         self.drift, self.offset = drift, offset
 
     def now(self) -> float:
+        """Seconds, with the drift."""
         true = self._system.now()
         return true + (true - self._start) * self.drift
 
     def wall(self) -> float:
+        """Unix time in seconds, with the offset."""
         return self._system.wall() + self.offset
 
     def true(self) -> float:
+        """Seconds without faults: the same clock for all processes."""
         return self._system.now()
--- a/lapishaven/lab/field/long.py
+++ b/lapishaven/lab/field/long.py
@@ -38,6 +38,7 @@
     fenced: bool = True
 
     def run(self) -> dict[str, Any]:
+        """Run it; gives its figures."""
         with Field() as field:
             self._field, self._team = field, Team(field, self.coordinator, self.fenced)
             began = time.monotonic()
@@ -163,6 +164,7 @@
 
 
 def main() -> None:
+    """Run one case and print its figures as JSON."""
     print(json.dumps(Long(**json.loads(sys.argv[1])).run()))
 
 
--- a/lapishaven/lab/field/member_process.py
+++ b/lapishaven/lab/field/member_process.py
@@ -69,6 +69,7 @@
         return broken(rows, lines) if rows else "nothing took effect"
 
     def check(self) -> None:
+        """Assert that all properties hold."""
         assert self.broken() is None, self.broken()
 
     def pair(self, **spec: Any) -> tuple[str, str, int]:
--- a/lapishaven/lab/field/process.py
+++ b/lapishaven/lab/field/process.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from lapishaven.lab.field.clock import FaultyClock
-from lapishaven.ownership.agent import Agent, Duty, Receiver
+from lapishaven.ownership.agent import Agent, ApplyEffect, Duty, Receiver
 from lapishaven.ownership.coordinators.sqlite import SqliteCoordinator
 from lapishaven.ownership.duties import periods
 from lapishaven.ownership.fenced_store import DutySchema, FencedStore, FencedStoreError
@@ -42,40 +42,45 @@
 
 
 class Ticking:
-    """The field's own duty: a row for each act, as fast as it is told to."""
+    """The field's own duty: a row for each effect, every so many seconds."""
 
     name = "tick"
 
     def __init__(self, who: str, shards: int, every: float) -> None:
         self.shards, self._who, self._every = shards, who, every
 
-    def step(self, number: int, act: Callable[[str, Any], Any], now: float) -> float:
-        act("tick", {"shard": number, "who": self._who})
+    def step(self, shard_number: int, apply_effect: ApplyEffect, now: float) -> float:
+        """Insert one row."""
+        apply_effect("tick", {"shard": shard_number, "who": self._who})
         return self._every
 
 
 class Serving(threading.Thread):
-    """What a server does beside its duties: it serves, and puts what it served into the book. Each row that is known to
-    be in the book is told, with its count."""
+    """What a server does beside its duties: it serves, and stores what it served. Each row that is known to be stored
+    is reported, with its count."""
 
     def __init__(
-        self, book: FencedStore, name: str, start: str, told: Callable[[str, Mapping[str, Any]], None]
+        self, store: FencedStore, name: str, start: str, report: Callable[[str, Mapping[str, Any]], None]
     ) -> None:
         super().__init__(daemon=True)
-        self._book, self._told = book, told
+        self._store = store
+        self._report = report
         self._collector = periods.ConsumptionCollector(name, start, SHARDS, LENGTH)
 
     def run(self) -> None:
+        """Serve three teams for ever."""
         while True:
             for team in ("red", "green", "blue"):
                 self._collector.record(time.time(), team, "c", 1.0)
             rows = self._collector.pending_rows()
             try:
-                self._book.write(lambda base, rows=rows: periods.insert_rows(base, rows))  # type: ignore[misc]
+                self._store.write(lambda base, rows=rows: periods.insert_rows(base, rows))  # type: ignore[misc]
             except FencedStoreError:
                 continue
             self._collector.confirm(rows)
-            self._told("served", {"count": sum(row[7] for row in rows), "numbers": [row[2] for row in rows]})
+            self._report(
+                "served", {"count": sum(row.request_count for row in rows), "numbers": [row.number for row in rows]}
+            )
             time.sleep(0.03)
 
 
@@ -84,33 +89,35 @@
 
     def close(base: sqlite3.Connection, detail: Any) -> Any:
         points("in-act")
-        found = periods.close_period(base, detail)
+        answer = periods.close_period(base, detail)
         points("end-act")
-        return found
+        return answer
 
-    plan = DutySchema(periods.SCHEMA, periods.DUTY_SCHEMA.guarded_tables, {"close": close})
-    book = FencedStore(path, {"periods": plan})
-    return book, periods.PeriodClosing(
+    schema = DutySchema(periods.SCHEMA, periods.DUTY_SCHEMA.guarded_tables, {"close": close})
+    store = FencedStore(path, {"periods": schema})
+    return store, periods.PeriodClosing(
         SHARDS,
         LENGTH,
         0.1,
         time.time,
-        lambda shard: book.read("select max(period) from period_closed where shard = ?", (shard,))[0][0],
-        lambda shard: book.read("select min(period) from consumption where shard = ?", (shard,))[0][0],
+        lambda shard: store.read("select max(period) from period_closed where shard = ?", (shard,))[0][0],
+        lambda shard: store.read("select min(period) from consumption where shard = ?", (shard,))[0][0],
     )
 
 
 class Points:
-    """The probe: at an armed point the process stops or kills itself."""
+    """The fault points: at an armed one the process stops or kills itself."""
 
-    def __init__(self, told: Callable[[str, Mapping[str, Any]], None]) -> None:
+    def __init__(self, report: Callable[[str, Mapping[str, Any]], None]) -> None:
         self._armed: dict[str, tuple[str, int]] = {}
-        self._told = told
+        self._report = report
 
     def arm(self, point: str, what: str, count: int) -> None:
+        """Have the process ``stop`` or ``kill`` itself when it comes to ``point`` for the ``count``th time."""
         self._armed[point] = what, count
 
     def __call__(self, point: str) -> None:
+        """The process has come to ``point``."""
         armed = self._armed.get(point)
         if armed is None:
             return
@@ -119,69 +126,88 @@
             self._armed[point] = what, count - 1
             return
         del self._armed[point]
-        self._told("fault", {"point": point, "how": what})
+        self._report("fault", {"point": point, "how": what})
         # To this very thread, so that it goes no step further before the signal takes hold.
         signal.pthread_kill(threading.get_ident(), signal.SIGSTOP if what == "stop" else signal.SIGKILL)
 
 
-def main() -> None:
-    spec = json.loads(sys.argv[1])
-    clock = FaultyClock(spec.get("drift", 0.0), spec.get("offset", 0.0))
-    name, start = spec["name"], f"{spec['name']}:{os.getpid()}"
+class Process:
+    """The process that ``spec`` describes: a member with one duty, its coordinator and its receiver."""
+
+    def __init__(self, spec: Mapping[str, Any]) -> None:
+        self._spec = spec
+        self._clock = FaultyClock(spec.get("drift", 0.0), spec.get("offset", 0.0))
+        self._incarnation = f"{spec['name']}:{os.getpid()}"
+        self._points = Points(self._report)
+        for point in spec.get("arm", []):
+            self._points.arm(*point)
+        receiver, duty = self._receiver_and_duty()
+        record = MemberRecord(spec.get("alias", spec["name"]), self._incarnation)
+        shards = [(duty.name, number) for number in range(duty.shards)]
+        rules = MembershipRules(**spec.get("rules", {}))
+        self._member = Member(record, shards, rules, Random(spec["seed"]))
+        self._agent = Agent(
+            self._member,
+            self._coordinator(),
+            receiver,
+            [duty],
+            self._clock,
+            self._report,
+            self._points,
+            self._coordinator(),
+        )
 
-    def told(what: str, facts: Mapping[str, Any]) -> None:
-        line = json.dumps({"at": clock.true(), "who": start, "what": what, **facts}) + "\n"
+    def run(self) -> None:
+        """Work until the member has left."""
+        threading.Thread(target=self._listen, daemon=True).start()
+        self._report("start", {"pid": os.getpid()})
+        self._agent.start()
+        self._agent.join()
+        self._report("end", {"calls": self._agent.driver.call_count})
+
+    def _report(self, what: str, facts: Mapping[str, Any]) -> None:
+        line = json.dumps({"at": self._clock.true(), "who": self._incarnation, "what": what, **facts}) + "\n"
         os.write(1, line.encode())  # one write, so that a kill leaves no half of it behind
 
-    random = Random(spec["seed"])
-    points = Points(told)
-    for each in spec.get("arm", []):
-        points.arm(*each)
-    rules = MembershipRules(**spec.get("rules", {}))
-
-    def coordinator() -> Coordinator:
-        if "etcd" in spec:
+    def _coordinator(self) -> Coordinator:
+        if "etcd" in self._spec:
             from lapishaven.ownership.coordinators.etcd import EtcdCoordinator
 
-            return EtcdCoordinator("127.0.0.1", spec["etcd"], "/field", spec.get("timeout", 0.5))
-        return SqliteCoordinator(spec["coordinator"], clock)
-
-    duty: Duty
-    book: Receiver
-    if spec.get("duty") == "periods":
-        book, duty = closing(spec["book"], points)
-        Serving(FencedStore(spec["book"], {"periods": periods.DUTY_SCHEMA}), name, start, told).start()
-    else:
-        duty = Ticking(start, spec["shards"], spec.get("every", 0.05))
+            return EtcdCoordinator("127.0.0.1", self._spec["etcd"], "/field", self._spec.get("timeout", 0.5))
+        return SqliteCoordinator(self._spec["coordinator"], self._clock)
+
+    def _receiver_and_duty(self) -> tuple[Receiver, Duty]:
+        spec = self._spec
+        if spec.get("duty") == "periods":
+            store, closing_duty = closing(spec["book"], self._points)
+            flushed_store = FencedStore(spec["book"], {"periods": periods.DUTY_SCHEMA})
+            Serving(flushed_store, spec["name"], self._incarnation, self._report).start()
+            return store, closing_duty
+        duty = Ticking(self._incarnation, spec["shards"], spec.get("every", 0.05))
         if "receiver" in spec:
-            book = RemoteReceiver("127.0.0.1", spec["receiver"], spec.get("act_timeout", 1.0))
-        else:
-            book = FencedStore(spec["book"], {"tick": TICK})
-    member = Member(
-        MemberRecord(spec.get("alias", name), start), [(duty.name, n) for n in range(duty.shards)], rules, random
-    )
-    agent = Agent(member, coordinator(), book, [duty], clock, told, points, coordinator())
+            return RemoteReceiver("127.0.0.1", spec["receiver"], spec.get("act_timeout", 1.0)), duty
+        return FencedStore(spec["book"], {"tick": TICK}), duty
 
-    def listen() -> None:
+    def _listen(self) -> None:
+        """Obey the words on standard input until it ends."""
         for line in sys.stdin:
             words = json.loads(line)
             if "arm" in words:
-                points.arm(*words["arm"])
+                self._points.arm(*words["arm"])
             if "step" in words:
-                clock.offset += words["step"]
+                self._clock.offset += words["step"]
             if words.get("leave"):
-                agent.drain()
+                self._agent.drain()
             if "shed" in words:
-                with agent.driver.lock:
-                    member.shed(clock.now(), tuple(words["shed"]), 5.0)
-                agent.driver.wake()
-        agent.stop()  # the field is gone
-
-    threading.Thread(target=listen, daemon=True).start()
-    told("start", {"pid": os.getpid()})
-    agent.start()
-    agent.join()
-    told("end", {"calls": agent.driver.call_count})
+                with self._agent.driver.lock:
+                    self._member.shed(self._clock.now(), tuple(words["shed"]), 5.0)
+                self._agent.driver.wake()
+        self._agent.stop()  # the field has ended
+
+
+def main() -> None:
+    """Run the process that the first argument describes."""
+    Process(json.loads(sys.argv[1])).run()
 
 
 if __name__ == "__main__":
--- a/lapishaven/lab/field/receiver_process.py
+++ b/lapishaven/lab/field/receiver_process.py
@@ -1,4 +1,4 @@
-"""A receiver as a process of the field: a ``Book`` behind its address, with faults by word.
+"""A receiver as a process of the field: a ``FencedStore`` behind its address, with faults on request.
 
 ``{"full": true}`` leaves the file no more room (and false gives it back), ``{"copy": PATH}`` copies it as it is now,
 ``{"restore": PATH}`` puts such a copy back in its place, as after a restore from an older backup.
@@ -18,21 +18,24 @@
 from lapishaven.ownership.receiver import serve_receiver
 
 
-class FaultyBook(FencedStore):
-    """A book whose disk fills by word."""
+class FaultyStore(FencedStore):
+    """A store whose disk fills on request."""
 
     def full(self, yes: bool) -> None:
+        """Leave the file no more room, or give it back."""
         # No page more than there are: SQLite then says that the disk is full, as it would.
         self._base.execute(f"pragma max_page_count = {1 if yes else 1 << 30}")
 
     def swap(self, source: str, target: str) -> None:
+        """Copy one file over another."""
         with closing(sqlite3.connect(source)) as old, closing(sqlite3.connect(target)) as new:
             old.backup(new)
 
 
 def main() -> None:
+    """Serve the receiver that the first argument describes, until standard input ends."""
     spec = json.loads(sys.argv[1])
-    book = FaultyBook(spec["book"], {"tick": TICK}, fenced=spec.get("fenced", True))
+    book = FaultyStore(spec["book"], {"tick": TICK}, fenced=spec.get("fenced", True))
     _, port = serve_receiver("127.0.0.1", spec.get("port", 0), book)
 
     def say(what: str, **facts: Any) -> None:
--- a/lapishaven/lab/field/trial.py
+++ b/lapishaven/lab/field/trial.py
@@ -46,6 +46,7 @@
     _wakes: list[tuple[float, str, str]] = field(default_factory=list)
 
     def run(self) -> dict[str, Any]:
+        """Run it; gives its figures."""
         names = [f"m{n}" for n in range(self.members)]
         with Field() as there:
             self._field = there
@@ -201,6 +202,7 @@
 
 
 def main() -> None:
+    """Run one trial and print its figures as JSON."""
     print(json.dumps(Trial(**json.loads(sys.argv[1])).run()))
 
 
--- a/lapishaven/lab/modelcheck.py
+++ b/lapishaven/lab/modelcheck.py
@@ -2,8 +2,8 @@
 
 Three small models, each a transition system unrolled for so many steps: ``fence`` (pauses, delays, repeats, crashes of
 the receiver, owners that change at any time), ``lease`` (delays, losses, a holder's clock that drifts, sleeps; the
-states move by ``lease.TABLE`` itself) and ``claim`` (lost answers, crashes, hand-overs that come late). For each guard
-there is a mutant without it, which has to break a property; the models as they are must break none.
+states move by ``lease.TRANSITIONS`` itself) and ``claim`` (lost answers, crashes, transfers that come late). For each
+guard there is a mutant without it, which has to break a property; the models as they are must break none.
 
 ``python -m lapishaven.lab.modelcheck`` prints one JSON object: steps, seconds, and what each mutant broke.
 """
@@ -38,6 +38,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
+    """A transition system with its guards, and the properties that it has to keep."""
+
     name: str
     names: Sequence[str]
     start: dict[str, int]
@@ -48,6 +50,7 @@
 
 
 def n(value: int) -> Var:
+    """A number as a bit vector."""
     return z3.BitVecVal(value, BITS)
 
 
@@ -406,6 +409,7 @@
 
 
 def main() -> None:
+    """Check all models and their mutants, and print the report as JSON."""
     report: dict[str, Any] = {}
     ok = True
     for model in MODELS:
--- a/lapishaven/lab/ownership_simulation.py
+++ b/lapishaven/lab/ownership_simulation.py
@@ -13,97 +13,121 @@
 from lapishaven.ownership.member import Member
 from lapishaven.ownership.model import MemberRecord, Shard
 from lapishaven.ownership.notices import Notice
-from lapishaven.ownership.operations import Unknown
+from lapishaven.ownership.operations import Outcome, Unknown
 from lapishaven.ownership.rules import MembershipRules
 
-LEAST = 0.002  # s between two steps of a member
+MIN_STEP_S = 0.002  # between two steps of a member
+START_SPREAD_S = 0.01
+CALL_TIMEOUT_S = 0.5
 
 
 class SimClock:
+    """A clock that the simulation sets."""
+
     def __init__(self) -> None:
         self.time = 0.0
 
     def now(self) -> float:
+        """Simulated seconds."""
         return self.time
 
     def wall(self) -> float:
+        """The same: simulated wall clocks do not step."""
         return self.time
 
 
 @dataclass(slots=True)
-class Simulated:
+class SimulatedMember:
+    """A member, and all its notices with their times."""
+
     member: Member
     alive: bool = True
     notices: list[tuple[float, Notice]] = field(default_factory=list)
 
 
 class SimFleet:
-    """``run(until)`` moves time on; ``start``, ``kill`` and ``leave`` act now. ``latency`` in s for each call."""
+    """``run(until)`` moves time on; ``start``, ``kill`` and ``drain`` act now. ``latency`` in seconds for each call to
+    the coordinator."""
 
     def __init__(self, shards: int, seed: int, rules: MembershipRules | None = None, latency: float = 0.002) -> None:
-        self.clock, self.random = SimClock(), Random(seed)
+        self.clock = SimClock()
+        self.random = Random(seed)
         self.coordinator = SqliteCoordinator(":memory:", self.clock)
-        self.shards: Sequence[Shard] = [("work", n) for n in range(shards)]
-        self.rules, self._latency = rules or MembershipRules(), latency
-        self.members: dict[str, Simulated] = {}
+        self.shards: Sequence[Shard] = [("work", number) for number in range(shards)]
+        self.rules = rules or MembershipRules()
+        self.members: dict[str, SimulatedMember] = {}
         self.calls: Counter[str] = Counter()
-        self.away: Callable[[str], bool] = lambda name: False  # whom the coordinator does not answer
+        """Calls to the coordinator, by the operation's fault point."""
+        self.away: Callable[[str], bool] = lambda name: False
+        """Whether the coordinator does not answer the member of that name."""
+        self._latency = latency
         self._queue: list[tuple[float, int, str]] = []
-        self._count = 0
+        self._sequence = 0
 
     def start(self, name: str) -> None:
-        self._count += 1
-        member = Member(
-            MemberRecord(name, f"{name}:{self._count}"), self.shards, self.rules, Random(self.random.random())
-        )
-        self.members[name] = Simulated(member)
-        self._wake(self.clock.time + self.random.uniform(0.0, 0.01), name)
+        """Start a process."""
+        self._sequence += 1
+        record = MemberRecord(name, f"{name}:{self._sequence}")
+        member = Member(record, self.shards, self.rules, Random(self.random.random()))
+        self.members[name] = SimulatedMember(member)
+        self._schedule(self.clock.time + self.random.uniform(0.0, START_SPREAD_S), name)
 
     def kill(self, name: str) -> None:
+        """Kill a process: its lease runs out by itself."""
         self.members[name].alive = False
 
     def drain(self, name: str) -> None:
+        """Have a member transfer its shards and deregister."""
         self.members[name].member.drain(self.clock.time)
-        self._wake(self.clock.time, name)
-
-    def _wake(self, at: float, name: str) -> None:
-        self._count += 1
-        heappush(self._queue, (at, self._count, name))
+        self._schedule(self.clock.time, name)
 
     def run(self, until: float) -> None:
+        """Simulate up to an instant."""
         while self._queue and self._queue[0][0] <= until:
             at, _, name = heappop(self._queue)
             self.clock.time = max(self.clock.time, at)
-            one = self.members[name]
-            if not one.alive or one.member.deregistered:
-                continue
-            op = one.member.next_operation(self.clock.time)
-            one.notices += [(self.clock.time, notice) for notice in one.member.take_notices()]
-            if op is None:
-                self._wake(max(self.clock.time + LEAST, one.member.next_due()), name)
-                continue
-            self.calls[op.fault_point] += 1
-            sent, silent = self.clock.time, self.away(name)
-            outcome = Unknown() if silent else perform(self.coordinator, op, self.rules.ttl)
-            self.clock.time = sent  # what happens meanwhile is in the queue
-            took = 0.5 if silent else self._latency
-            one.member.record_outcome(sent + took, op, outcome)
-            self._wake(sent + took, name)
+            simulated = self.members[name]
+            if simulated.alive and not simulated.member.deregistered:
+                self._step(name, simulated)
         self.clock.time = max(self.clock.time, until)
 
+    def _step(self, name: str, simulated: SimulatedMember) -> None:
+        member = simulated.member
+        now = self.clock.time
+        operation = member.next_operation(now)
+        simulated.notices += [(now, notice) for notice in member.notices.take_all()]
+        if operation is None:
+            self._schedule(max(now + MIN_STEP_S, member.next_due()), name)
+            return
+        self.calls[operation.fault_point] += 1
+        if self.away(name):
+            outcome: Outcome = Unknown()
+            answered_at = now + CALL_TIMEOUT_S
+        else:
+            outcome = perform(self.coordinator, operation, self.rules.ttl)
+            answered_at = now + self._latency
+        member.record_outcome(answered_at, operation, outcome)
+        self._schedule(answered_at, name)
+
+    def _schedule(self, at: float, name: str) -> None:
+        self._sequence += 1
+        heappush(self._queue, (at, self._sequence, name))
+
     def owners(self) -> dict[Shard, list[str]]:
-        """Who may act on each shard now, by its own reckoning."""
-        found: dict[Shard, list[str]] = {shard: [] for shard in self.shards}
-        for name, one in self.members.items():
-            if one.alive:
-                for shard in one.member.tokens:
-                    if one.member.token(self.clock.time, shard) is not None:
-                        found[shard].append(name)
-        return found
+        """Who may act on each shard now, by its own clock."""
+        owners: dict[Shard, list[str]] = {shard: [] for shard in self.shards}
+        for name, simulated in self.members.items():
+            if simulated.alive:
+                for shard in simulated.member.assignment.tokens:
+                    if simulated.member.token(self.clock.time, shard) is not None:
+                        owners[shard].append(name)
+        return owners
 
     def counts(self) -> Counter[str]:
+        """How many shards each member owns."""
         return Counter(name for names in self.owners().values() for name in names)
 
     def moves(self, before: dict[Shard, list[str]]) -> int:
+        """Shards whose owners differ from ``before``."""
         now = self.owners()
         return sum(before[shard] != now[shard] for shard in self.shards)
--- a/lapishaven/ownership/agent.py
+++ b/lapishaven/ownership/agent.py
@@ -208,7 +208,7 @@
         """Take over which shards the member owns, and what their receiver is known to hold."""
         with self.driver.lock:
             self.member.expire_lease(now)
-            tokens = dict(self.member.tokens)
+            tokens = dict(self.member.assignment.tokens)
             effect_counts = self.member.view.effect_counts if self.member.view is not None else {}
         lost = [shard for shard, progress in self._progress.items() if tokens.get(shard) != progress.token]
         for shard in lost:
@@ -227,6 +227,7 @@
             return
 
         def apply_effect(effect: str, detail: Any) -> Any:
+            """Apply one effect on this shard."""
             return self._apply_effect(shard, progress, effect, detail)
 
         try:
@@ -277,7 +278,7 @@
         with self.driver.lock:
             if self._stopped or self.member.token(self.clock.now(), request.shard) != request.token:
                 raise NotOwnerError
-            self.member.begin_effect(request.shard)
+            self.member.assignment.begin_effect(request.shard)
         try:
             self._fault_point("before-act")
             try:
@@ -288,7 +289,7 @@
             self._fault_point("after-act")
         finally:
             with self.driver.lock:
-                self.member.end_effect(request.shard)
+                self.member.assignment.end_effect(request.shard)
             self.driver.wake()
         return admission
 
@@ -321,7 +322,7 @@
     def _record_effect_count(self, shard: Shard, progress: ShardProgress) -> None:
         """Record at the coordinator how many effects the receiver holds: each time that the count has doubled, and
         every ``EFFECT_COUNT_INTERVAL``."""
-        session = self.member.session
+        session = self.member.session.id
         if self._progress_coordinator is None or session is None:
             return
         count = progress.effect_count
--- a/lapishaven/ownership/driver.py
+++ b/lapishaven/ownership/driver.py
@@ -122,7 +122,7 @@
                 if self._draining:
                     self.member.drain(now)
                 operation = self.member.next_operation(now)
-                notices = self.member.take_notices()
+                notices = self.member.notices.take_all()
                 deregistered = self.member.deregistered
                 next_due = self.member.next_due()
             for notice in notices:
--- a/lapishaven/ownership/member.py
+++ b/lapishaven/ownership/member.py
@@ -17,9 +17,9 @@
 from random import Random
 
 from lapishaven.ownership.assignment import ShardAssignment
-from lapishaven.ownership.lease import NEVER, Lease, LeaseState
+from lapishaven.ownership.lease import NEVER, LeaseState
 from lapishaven.ownership.model import MemberRecord, MemberState, Shard, View
-from lapishaven.ownership.notices import Notice, NoticeKind, NoticeQueue
+from lapishaven.ownership.notices import NoticeKind, NoticeQueue
 from lapishaven.ownership.operations import (
     Announce,
     Claim,
@@ -51,81 +51,46 @@
         self.rules = rules
         self.view: View | None = None
         """The latest state that was read in this session."""
+        self.notices = NoticeQueue()
+        """Events since the driver last took them."""
         self.draining = False
         self.deregistered = False
         """Whether the member has left for good."""
-        self._notices = NoticeQueue()
         self._schedule = OperationSchedule(rules, random)
-        self._session = MemberSession(record, rules, random, self._schedule, self._notices)
-        self._assignment = ShardAssignment(record.name, record.weight, shards, rules, random, self._notices)
+        self.session = MemberSession(record, rules, random, self._schedule, self.notices)
+        self.assignment = ShardAssignment(record.name, record.weight, shards, rules, random, self.notices)
         self._revision = NO_REVISION
         self._view_outdated = True  # the coordinator's state is known to be newer than the view
 
     # ---- For duties and the driver
-    @property
-    def session(self) -> int | None:
-        """The session's id; None while there is none."""
-        return self._session.id
-
-    @property
-    def lease(self) -> Lease:
-        """The session's lease."""
-        return self._session.lease
-
-    @property
-    def shards(self) -> tuple[Shard, ...]:
-        """All shards of the fleet's duties."""
-        return self._assignment.shards
-
-    @property
-    def tokens(self) -> dict[Shard, int]:
-        """The fencing tokens of the shards that this member owns while its lease lasts."""
-        return self._assignment.tokens
-
     def token(self, now: float, shard: Shard) -> int | None:
         """The fencing token to act with on a shard; None where this member may not act (any more)."""
-        return self.tokens.get(shard) if self.lease.usable(now) else None
-
-    def take_notices(self) -> list[Notice]:
-        """Remove and return the notices since the last call."""
-        return self._notices.take_all()
-
-    def begin_effect(self, shard: Shard) -> None:
-        """An effect on the shard is in flight; the shard is not transferred before ``end_effect``."""
-        self._assignment.begin_effect(shard)
-
-    def end_effect(self, shard: Shard) -> None:
-        """The effect on the shard was answered, or given up."""
-        self._assignment.end_effect(shard)
+        return self.assignment.tokens.get(shard) if self.session.lease.usable(now) else None
 
     def effect_rejected(self, now: float, shard: Shard, token: int, token_in_force: int) -> None:
         """A receiver rejected an effect as an older owner's. The process was away for longer than its lease, so the
         session and all its shards are given up."""
-        self._notices.add(NoticeKind.EFFECT_REJECTED, shard, token, f"{token_in_force} is in force")
-        if self.tokens.get(shard) == token:
+        self.notices.add(NoticeKind.EFFECT_REJECTED, shard, token, f"{token_in_force} is in force")
+        if self.assignment.tokens.get(shard) == token:
             self._lose_session(now, "a newer owner has acted")
 
     def shed(self, now: float, shard: Shard, duration: float) -> None:
         """Transfer a shard to another member because of overload, and announce half the weight for ``duration``
         seconds, so that none comes back in its place."""
-        self._assignment.shed(now, shard, duration, self.view)
-
-    def extend_shedding(self, now: float, duration: float) -> None:
-        """Announce half the weight for ``duration`` seconds from now, if the member does so already."""
-        self._assignment.extend_shedding(now, duration)
+        self.assignment.shed(now, shard, duration, self.view)
 
     def drain(self, now: float) -> None:
         """Transfer all shards, then deregister."""
         if not self.draining:
             self.draining = True
             self._schedule.drain(now)
-            self._notices.add(NoticeKind.DRAINING)
+            self.notices.add(NoticeKind.DRAINING)
 
     # ---- Time
     def expire_lease(self, now: float) -> None:
         """Give everything up once the lease has ended by the member's own clock."""
-        if self.lease.expire(now) and self.session is not None:
-            self._assignment.lose_all("its time is over")
+        if self.session.lease.expire(now) and self.session.id is not None:
+            self.assignment.lose_all("its time is over")
             self._rejoin(now)
 
     def next_due(self) -> float:
@@ -133,16 +98,16 @@
         if self.deregistered:
             return float("inf")
         schedule = self._schedule
-        if self.session is None:
+        if self.session.id is None:
             due = [schedule.quiet_until, schedule.read_state_at]
         else:
             due = [schedule.renew_at, schedule.read_revision_at]
-            if self._session.record.state is MemberState.JOINING:
+            if self.session.record.state is MemberState.JOINING:
                 due.append(schedule.settled_at)
-        if self._view_outdated or self._assignment.transfer_expected:
+        if self._view_outdated or self.assignment.transfer_expected:
             due.append(schedule.read_state_at)
-        if self.lease.expires_at > NEVER:
-            due.append(self.lease.expires_at)
+        if self.session.lease.expires_at > NEVER:
+            due.append(self.session.lease.expires_at)
         if self.draining:
             due.append(schedule.transfer_at)
         return min(due)
@@ -153,12 +118,12 @@
         self.expire_lease(now)
         if self.deregistered or now < self._schedule.quiet_until:
             return None
-        session = self.session
+        session = self.session.id
         if session is None:
             return self._next_without_session(now)
-        if self._session.renewal_due(now):
-            self._assignment.renew_claims()
-            return self._session.renew(now)
+        if self.session.renewal_due(now):
+            self.assignment.renew_claims()
+            return self.session.renew(now)
         if self.draining:
             return self._next_while_draining(now, session)
         return self._next_while_working(now, session)
@@ -167,15 +132,15 @@
         if self.draining:
             self.deregistered = True
             return None
-        if self.lease.state is LeaseState.UNCERTAIN:
+        if self.session.lease.state is LeaseState.UNCERTAIN:
             return ReadState()  # an attempt to join without answer is read back
-        if self.lease.state is LeaseState.REQUESTING:
+        if self.session.lease.state is LeaseState.REQUESTING:
             return None
-        return self._session.join(now)
+        return self.session.join(now)
 
     def _next_while_working(self, now: float, session: int) -> Operation | None:
-        assignment = self._assignment
-        announcement = self._session.announcement(now, assignment.weight(now), assignment.transfers_pending)
+        assignment = self.assignment
+        announcement = self.session.announcement(now, assignment.weight(now), assignment.transfers_pending)
         if announcement is not None:
             return announcement
         if now >= self._schedule.read_state_at and (self._view_outdated or assignment.transfer_expected):
@@ -183,38 +148,32 @@
         transfer = assignment.next_transfer(session)
         if transfer is not None:
             return transfer
-        if self._session.record.state is MemberState.SERVING:
+        if self.session.record.state is MemberState.SERVING:
             claim = assignment.next_claim(now, session)
             if claim is not None:
                 return claim
-        return self._poll_revision(now)
+        return self._schedule.poll_revision(now)
 
     def _next_while_draining(self, now: float, session: int) -> Operation | None:
-        if self._session.record.state is not MemberState.LEAVING:
-            return Announce(session, replace(self._session.record, state=MemberState.LEAVING))
+        if self.session.record.state is not MemberState.LEAVING:
+            return Announce(session, replace(self.session.record, state=MemberState.LEAVING))
         if now < self._schedule.transfer_at:
             if now >= self._schedule.read_state_at and self._view_outdated:
                 return ReadState()
-            return self._poll_revision(now)
-        transfer = self._assignment.next_draining_transfer(session, self.view)
+            return self._schedule.poll_revision(now)
+        transfer = self.assignment.next_draining_transfer(session, self.view)
         if transfer is not None:
             return transfer
-        if self.tokens and self.lease.usable(now):
+        if self.assignment.tokens and self.session.lease.usable(now):
             return None  # effects are in flight
         return Deregister(session)
 
-    def _poll_revision(self, now: float) -> Operation | None:
-        if now < self._schedule.read_revision_at:
-            return None
-        self._schedule.revision_read(now)
-        return ReadRevision()
-
     # ---- Outcomes
     def record_outcome(self, now: float, operation: Operation, outcome: Outcome) -> None:
         """What became of an operation, and when that was known."""
         if isinstance(operation, Join):
-            self._session.record_join(now, outcome)
-            self._view_outdated |= self.session is not None
+            self.session.record_join(now, outcome)
+            self._view_outdated |= self.session.id is not None
         elif isinstance(operation, Renew):
             self._record_renewal(now, operation, outcome)
         elif isinstance(operation, ReadState):
@@ -228,63 +187,63 @@
 
     def _record_change(self, now: float, operation: Announce | Claim | Transfer | Deregister, outcome: Outcome) -> None:
         if isinstance(operation, Claim):
-            self._view_outdated |= not self._assignment.record_claim(operation, outcome)
+            self._view_outdated |= not self.assignment.record_claim(operation, outcome)
         elif isinstance(operation, Announce):
             self._view_outdated = True
             if isinstance(outcome, Completed):
-                self._session.record = operation.record
+                self.session.record = operation.record
                 self._schedule.read_state_at = now
         elif isinstance(operation, Transfer):
             self._view_outdated = True
         else:
             self.deregistered = True
-            self._session.id = None
-            self._assignment.lose_all("it left")
+            self.session.id = None
+            self.assignment.lose_all("it left")
 
     def _record_renewal(self, now: float, operation: Renew, outcome: Outcome) -> None:
-        if operation.session != self.session:
+        if operation.session != self.session.id:
             return  # of an earlier session
         if isinstance(outcome, Completed):
-            self._session.renewal_completed()
+            self.session.renewal_completed()
             self._view_outdated |= outcome.value != self._revision
             self.expire_lease(now)  # the answer may have come after the lease ended
         elif isinstance(outcome, Unknown):
-            self._session.renewal_unanswered(now)
+            self.session.renewal_unanswered(now)
         else:
             self._lose_session(now, SESSION_OVER)
 
     def _record_state(self, now: float, outcome: Outcome) -> None:
-        self._schedule.state_read(now, self._assignment.transfer_expected)
+        self._schedule.state_read(now, self.assignment.transfer_expected)
         if isinstance(outcome, Completed) and isinstance(outcome.value, View):
             self._record_view(now, outcome.value)
-        elif self.session is None:
+        elif self.session.id is None:
             self._schedule.back_off(now)
 
     def _record_view(self, now: float, view: View) -> None:
-        listed = view.find_member(self._session.record.name)
-        session = self.session
+        listed = view.find_member(self.session.record.name)
+        session = self.session.id
         if session is None:
-            self._session.record_read_back(now, listed)
-            self._view_outdated |= self.session is not None
+            self.session.record_read_back(now, listed)
+            self._view_outdated |= self.session.id is not None
             return
-        if not self._session.is_current(listed):
+        if not self.session.is_current(listed):
             self._lose_session(now, "the coordinator does not list it")
             return
         self._set_view(view)
         self._view_outdated = False
-        self._assignment.update(now, session, view, self.draining)
-        if self._assignment.transfer_expected:
+        self.assignment.update(now, session, view, self.draining)
+        if self.assignment.transfer_expected:
             self._schedule.expect_transfer(now)
 
     # ---- The end of a session
     def _lose_session(self, now: float, reason: str) -> None:
-        self._session.revoke_lease()
-        self._assignment.lose_all(reason)
+        self.session.revoke_lease()
+        self.assignment.lose_all(reason)
         self._rejoin(now)
 
     def _rejoin(self, now: float) -> None:
         self._set_view(None)
-        self._session.reset(now)
+        self.session.reset(now)
 
     def _set_view(self, view: View | None) -> None:
         self.view = view
--- a/lapishaven/ownership/participant.py
+++ b/lapishaven/ownership/participant.py
@@ -195,11 +195,11 @@
         member = self.agent.member
         counters = self.agent.counters
         view = member.view
-        usable = member.lease.usable(self._clock.now())
+        usable = member.session.lease.usable(self._clock.now())
         return {
             "in": int(usable),
             "members": len(view.members) if view is not None else 0,
-            "shards": len(member.tokens) if usable else 0,
+            "shards": len(member.assignment.tokens) if usable else 0,
             "acts": counters.acts,
             "repeats": counters.repeats,
             "stale_refused": counters.stale,
@@ -258,14 +258,15 @@
         with driver.lock:
             now = self._clock.now()
             member = self.agent.member
+            assignment = member.assignment
             detector.observe(now, self._answers, self._rejections, self._reads_late)
             shard = detector.shard_to_shed(
-                now, self.name, self.settings.weight, member.view, member.tokens, len(member.shards)
+                now, self.name, self.settings.weight, member.view, assignment.tokens, len(assignment.shards)
             )
             if shard is not None:
                 member.shed(now, shard, detector.rules.recovery_time)
             elif detector.overloaded(now):
-                member.extend_shedding(now, detector.rules.recovery_time)
+                assignment.extend_shedding(now, detector.rules.recovery_time)
         if shard is not None:
             duty, number = shard
             self._log_event(NoticeKind.OVERLOADED.value, {"duty": duty, "shard": number})
--- a/lapishaven/ownership/receiver.py
+++ b/lapishaven/ownership/receiver.py
@@ -32,9 +32,12 @@
     lock = threading.Lock()
 
     class Handler(socketserver.StreamRequestHandler):
+        """One connection."""
+
         disable_nagle_algorithm = True
 
         def handle(self) -> None:
+            """Answer requests until the connection ends."""
             with suppress(OSError):
                 while line := self.rfile.readline(MAX_LINE_BYTES):
                     if not line.endswith(b"\n"):
--- a/lapishaven/ownership/schedule.py
+++ b/lapishaven/ownership/schedule.py
@@ -4,6 +4,7 @@
 
 from random import Random
 
+from lapishaven.ownership.operations import ReadRevision
 from lapishaven.ownership.rules import MembershipRules
 
 RENEWALS_PER_TTL = 3
@@ -50,9 +51,12 @@
         """Schedule the next renewal."""
         self.renew_at = now + self._rules.ttl / RENEWALS_PER_TTL * self._random.uniform(*RENEWAL_JITTER)
 
-    def revision_read(self, now: float) -> None:
-        """Schedule the next poll of the revision."""
+    def poll_revision(self, now: float) -> ReadRevision | None:
+        """A poll of the revision, if one is due; schedules the next."""
+        if now < self.read_revision_at:
+            return None
         self.read_revision_at = now + self._poll_delay()
+        return ReadRevision()
 
     def state_read(self, now: float, transfer_expected: bool) -> None:
         """Schedule the next read of the state, soon where a shard is about to be transferred to this member."""
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -214,9 +214,9 @@
     op = member.next_operation(0.0)
     assert op is not None
     member.record_outcome(0.1, op, Completed(SessionGrant(5, 1)))
-    member.tokens.update({("w", 0): 7, ("w", 1): 8})
+    member.assignment.tokens.update({("w", 0): 7, ("w", 1): 8})
     member.effect_rejected(0.2, ("w", 0), 7, 9)
-    assert member.session is None and not member.tokens and member.token(0.3, ("w", 1)) is None
+    assert member.session.id is None and not member.assignment.tokens and member.token(0.3, ("w", 1)) is None
     op = member.next_operation(9.0)
     assert isinstance(op, Join) and op.record.incarnation != "a1"
 
@@ -238,7 +238,7 @@
     look = member.next_operation(6.0)
     assert look is not None
     member.record_outcome(6.0, look, Completed(late))
-    assert member.session is None
+    assert member.session.id is None
 
 
 def test_a_renewal_without_answer_keeps_the_old_time() -> None:
@@ -248,7 +248,7 @@
     op = member.next_operation(0.0)
     assert op is not None
     member.record_outcome(0.1, op, Completed(SessionGrant(5, 1)))
-    member.tokens[("w", 0)] = 7
+    member.assignment.tokens[("w", 0)] = 7
     now, renewals = 0.1, 0
     while now < 4.0:
         op = member.next_operation(now)
@@ -434,7 +434,7 @@
     op = member.next_operation(0.0)
     assert op is not None
     member.record_outcome(0.0, op, Completed(SessionGrant(5, 1)))
-    member.tokens[shard] = 7
+    member.assignment.tokens[shard] = 7
     agent = Agent(member, SqliteCoordinator(":memory:", clock), Deaf(), [], clock)
     agent._wake.set()  # nothing is waited for
     standing = ShardProgress(7)
