--- a/lapishaven/load_balancing/balancer.py
+++ b/lapishaven/load_balancing/balancer.py
@@ -75,7 +75,7 @@
         choice = Choice(excluded, self._draw_probes(now, excluded), now + self.rules.probe_wait_s)
         for probe in choice.probes:
             probe.choice = choice
-            self._register_probe(now, probe)
+            self._count_probe(now, probe)
         return choice
 
     def _draw_probes(self, now: float, excluded: frozenset[str]) -> list[Probe]:
@@ -91,8 +91,7 @@
             probes.append(self._probes.create(now, endpoint.name))
         return probes
 
-    def _register_probe(self, now: float, probe: Probe) -> None:
-        self._probes.add(probe)
+    def _count_probe(self, now: float, probe: Probe) -> None:
         self.counts["probes"] += 1
         endpoint = self.endpoints.state_of(probe.endpoint)
         if endpoint is not None:
@@ -125,9 +124,8 @@
             return None
         self.counts["answers"] += 1
         self.receive_report(now, endpoint.name, probe.sent_at, report)
-        self.averages.observe_round_trip(now - probe.sent_at)
+        self.averages.observe_probe_answer(report, now - probe.sent_at)
         self.failure_detector.way(self.averages.one_way_s)
-        self.averages.observe_load(report)
         choice = probe.choice
         if choice is None or choice.decided:
             return None
@@ -186,7 +184,6 @@
         probes = []
         for endpoint in to_probe:
             probe = self._probes.create(now, endpoint.name)
-            self._probes.add(probe)
             self.counts["probes"] += 1
             self.counts["watches"] += 1
             probes.append(probe)
--- a/lapishaven/load_balancing/endpoint_selector.py
+++ b/lapishaven/load_balancing/endpoint_selector.py
@@ -84,15 +84,13 @@
         the largest among the candidates, so that a fleet that starts together serves.
         """
         largest = max(state.desired_share() for state in candidates)
-        admitted = [state for state in candidates if self._admits(state, largest, probed)]
+        admitted = []
+        for state in candidates:
+            share = state.desired_share()
+            if share >= largest or self._random.random() < share / largest / max(1, probed):
+                admitted.append(state)
         return admitted or candidates
 
-    def _admits(self, state: EndpointState, largest_share: float, probed: int) -> bool:
-        if state.report is None or state.report.desired_share >= largest_share:
-            return True
-        probability = state.report.desired_share / largest_share / max(1, probed)
-        return self._random.random() < probability
-
     def without_reports(self, now: float, choice: Choice) -> EndpointState | None:
         """The choice when no answer came in time: the better of the probed ones by what is known, else any."""
         probed = self.usable(now, [probe.endpoint for probe in choice.probes])
--- a/lapishaven/load_balancing/endpoint_state.py
+++ b/lapishaven/load_balancing/endpoint_state.py
@@ -83,7 +83,9 @@
 
     def accepts_requests(self, now: float) -> bool:
         """Whether it may be sent to, as far as its own words and its failures go."""
-        if self.is_draining() or self.retry_after > now or self.ejected_until > now:
+        if self.report is not None and self.report.desired_share <= 0:
+            return False  # it drains
+        if self.retry_after > now or self.ejected_until > now:
             return False
         return not (self.on_trial and self.open)
 
@@ -123,11 +125,8 @@
     ) -> float:
         """The cost of one more request; ``mean_speed`` stands in where its own is not known."""
         load = self.estimated_load(now, load_per_slot, request_s, rules)
-        return queueing_cost(load, self.slots(), self._own_speed() or mean_speed)
-
-    def _own_speed(self) -> float:
-        """0 while it is not known."""
-        return self.report.speed if self.report is not None else 0.0
+        own_speed = self.report.speed if self.report is not None else 0.0
+        return queueing_cost(load, self.slots(), own_speed or mean_speed)
 
     def attempt_started(self, now: float, load_per_slot: float, request_s: float, rules: BalancingRules) -> None:
         """A request was sent there."""
@@ -154,6 +153,6 @@
     def _learn_slowdown(self, duration_s: float, expected: float, request_s: float, mean_speed: float) -> None:
         took = 1.0
         if request_s:
-            own_speed = self._own_speed()
+            own_speed = self.report.speed if self.report is not None else 0.0
             took = duration_s / (request_s * (mean_speed / own_speed if own_speed else 1.0))
         self.slowdown += SLOWDOWN_SMOOTHING * (min(took / expected, MAX_SLOWDOWN_SAMPLE) - self.slowdown)
--- a/lapishaven/load_balancing/fleet_averages.py
+++ b/lapishaven/load_balancing/fleet_averages.py
@@ -38,16 +38,14 @@
         """Record the slots that an endpoint reports."""
         self.slots += SMOOTHING * (slots - self.slots)
 
-    def observe_load(self, report: LoadReport) -> None:
-        """Record the load and speed in the answer to a probe."""
+    def observe_probe_answer(self, report: LoadReport, round_trip_s: float) -> None:
+        """Record the load and speed in an answer to a probe, and the time that it took.
+
+        ``one_way_s`` moves a step towards the median, as late answers of a process that was stopped would carry off a
+        mean.
+        """
         self.load_per_slot += SMOOTHING * (report.weighted_load / report.slots - self.load_per_slot)
         if report.speed:
             self.speed += SMOOTHING * (report.speed - self.speed)
-
-    def observe_round_trip(self, round_trip_s: float) -> None:
-        """Move ``one_way_s`` a step towards the median of half the round trips.
-
-        The median is followed, as late answers of a process that was stopped would carry off a mean.
-        """
         step = ONE_WAY_STEP if round_trip_s > 2 * self.one_way_s else 1 / ONE_WAY_STEP
         self.one_way_s = min(MAX_ONE_WAY_S, max(MIN_ONE_WAY_S, self.one_way_s * step))
--- a/lapishaven/load_balancing/outstanding_probes.py
+++ b/lapishaven/load_balancing/outstanding_probes.py
@@ -18,13 +18,11 @@
         self._probes: dict[int, Probe] = {}
 
     def create(self, now: float, endpoint: str) -> Probe:
-        """A probe with a number of its own, which is not waited for yet."""
+        """A probe with a number of its own, whose answer is waited for from now on."""
         self._last_id = (self._last_id + 1) & MAX_ID
-        return Probe(self._last_id, endpoint, now)
-
-    def add(self, probe: Probe) -> None:
-        """Wait for the answer to a probe."""
-        self._probes[probe.probe_id] = probe
+        probe = Probe(self._last_id, endpoint, now)
+        self._probes[self._last_id] = probe
+        return probe
 
     def pop(self, probe_id: int) -> Probe | None:
         """The probe that an answer belongs to; ``None`` if it was never sent, or is answered or forgotten."""
