--- a/lapishaven/frontends/load_endpoint.py
+++ b/lapishaven/frontends/load_endpoint.py
@@ -48,9 +48,9 @@
         self.reporter = LoadReporter(self._incarnation, slots, loop.now)
         self._datagrams = Datagrams(loop, address, self._answer_probe)
 
-    def start_reporting(self, warm_from: float, warm_span: float) -> None:
-        """The server is up: it asks for ``warm_from`` of its share at first, and for all after ``warm_span`` s."""
-        self.reporter = LoadReporter(self._incarnation, self._slots, self._loop.now, warm_from, warm_span)
+    def start_reporting(self, initial_share: float, slow_start_s: float) -> None:
+        """The server is up: it asks for ``initial_share`` at first, and for its full share after ``slow_start_s``."""
+        self.reporter = LoadReporter(self._incarnation, self._slots, self._loop.now, initial_share, slow_start_s)
 
     def header_value(self) -> str:
         """The present report, for the header of a response."""
--- a/lapishaven/idempotency/result_store.py
+++ b/lapishaven/idempotency/result_store.py
@@ -26,7 +26,7 @@
 
     Parameters:
         store: belongs to this object from now on.
-        life: s for which an effect is remembered since it began.
+        lifetime_s: s for which an effect is remembered since it began.
         limit: effects that are remembered; past it no new one is admitted.
         wall: Unix seconds.
     """
@@ -34,12 +34,12 @@
     label = "storage"
 
     def __init__(
-        self, store: Store, life: float, limit: int = MAX_EFFECTS, wall: Callable[[], float] = time.time
+        self, store: Store, lifetime_s: float, limit: int = MAX_EFFECTS, wall: Callable[[], float] = time.time
     ) -> None:
         self.store = store
         self.limit = limit
         self._wall = wall
-        self.index = ResultIndex(life)
+        self.index = ResultIndex(lifetime_s)
         self._completions = CompletionQueue()
         self._write_lock = threading.Lock()  # of _writes_since
         self._writes_since: deque[float] = deque()  # when each write under way was begun, oldest first
--- a/lapishaven/ledger/recorder.py
+++ b/lapishaven/ledger/recorder.py
@@ -44,10 +44,10 @@
     """Records effects in the ledger and answers repeats of them. See ``core.ports.DurableResultStore``.
 
     Parameters:
-        base: the file.
-        start: names this start of the server.
+        database: the file; belongs to this object from now on.
+        incarnation: names this start of the server.
         meters: what each class is charged by.
-        usual: what classes without a meter of their own are charged by.
+        default_meter: what classes without a meter of their own are charged by.
         rules: limits of what waits to be written.
         wall: Unix seconds.
         clock: seconds that never step.
@@ -62,23 +62,23 @@
 
     def __init__(
         self,
-        base: LedgerDatabase,
-        start: str,
+        database: LedgerDatabase,
+        incarnation: str,
         meters: Mapping[str, Meter],
-        usual: Meter,
+        default_meter: Meter,
         rules: BackpressureRules | None = None,
         wall: Callable[[], float] = time.time,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.start = start
+        self.incarnation = incarnation
         self._meters = meters
-        self._default_meter = usual
+        self._default_meter = default_meter
         self._wall = wall
         self._clock = clock
-        self._database = base
+        self._database = database
         self._backpressure = Backpressure(rules or BackpressureRules())
         self._backpressure_lock = threading.Lock()  # held for moments only
-        self._writer = Writer(base, self._group_ended)
+        self._writer = Writer(database, self._group_ended)
         self._completions = CompletionQueue()
         self._cached_results: OrderedDict[EffectName, bytes] = OrderedDict()
         self._running: dict[EffectName, Submission] = {}  # intended by this incarnation, and not ended
@@ -115,7 +115,7 @@
         name = cls, key
         self._running[name] = sub
         customer = f"{sub.team}/{sub.service}" if sub.team else f"caller/{sub.caller_id}"
-        operation = Operation(EffectEvent.INTEND, cls, key, self.start, self._wall(), customer)
+        operation = Operation(EffectEvent.INTEND, cls, key, self.incarnation, self._wall(), customer)
         self._submit(operation, lambda outcome: then(self._intent_answered(name, outcome)))
         return None
 
@@ -146,7 +146,7 @@
             then(durable)
 
         self._submit(
-            Operation(EffectEvent.COMPLETE, cls, key, self.start, self._wall(), "", result, words),
+            Operation(EffectEvent.COMPLETE, cls, key, self.incarnation, self._wall(), "", result, words),
             written,
         )
 
@@ -160,7 +160,7 @@
 
     def _end_without_result(self, event: EffectEvent, cls: str, key: str) -> None:
         self._running.pop((cls, key), None)
-        self._submit(Operation(event, cls, key, self.start, self._wall()), lambda outcome: None)
+        self._submit(Operation(event, cls, key, self.incarnation, self._wall()), lambda outcome: None)
 
     def uncertain_effects(self) -> list[tuple[str, str, float]]:
         """None: each repeat is compared with the file before it runs."""
--- a/lapishaven/load_balancing/load_reporter.py
+++ b/lapishaven/load_balancing/load_reporter.py
@@ -22,18 +22,18 @@
         incarnation: drawn for this start of the process.
         slots: requests that it works on at one time.
         now: the current time in s.
-        warm_from: the part of its full share that it asks for at first.
-        warm_span: s of slow start, after which it asks for its full share; 0 for no slow start.
+        initial_share: the part of its full share that it asks for at first.
+        slow_start_s: duration of slow start, after which it asks for its full share; 0 for no slow start.
     """
 
     def __init__(
-        self, incarnation: int, slots: int, now: float, warm_from: float = 1.0, warm_span: float = 0.0
+        self, incarnation: int, slots: int, now: float, initial_share: float = 1.0, slow_start_s: float = 0.0
     ) -> None:
         self._incarnation = incarnation
         self._slots = slots
         self._started_at = now
-        self._initial_share = warm_from
-        self._slow_start_s = warm_span
+        self._initial_share = initial_share
+        self._slow_start_s = slow_start_s
         self._sequence = 0
         self._updated_at = now
         # Slot seconds of work and the typical requests served in them; both decay alike.
--- a/lapishaven/sqlite.py
+++ b/lapishaven/sqlite.py
@@ -40,20 +40,20 @@
         time.sleep(WAL_RETRY_INTERVAL_S)
 
 
-def script(base: sqlite3.Connection, statements: str) -> None:
+def script(connection: sqlite3.Connection, statements: str) -> None:
     """Execute statements within the open transaction, which ``executescript`` would commit. Each ends a line."""
     for statement in statements.split(";\n"):
-        base.execute(statement)
+        connection.execute(statement)
 
 
 @contextmanager
-def writing(base: sqlite3.Connection) -> Iterator[None]:
+def writing(connection: sqlite3.Connection) -> Iterator[None]:
     """A transaction from ``BEGIN IMMEDIATE`` to commit, rolled back by any exception. Raises ``sqlite3.Error``."""
-    base.execute("begin immediate")
+    connection.execute("begin immediate")
     try:
         yield
-        base.execute("commit")
+        connection.execute("commit")
     except BaseException:
         with suppress(sqlite3.Error):
-            base.execute("rollback")
+            connection.execute("rollback")
         raise
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -11,6 +11,7 @@
 from collections import Counter
 from collections.abc import Callable
 from contextlib import closing
+from dataclasses import fields
 from pathlib import Path
 from random import Random
 
@@ -27,7 +28,7 @@
 from lapishaven.ledger.audit import Charge, Effect, differences
 from lapishaven.ledger.backpressure import Backpressure, BackpressureRules
 from lapishaven.ledger.database import REVENUE_ACCOUNT, LedgerDatabase, LedgerError, Operation
-from lapishaven.ledger.settings import LedgerSettingsError, load_settings
+from lapishaven.ledger.settings import FLOW_KEYS, LedgerSettingsError, load_settings
 from lapishaven.ledger.transitions import Decision, EffectEvent, EffectRow, EffectState, decide
 
 ROOT = Path(__file__).parent.parent
@@ -191,6 +192,19 @@
         load_settings(str(path))
 
 
+def test_the_settings_map_every_key_to_a_field(tmp_path: Path) -> None:
+    """Guards the table of keys from a field that is renamed without it, and the keys themselves."""
+    assert sorted(key.field for key in FLOW_KEYS.values()) == sorted(each.name for each in fields(BackpressureRules))
+    path = tmp_path / "record.toml"
+    path.write_text(
+        'file = "/x"\n[meter]\nusual = "body"\nc = "result"\n'
+        "[flow]\nmost = 7\nstall_s = 1\nfaults = 2\npause_s = 0.5\npause_most_s = 3.5\n"
+    )
+    settings = load_settings(str(path))
+    assert settings.backpressure == BackpressureRules(7, 1, 2, 0.5, 3.5) and settings.file == "/x"
+    assert settings.default_meter(b"a b c", b"d") == 3 and settings.meters["c"](b"a b c", b"d") == 1
+
+
 def test_a_backup_taken_under_writes_is_consistent_and_is_restored_completely_or_not_at_all(tmp_path: Path) -> None:
     """Guards the backup: one that mixes instants would have charges without effects; a damaged or older one would lose
     commits; an existing ledger is not overwritten."""
