--- a/lapishaven/lab/load_balancing_simulation.py
+++ b/lapishaven/lab/load_balancing_simulation.py
@@ -244,7 +244,7 @@
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._order = 0
         self.choices: dict[Choice, SimulatedRequest] = {}
-        self.cut: set[tuple[int, str]] = set()  # of fronts and processes, that hear nothing of each other
+        self.cut: set[tuple[int, str]] = set()  # frontends and processes without a network between them
         self.out: dict[tuple[int, str], list[SimulatedRequest]] = {}
         self.counts: Counter[str] = Counter()
         self.spans: list[tuple[float, float, float]] = []  # arrival, duration, whether served
@@ -256,10 +256,12 @@
 
     # ---- Time
     def at(self, when: float, what: Callable[[], None]) -> None:
+        """Call ``what`` at a time."""
         self._order += 1
         heappush(self._heap, (when, self._order, what))
 
     def run(self, seconds: float) -> None:
+        """Simulate until a time."""
         self._arrive()
         while self._heap and self._heap[0][0] <= seconds:
             self.now, _, what = heappop(self._heap)
@@ -277,6 +279,7 @@
 
     # ---- Messages
     def send_probe(self, front: Frontend, id: int, name: str) -> None:
+        """Send a frontend's probe to a process, which answers it unless it is stopped, dead or cut off."""
         process = self.processes[name]
         assert front.balancer is not None
         self.counts["probes"] += 1
@@ -293,6 +296,7 @@
         self.at(self.now + ONE_WAY_S, answer)
 
     def send(self, job: SimulatedRequest, process: Process) -> None:
+        """Send a request to a process."""
         job.process, job.sent_at = process, self.now
         process.in_transit += 1
         front = job.front
@@ -404,7 +408,7 @@
             )
 
     def give_up(self, job: SimulatedRequest) -> None:
-        """The front closes the connection: what waits is dropped, what runs is stopped."""
+        """The frontend closes the connection: the request is removed from the queue or cancelled."""
         process = job.process
         assert process is not None
         self._let_go(job, process, AttemptOutcome.ABANDONED, job.sent_at)
@@ -417,18 +421,21 @@
         self._count(process, 1)
 
     def finish(self, job: SimulatedRequest, served: bool) -> None:
+        """The request is over."""
         job.finished = True
         if job.arrived_at >= self.measured_from:
             self.spans.append((job.arrived_at, self.now - job.arrived_at, float(served)))
 
     # ---- Faults
     def stop(self, name: str) -> None:
+        """Stop a process (SIGSTOP)."""
         process = self.processes[name]
         self._account()
         self._count(process, -1)
         process.stopped = []
 
     def wake(self, name: str) -> None:
+        """Have a stopped process go on."""
         process = self.processes[name]
         todo, process.stopped = process.stopped or [], None
         self._account()
@@ -438,12 +445,13 @@
             what()
 
     def break_down(self, name: str, how: str) -> None:
-        """From now on it fails ("error") or turns away ("refuse") at once; what it has is finished."""
+        """From now on it fails ("error") or rejects ("refuse") at once; what it has is finished."""
         self._account()
         self._count(self.processes[name], -1)
         self.processes[name].fails = how
 
     def kill(self, name: str) -> None:
+        """Kill a process; what it has fails."""
         process = self.processes[name]
         self._account()
         self._count(process, -1)
@@ -454,7 +462,7 @@
         process.running.clear()
 
     def start(self, name: str) -> None:
-        """Back, cold, as another life."""
+        """Restart a process as another incarnation, in slow start."""
         process = self.processes[name]
         process.dead, process.started_at, process.incarnation = False, self.now, process.incarnation + 50_000
         process.cold = True
@@ -471,6 +479,7 @@
 
     # ---- The oracle and the figures
     def true_cost(self, process: Process) -> float:
+        """The cost of one more request, by what only the oracle knows."""
         if process.dead or process.stopped is not None or process.fails:
             return float("inf")
         speed = process.speed * process.factor * process.warm_up_factor(self.now)
@@ -492,6 +501,7 @@
         return sum(tops) / len(tops) if tops else 0.0
 
     def figures(self) -> dict[str, Any]:
+        """The results, by the names of the benchmark's columns."""
         spans = sorted(span if served else NEVER for _, span, served in self.spans)
         span = self.now - self.measured_from
 
