--- a/lapishaven/lab/field/field.py
+++ b/lapishaven/lab/field/field.py
@@ -28,6 +28,10 @@
 _libc = ctypes.CDLL(None)
 
 
+STOPPED = "T"
+STATE_POLL_S = 0.001
+
+
 class FieldError(RuntimeError):
     """Something did not come in time, or a process ended that should not have."""
 
@@ -55,6 +59,14 @@
         return self.popen.poll() is None
 
 
+def process_state(pid: int) -> str:
+    """The kernel's state letter of a process (proc(5)); empty if there is no such process."""
+    try:
+        return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0]
+    except OSError:
+        return ""
+
+
 class Field:
     """``with Field() as field``: files are kept in ``field.folder`` until the end."""
 
@@ -150,8 +162,19 @@
     def stop(self, name: str) -> None:
         self.procs[name].popen.send_signal(signal.SIGSTOP)
 
-    def wake(self, name: str) -> None:
-        self.procs[name].popen.send_signal(signal.SIGCONT)
+    def wake(self, name: str, timeout: float = 10.0) -> None:
+        """Resume a stopped process.
+
+        Waits until the stop has taken effect: a SIGCONT that comes before it is lost, and the process stays stopped.
+        Raises ``FieldError`` if it does not stop within ``timeout`` seconds.
+        """
+        process = self.procs[name].popen
+        until = time.monotonic() + timeout
+        while process_state(process.pid) != STOPPED:
+            if time.monotonic() > until:
+                raise FieldError(f"{name} did not stop within {timeout:g} s")
+            time.sleep(STATE_POLL_S)
+        process.send_signal(signal.SIGCONT)
 
     def kill(self, name: str) -> None:
         proc = self.procs[name]
