--- a/lapishaven/lab/client_simulation.py
+++ b/lapishaven/lab/client_simulation.py
@@ -151,15 +151,7 @@
         self._planned: list[float] = []
         self._phases: list[float] = []
         self._polls: set[int] = set()  # clients whose next poll is an event
-        kind = NaivePolicy if spec.naive else Policy
-        for n in range(spec.clients):
-            own = replace(base, caller=n, callers=spec.clients)
-            policy = kind(own, Random(self.random.getrandbits(64)), self.now)
-            policy.update_endpoints(self.now, self.listing)
-            self.policies.append(policy)
-            self._planned.append(float("inf"))
-            # When in each second it polls. A poll that finds nothing new changes nothing, so only others are events.
-            self._phases.append(self.random.random())
+        self._make_clients(base)
         self.connects: list[float] = []
         self.tries: list[float] = []
         self.asked = self.worth = self.commits = self.commit_worth = 0.0
@@ -170,6 +162,18 @@
         self.versions = 0
         self.balance, self.links = 0.0, 0
 
+    def _make_clients(self, base: Settings) -> None:
+        spec = self.spec
+        kind = NaivePolicy if spec.naive else Policy
+        for n in range(spec.clients):
+            own = replace(base, caller=n, callers=spec.clients)
+            policy = kind(own, Random(self.random.getrandbits(64)), self.now)
+            policy.update_endpoints(self.now, self.listing)
+            self.policies.append(policy)
+            self._planned.append(float("inf"))
+            # When in each second it polls. A poll that finds nothing new changes nothing, so only others are events.
+            self._phases.append(self.random.random())
+
     # ---- The event loop
     def at(self, when: float, then: Callable[..., None], *what: Any) -> None:
         """Call ``then(*what)`` at a simulated time."""
