--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -167,7 +167,7 @@
         drain_grace=2.0,
         response_slack=0.1,
         over_quota_weight=0.1,
-        weight_per_work=False,
+        weight_per_request=False,
         max_retry_after=1.0,
         load_signal=None,
         load_signal_ttl=0.0,
--- a/lapishaven/admission/queue_order.py
+++ b/lapishaven/admission/queue_order.py
@@ -13,10 +13,10 @@
 def relative_weight(settings: Settings, run_latency: RunLatency, class_index: int) -> float:
     """The priority weight of a class for each second of a core, as a multiple of the class with the least.
 
-    A weight that counts for each request is divided by the run time; with ``weight_per_work`` it is one for each
-    second already. 1 if the least is 0.
+    A weight that counts for each request is divided by the run time; with ``weight_per_request``, which says the
+    opposite of its name, it counts for each second of work already. 1 if the least is 0.
     """
-    if settings.weight_per_work:
+    if settings.weight_per_request:
         weights = [each.priority_weight for each in settings.classes]
     else:
         run_times = run_latency.expected_by_class()
--- a/lapishaven/admission/settings.py
+++ b/lapishaven/admission/settings.py
@@ -92,8 +92,8 @@
     """Seconds after its deadline at which an answer still counts."""
     over_quota_weight: float
     """The part of its weight that a request beyond its tenant's quota earns, 0 to 1."""
-    weight_per_work: bool
-    """Whether the weight of a class counts for each unit of work, and not for each request."""
+    weight_per_request: bool
+    """Against its name: whether the weight of a class counts for each unit of work, not for each request."""
     max_retry_after: float | None
     """The longest Retry-After that callers follow, in seconds; ``None``: callers are not told any."""
     load_signal: str | None
--- a/lapishaven/proto/admission_settings.py
+++ b/lapishaven/proto/admission_settings.py
@@ -118,7 +118,7 @@
         drain_grace=obligations.number("drain-grace"),
         response_slack=obligations.number("answer-slack"),
         over_quota_weight=top.optional_number("over-share-worth") or 0.0,
-        weight_per_work=top.data.get("value-by") == "work",
+        weight_per_request=top.data.get("value-by") == "work",
         max_retry_after=max_retry_after if limits.flag("retry-after") else None,
         load_signal=extra.choice("say", LOAD_SIGNAL_BY_SAY),
         load_signal_ttl=extra.optional_number("said-for") or 0.0,
