--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -29,7 +29,7 @@
 from lapishaven.lab.interpreter import Box, Cores, Work
 from lapishaven.pools import Pools
 from lapishaven.pools.capacity import Capacity
-from lapishaven.pools.ready import Entry, ReadyQueue
+from lapishaven.pools.ready_queue import Entry, ReadyQueue
 from lapishaven.pools.settings import parse
 
 LIGHT = "glossary-look-up"
@@ -66,20 +66,20 @@
             names: dict[str, int] = names,
         ) -> float | None:
             nonlocal now, last
-            before = capacity.alarms
+            before = capacity.speed_changes
             while now < until:
                 while len(cores.runs) < 5 + rnd.randrange(3):
                     last += 1
                     cls = rnd.randrange(2)
                     names[str(last)] = last
                     cores.start(now, str(last), "ab"[cls], b"")
-                    capacity.started(now, last, cls)
+                    capacity.run_started(now, last, cls)
                 now += 0.02
                 for run in cores.step(now):
-                    capacity.ended(now, names.pop(run.handle), True)
+                    capacity.run_ended(now, names.pop(run.handle), True)
                 if round(now / 0.02) % 5 == 0:
                     capacity.sample(now)
-                if capacity.alarms > before:
+                if capacity.speed_changes > before:
                     return now
             return None
 
@@ -115,15 +115,15 @@
     lists: list[list[tuple[float, int]]] = [[] for _ in range(pools)]
     for n in range(held):
         pool, aim = rnd.randrange(pools), rnd.random() * 10 + 1
-        queue.push(Entry(n, pool, 0.3, 30.0, aim, aim + 4))
+        queue.push(Entry(n, pool, 0.3, aim, aim + 4))
         bisect.insort(lists[pool], (aim, n))
     plain = [entry for rows in lists for entry in rows]
     plain.sort()
     begun = time.perf_counter()
     for n in range(rounds):
         entry = next(queue.order(0.0, _always))
-        queue.start(entry.id)
-        queue.push(Entry(held + n, entry.pool, 0.3, 30.0, rnd.random() * 10 + 1, 15.0))
+        queue.start(entry.request_id)
+        queue.push(Entry(held + n, entry.pool, 0.3, rnd.random() * 10 + 1, 15.0))
     ours = (time.perf_counter() - begun) / rounds
     begun = time.perf_counter()
     for n in range(rounds):
--- a/lapishaven/admission/arrival.py
+++ b/lapishaven/admission/arrival.py
@@ -49,7 +49,6 @@
                 now,
                 request.request_id,
                 request.class_index,
-                request.memory_kb,
                 request.objective_at,
                 request.deadline,
             )
--- a/lapishaven/admission/ports.py
+++ b/lapishaven/admission/ports.py
@@ -12,7 +12,7 @@
 class AdmissionPools(Protocol):
     """Pools of classes with a capacity of their own.
 
-    All methods are pure. Times are seconds of the clock that ``Controller.handle`` gets, memory is kilobytes.
+    All methods are pure. Times are seconds of the clock that ``Controller.handle`` gets.
     """
 
     def is_guaranteed(self, class_index: int) -> bool:
@@ -27,9 +27,7 @@
     def run_time(self, class_index: int) -> float:
         """Seconds that a run of the class takes at present."""
 
-    def enqueue(
-        self, now: float, request_id: int, class_index: int, memory_kb: float, objective_at: float, deadline: float
-    ) -> None:
+    def enqueue(self, now: float, request_id: int, class_index: int, objective_at: float, deadline: float) -> None:
         """Queue a request that was admitted."""
 
     def dispatch_order(self, now: float) -> Iterator[int]:
--- a/lapishaven/lab/emulator.py
+++ b/lapishaven/lab/emulator.py
@@ -71,17 +71,16 @@
 
 
 class FixedPartitions(Pools):
-    """The plain way: each pool has its own part of the runs and lends nothing."""
+    """The baseline: each pool has its own part of the runs and lends nothing."""
 
-    def _may(self, pool: int) -> bool:
-        cores = self.settings.cores
-        mine = max(1, round(self.pools[pool].share * cores))
-        return self.pools[pool].running < mine
+    def can_start(self, pool_index: int) -> bool:
+        pool = self.pools[pool_index]
+        return pool.running < max(1, round(pool.share * self.settings.cores))
 
-    def _part(self, pool: int) -> float:
-        return self.pools[pool].share
+    def work_share(self, pool_index: int) -> float:
+        return self.pools[pool_index].share
 
-    def _take_back(self, now: float) -> list[int]:
+    def preempt(self, now: float) -> list[int]:
         return []
 
 
--- a/lapishaven/pools/__init__.py
+++ b/lapishaven/pools/__init__.py
@@ -1,6 +1,6 @@
-"""Pools by class with a reserve, and limits that follow each box's measured capacity. Pure, no I/O.
+"""Pools of request classes with guaranteed shares, and limits that follow the instance's measured capacity. Pure.
 
-The Controller goes on deciding; it asks ``Pools`` through the port in ``admission/ports.py``.
+``Pools`` implements ``lapishaven.admission.AdmissionPools``: the controller goes on deciding, and asks the pools.
 """
 
 from lapishaven.pools.pools import Pools
--- a/lapishaven/pools/pools.py
+++ b/lapishaven/pools/pools.py
@@ -1,282 +1,275 @@
-"""What the Controller asks: is there room in a request's pool, what runs next, what is to be taken back. Pure."""
+"""The pools of one instance, as ``AdmissionPools``: has a pool capacity, what runs next, what is preempted. Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
-from dataclasses import dataclass
 
 from lapishaven.admission import Idempotency, LoadSample, Settings
 from lapishaven.admission.rejection import Rejection
 from lapishaven.pools.capacity import Capacity
-from lapishaven.pools.ready import Entry, ReadyQueue
+from lapishaven.pools.pool import Pool, PoolRun
+from lapishaven.pools.preemption import choose_victim, has_waited, is_short
+from lapishaven.pools.ready_queue import Entry, ReadyQueue
+from lapishaven.pools.run_limit import RunLimit
 from lapishaven.pools.settings import PoolSettings
 
-SAFETY = 0.9  # of the time to its aim that a request may be predicted to take
-FIRST_WORK = 0.2  # of its aim, which a class's run takes until one was seen
-LEAST_WAIT = 0.05  # s of advice at the least
-SLOWED = 0.6  # of its usual speed, under which a box counts as slow
-IDLE_CORES = 0.8  # busy share under which cores stand idle although the limit is reached: runs wait for something
+OBJECTIVE_MARGIN = 0.9  # part of the time to its latency objective that a request may be predicted to take
+INITIAL_OBJECTIVE_SHARE = 0.2  # of a class's latency objective: the work of its runs until one was seen
+MIN_RETRY_AFTER_S = 0.05
+DEFAULT_RETRY_AFTER_S = 1.0  # where callers follow no Retry-After
+SLOW_SPEED = 0.6  # of the usual one, under which an instance counts as slow
+MIN_REMAINING_WORK = 0.1  # part of a run's work that counts as left when it is preempted
 
-
-@dataclass(slots=True)
-class Pool:
-    """The live state of one pool."""
-
-    name: str
-    share: float
-    ceiling: float
-    running: int = 0
-    short_since: float | None = None  # since when it has less than its share and something waiting
-    started: int = 0
-    refused: int = 0
-    taken_back: int = 0
-    longest: float = 0.0  # s that anything waited before it ran
-
-
-@dataclass(slots=True)
-class Running:
-    """A run as the pools account for it."""
-
-    cls: int
-    pool: int
-    work: float
-    kb: float
-    aim_at: float
-    due: float
-    since: float
-    halting: bool = False
+POOL_FULL = "pool full"
+INSTANCE_SLOW = "slow box"
+OBJECTIVE_MISSED = "past its aim"
 
 
 class Pools:
-    """The pools of one box: limits in units of work, a reserve, and refusals with the time to come back."""
+    """Limits in units of work, a reserve, and rejections with the time after which there is capacity.
+
+    The times of all methods are seconds of the clock that the controller gets; it calls them as
+    ``AdmissionPools`` says. ``settings`` are the instance's, ``rules`` the operator's for the pools.
+    """
 
     def __init__(self, rules: PoolSettings, settings: Settings, now: float = 0.0) -> None:
         self.settings = settings
         self.capacity = Capacity(
             settings.cores,
-            [FIRST_WORK * spec.latency_objective for spec in settings.classes],
+            [INITIAL_OBJECTIVE_SHARE * each.latency_objective for each in settings.classes],
             settings.slow_start_initial_speed if settings.slow_start else 1.0,
             settings.slow_start_span if settings.slow_start else 0.0,
             now,
         )
-        self.running: dict[int, Running] = {}
-        self.limit = float(settings.cores)
-        self._held: dict[int, tuple[int, float]] = {}  # class, since when
-        self.worst_concurrency = 0.0  # the most runs a core so far
+        self.running: dict[int, PoolRun] = {}
+        """Runs in progress, by request id."""
+        self.run_limit = RunLimit(settings.cores, settings.collapse_concurrency)
+        self.worst_concurrency = 0.0
+        """The most runs per core so far."""
         self._arrange(rules)
 
     def _arrange(self, rules: PoolSettings) -> None:
         self.rules = rules
         self.pools = [Pool(rule.name, rule.share, rule.ceiling) for rule in rules.pools]
-        names = [spec.name for spec in self.settings.classes]
-        self._of = {names.index(cls): n for n, rule in enumerate(rules.pools) for cls in rule.classes}
-        self.reserved: int | None = None
+        self.ready = ReadyQueue([rule.share for rule in rules.pools])
+        class_names = [each.name for each in self.settings.classes]
+        self._pool_of_class = {
+            class_names.index(name): index for index, rule in enumerate(rules.pools) for name in rule.classes
+        }
+        self._reserved: int | None = None
         if rules.reserve is not None:
-            self.reserved = [rule.name for rule in rules.pools].index(rules.reserve.pool)
-            pool = self.pools[self.reserved]
+            self._reserved = [rule.name for rule in rules.pools].index(rules.reserve.pool)
+            pool = self.pools[self._reserved]
             pool.ceiling = min(pool.ceiling, rules.reserve.ceiling)
-        self.ready = ReadyQueue([rule.share for rule in rules.pools])
 
     def renew(self, now: float, rules: PoolSettings) -> None:
-        """A reload's rules. What is held keeps its place and what runs is accounted for in its class's new pool,
-        which may so be over its new share: it starts nothing then until it is under it."""
-        held, before = self.ready.entries(), {pool.name: pool for pool in self.pools}
+        """Take over reloaded rules.
+
+        What is queued keeps its place. What runs counts for the new pool of its class, which may so be over its
+        new share: it starts nothing until it is below.
+        """
+        queued = self.ready.entries()
+        previous = {pool.name: pool for pool in self.pools}
         self._arrange(rules)
         for pool in self.pools:
-            if (old := before.get(pool.name)) is not None:
-                pool.started, pool.refused = old.started, old.refused
-                pool.taken_back, pool.longest = old.taken_back, old.longest
-        for entry in held:
-            entry.pool = self._of[self._held[entry.id][0]]
+            if pool.name in previous:
+                pool.copy_counters(previous[pool.name])
+        for entry in queued:
+            entry.pool = self._pool_of_class[entry.class_index]
             self.ready.push(entry)
         for run in self.running.values():
-            run.pool = self._of[run.cls]
+            run.pool = self._pool_of_class[run.class_index]
             self.pools[run.pool].running += 1
 
-    # ---- The reserve and the limit
+    # Shares
+
     @property
     def reserve_slots(self) -> int:
-        """Runs on top of the limit that only the reserve's pool may use. They share the cores with the rest, so
-        nothing stands idle for them while nobody asks."""
+        """Runs on top of the limit that only the pool with the reserve may use.
+
+        They share the cores with the rest, so no core is idle for them while nobody asks.
+        """
         if self.rules.reserve is None:
             return 0
         return max(1, round(self.rules.reserve.share * self.settings.cores))
 
-    def _may(self, pool: int) -> bool:
-        """Whether the pool may start one more run now."""
-        mine, total = self.pools[pool], len(self.running)
-        if mine.running + 1 > max(1.0, mine.ceiling * self.limit):
+    def can_start(self, pool_index: int) -> bool:
+        """Whether a pool may start one more run now: it borrows what others leave, up to its ceiling."""
+        pool = self.pools[pool_index]
+        limit = self.run_limit.limit
+        running = len(self.running)
+        if pool.running + 1 > max(1.0, pool.ceiling * limit):
             return False
-        if pool == self.reserved:
-            return mine.running < self.reserve_slots or total < self.limit + self.reserve_slots
-        reserve = min(self.pools[self.reserved].running, self.reserve_slots) if self.reserved is not None else 0
-        return total - reserve + 1 <= self.limit
-
-    def _part(self, pool: int) -> float:
-        """Of the box's work that the pool gets while all that have something go on: its share over theirs."""
-        busy = sum(p.share for n, p in enumerate(self.pools) if n == pool or p.running or self.ready.count(n))
-        return min(self.pools[pool].share / busy, self.pools[pool].ceiling)
-
-    # ---- What the Controller asks
-    def is_guaranteed(self, cls: int) -> bool:
-        """Whether the class's pool is within its guarantee, so that its share is not refused for others' load."""
-        n = self._of[cls]
-        pool = self.pools[n]
-        mean = self.capacity.work(cls)
-        held = self.ready.work(n) / mean if mean else 0.0
-        return n == self.reserved or pool.running + held + 1 <= max(1.0, pool.share * self.limit)
-
-    def rejection(self, now: float, cls: int, aim_at: float, due: float) -> Rejection | None:
-        """Why a request that is read now is refused, and in how many seconds there will be room; or ``None``."""
-        n = self._of[cls]
-        alone = self.capacity.run_time(cls, min(len(self.running) + 1, self.settings.cores))
-        wait = 0.0
-        if self.ready.count(n) or not self._may(n):
-            wait = (self.ready.work(n) + self.capacity.work(cls) / 2) / (self.capacity.rate() * self._part(n))
-        left = aim_at - now
-        if wait + alone <= left * SAFETY:
+        if pool_index == self._reserved:
+            return pool.running < self.reserve_slots or running < limit + self.reserve_slots
+        on_reserve = 0
+        if self._reserved is not None:
+            on_reserve = min(self.pools[self._reserved].running, self.reserve_slots)
+        return running - on_reserve + 1 <= limit
+
+    def work_share(self, pool_index: int) -> float:
+        """Part of the instance's work that a pool gets while all that have something to do go on."""
+        busy_shares = sum(
+            pool.share
+            for index, pool in enumerate(self.pools)
+            if index == pool_index or pool.running or self.ready.count(index)
+        )
+        return min(self.pools[pool_index].share / busy_shares, self.pools[pool_index].ceiling)
+
+    # Admission
+
+    def is_guaranteed(self, class_index: int) -> bool:
+        """Whether the class's pool is within its guaranteed share, so that load is no reason to reject."""
+        pool_index = self._pool_of_class[class_index]
+        if pool_index == self._reserved:
+            return True
+        pool = self.pools[pool_index]
+        mean_work = self.capacity.work(class_index)
+        queued = self.ready.work(pool_index) / mean_work if mean_work else 0.0
+        return pool.running + queued + 1 <= max(1.0, pool.share * self.run_limit.limit)
+
+    def rejection(self, now: float, class_index: int, objective_at: float, answer_by: float) -> Rejection | None:
+        """Why a request that has just arrived cannot meet its latency objective; ``None`` if it can.
+
+        If even an idle instance would miss the objective, an idempotent class with a late weight is admitted while
+        nothing waits and its deadline can be met: its runs also tell when the instance is fast again.
+        """
+        pool_index = self._pool_of_class[class_index]
+        run_time = self.run_time(class_index)
+        wait = self._queue_time(pool_index, class_index)
+        time_allowed = (objective_at - now) * OBJECTIVE_MARGIN
+        if wait + run_time <= time_allowed:
             return None
-        if alone > left * SAFETY:
-            # Not even an idle box would make it. What is safe may still come late, and tells when it is quick again.
-            safe = self.settings.classes[cls].idempotency is Idempotency.IDEMPOTENT
-            if safe and not wait and self.settings.classes[cls].late_weight > 0 and alone < due - now:
-                return None
-            self.pools[n].refused += 1
-            return Rejection(
-                "slow box" if self.capacity.speed < SLOWED else "past its aim", self.settings.max_retry_after or 1.0
-            )
-        self.pools[n].refused += 1
-        return Rejection("pool full", max(LEAST_WAIT, wait + alone - left * SAFETY))
-
-    def run_time(self, cls: int) -> float:
-        """Seconds that a run of the class takes on this box now."""
-        return self.capacity.run_time(cls, min(len(self.running) + 1, self.settings.cores))
-
-    def enqueue(self, now: float, id: int, cls: int, kb: float, aim_at: float, due: float) -> None:
-        """It was admitted and waits."""
-        self._held[id] = cls, now
-        self.ready.push(Entry(id, self._of[cls], self.capacity.work(cls), kb, aim_at, due))
+        if run_time <= time_allowed:
+            self.pools[pool_index].rejected += 1
+            return Rejection(POOL_FULL, max(MIN_RETRY_AFTER_S, wait + run_time - time_allowed))
+        request_class = self.settings.classes[class_index]
+        may_be_late = request_class.idempotency is Idempotency.IDEMPOTENT and request_class.late_weight > 0
+        if may_be_late and not wait and run_time < answer_by - now:
+            return None
+        self.pools[pool_index].rejected += 1
+        reason = INSTANCE_SLOW if self.capacity.speed < SLOW_SPEED else OBJECTIVE_MISSED
+        return Rejection(reason, self.settings.max_retry_after or DEFAULT_RETRY_AFTER_S)
+
+    def _queue_time(self, pool_index: int, class_index: int) -> float:
+        """Seconds that a request would be queued: the pool's queued work at the rate that the pool gets."""
+        if not self.ready.count(pool_index) and self.can_start(pool_index):
+            return 0.0
+        work = self.ready.work(pool_index) + self.capacity.work(class_index) / 2
+        return work / (self.capacity.work_rate() * self.work_share(pool_index))
+
+    def run_time(self, class_index: int) -> float:
+        """Seconds that a run of the class takes on this instance at present."""
+        return self.capacity.run_time(class_index, min(len(self.running) + 1, self.settings.cores))
+
+    # Queue and runs
+
+    def enqueue(self, now: float, request_id: int, class_index: int, objective_at: float, deadline: float) -> None:
+        """Queue a request that was admitted."""
+        pool_index = self._pool_of_class[class_index]
+        work = self.capacity.work(class_index)
+        self.ready.push(Entry(request_id, pool_index, work, objective_at, deadline, class_index, now))
 
     def dispatch_order(self, now: float) -> Iterator[int]:
-        """What may start, in its order; each is to be ``started``, ``dropped`` or left."""
-        for entry in self.ready.order(now, self._may):
-            yield entry.id
+        """Ids of requests that may start, in their order; each is to be started, dequeued or left."""
+        for entry in self.ready.order(now, self.can_start):
+            yield entry.request_id
 
-    def run_started(self, now: float, id: int) -> None:
-        entry = self.ready.start(id)
+    def run_started(self, now: float, request_id: int) -> None:
+        """Note that a queued request runs."""
+        entry = self.ready.start(request_id)
         if entry is None:
             return
-        cls, since = self._held.pop(id)
         pool = self.pools[entry.pool]
         pool.running += 1
         pool.started += 1
-        pool.longest = max(pool.longest, now - since)
+        pool.longest_wait = max(pool.longest_wait, now - entry.queued_at)
         pool.short_since = None
-        self.running[id] = Running(cls, entry.pool, entry.work, entry.kb, entry.aim_at, entry.due, now)
-        self.capacity.started(now, id, cls)
+        self.running[request_id] = PoolRun(
+            entry.class_index, entry.pool, entry.work, entry.objective_at, entry.deadline, now
+        )
+        self.capacity.run_started(now, request_id, entry.class_index)
         self.worst_concurrency = max(self.worst_concurrency, len(self.running) / self.settings.cores)
 
-    def dequeue(self, id: int) -> None:
-        """It no longer waits, and never ran."""
-        if self.ready.remove(id) is not None:
-            self._held.pop(id, None)
+    def dequeue(self, request_id: int) -> None:
+        """Forget a queued request that will not run."""
+        self.ready.remove(request_id)
 
-    def run_ended(self, now: float, id: int, whole: bool) -> None:
-        """It no longer runs."""
-        run = self.running.pop(id, None)
+    def run_ended(self, now: float, request_id: int, succeeded: bool) -> None:
+        """Note that a run has ended; ``succeeded`` if it was completed."""
+        run = self.running.pop(request_id, None)
         if run is not None:
             self.pools[run.pool].running -= 1
-            self.capacity.ended(now, id, whole)
+            self.capacity.run_ended(now, request_id, succeeded)
 
-    def requeue_preempted(self, now: float, id: int) -> bool:
-        """A run was stopped: true if by these pools, which hold it again to go on later."""
-        run = self.running.get(id)
-        if run is None or not run.halting:
+    def requeue_preempted(self, now: float, request_id: int) -> bool:
+        """Queue the rest of a cancelled run if the pools preempted it; whether they did."""
+        run = self.running.get(request_id)
+        if run is None or not run.is_preempted:
             return False
-        attained = self.capacity.ended(now, id, False)
-        del self.running[id]
+        attained = self.capacity.run_ended(now, request_id, succeeded=False)
+        del self.running[request_id]
         self.pools[run.pool].running -= 1
-        self._held[id] = run.cls, now
-        left = max(0.1 * run.work, run.work - attained)
-        self.ready.push(Entry(id, run.pool, left, 0.0, run.aim_at, run.due))
+        remaining = max(MIN_REMAINING_WORK * run.work, run.work - attained)
+        self.ready.push(Entry(request_id, run.pool, remaining, run.objective_at, run.deadline, run.class_index, now))
         return True
 
-    # ---- Each poll
-    def sample(self, now: float, poll: LoadSample) -> list[int]:
-        """Weigh what the box does; gives the runs that are to be paused, as another pool waits for its share."""
+    # Load samples
+
+    def sample(self, now: float, sample: LoadSample) -> list[int]:
+        """Bring capacity and limit up to date; return the ids of runs to preempt."""
         self.capacity.sample(now)
-        self._adapt(poll)
-        return self._take_back(now) if self.settings.cancellation == "pause" else []
-
-    def _adapt(self, poll: LoadSample) -> None:
-        """As many runs as there are cores keep them busy; more only where runs leave the cores idle, as they wait
-        for something else, and never past the concurrency that was seen to cost."""
-        cores = float(self.settings.cores)
-        idle = poll.cpu_utilization is not None and 0.0 <= poll.cpu_utilization < IDLE_CORES
-        if idle and len(self.ready) and len(self.running) >= self.limit:
-            self.limit += 1.0
-        elif not idle and self.limit > cores:
-            self.limit -= 0.5
-        most = min(self.settings.collapse_concurrency * 0.8, self.capacity.concurrency()) * cores
-        self.limit = max(cores, min(self.limit, most))
-
-    def _take_back(self, now: float) -> list[int]:
-        taken: list[int] = []
-        for n, pool in enumerate(self.pools):
-            short = self.ready.count(n) and pool.running + 1 <= pool.share * self.limit and not self._may(n)
-            if not short:
+        self.run_limit.step(
+            sample.cpu_utilization, len(self.running), bool(len(self.ready)), self.capacity.max_concurrency()
+        )
+        return self.preempt(now) if self.settings.cancellation == "pause" else []
+
+    def preempt(self, now: float) -> list[int]:
+        """Choose a run to pause for each pool that has been below its share for too long."""
+        victims: list[int] = []
+        limit = self.run_limit.limit
+        for index, pool in enumerate(self.pools):
+            if not is_short(pool, self.ready.count(index) > 0, self.can_start(index), limit):
                 pool.short_since = None
-            elif pool.short_since is None:
-                pool.short_since = now
-            elif now - pool.short_since >= self.rules.take_back_s:
-                pool.short_since = now
-                victim = self._victim(now, n)
+            elif has_waited(pool, now, self.rules.preempt_after_s):
+                victim = self._choose_victim(now, index)
                 if victim is not None:
-                    taken.append(victim)
-        return taken
-
-    def _victim(self, now: float, lender: int) -> int | None:
-        """The newest safe run of the pool furthest over its share, if most of it is still to do."""
-        over = [
-            (p.running / max(p.share * self.limit, 1e-9), n)
-            for n, p in enumerate(self.pools)
-            if n != lender and p.running > max(1.0, p.share * self.limit)
-        ]
-        for _, n in sorted(over, reverse=True):
-            mine = [
-                (run.since, id)
-                for id, run in self.running.items()
-                if run.pool == n
-                and not run.halting
-                and self.settings.classes[run.cls].idempotency is Idempotency.IDEMPOTENT
-            ]
-            for since, id in sorted(mine, reverse=True)[:1]:
-                run = self.running[id]
-                left = run.work / self.capacity.speed_now() - (now - since)
-                if left > self.rules.take_back_s:
-                    run.halting = True
-                    self.pools[n].taken_back += 1
-                    return id
-        return None
-
-    # ---- For operators
+                    self.running[victim].is_preempted = True
+                    self.pools[self.running[victim].pool].preempted += 1
+                    victims.append(victim)
+        return victims
+
+    def _choose_victim(self, now: float, lender: int) -> int | None:
+        return choose_victim(
+            now,
+            lender,
+            self.pools,
+            self.running,
+            self.settings.classes,
+            self.run_limit.limit,
+            self.capacity.current_speed(),
+            self.rules.preempt_after_s,
+        )
+
+    # Operation
+
     def state(self) -> dict[str, float | int]:
-        """Gauges by name."""
+        """Gauges by the names that the metrics have."""
         found: dict[str, float | int] = {
-            "speed": round(self.capacity.speed_now(), 3),
-            "limit": round(self.limit, 1),
+            "speed": round(self.capacity.current_speed(), 3),
+            "limit": round(self.run_limit.limit, 1),
             "running": len(self.running),
             "held": len(self.ready),
-            "slow_downs": self.capacity.alarms,
+            "slow_downs": self.capacity.speed_changes,
             "worst_concurrency": round(self.worst_concurrency, 2),
         }
-        for n, pool in enumerate(self.pools):
+        for index, pool in enumerate(self.pools):
             found |= {
                 f"{pool.name} running": pool.running,
-                f"{pool.name} held": self.ready.count(n),
+                f"{pool.name} held": self.ready.count(index),
                 f"{pool.name} started": pool.started,
-                f"{pool.name} refused": pool.refused,
-                f"{pool.name} taken back": pool.taken_back,
-                f"{pool.name} longest ms": round(pool.longest * 1000),
+                f"{pool.name} refused": pool.rejected,
+                f"{pool.name} taken back": pool.preempted,
+                f"{pool.name} longest ms": round(pool.longest_wait * 1000),
             }
         return found
--- /dev/null
+++ b/lapishaven/pools/preemption.py
@@ -0,0 +1,63 @@
+"""Which runs are paused so that a pool that lent its share gets it back. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+
+from lapishaven.admission import Idempotency, RequestClass
+from lapishaven.pools.pool import Pool, PoolRun
+
+MIN_SHARE_RUNS = 1e-9  # so that a ratio stays finite
+
+
+def is_short(pool: Pool, has_queue: bool, can_start: bool, limit: float) -> bool:
+    """Whether a pool has something queued and is below its share of the limit, and yet may not start a run."""
+    return has_queue and pool.running + 1 <= pool.share * limit and not can_start
+
+
+def has_waited(pool: Pool, now: float, preempt_after_s: float) -> bool:
+    """Whether a pool that is short has been so for long enough; note the time if it has just become so."""
+    if pool.short_since is None:
+        pool.short_since = now
+        return False
+    if now - pool.short_since < preempt_after_s:
+        return False
+    pool.short_since = now
+    return True
+
+
+def choose_victim(
+    now: float,
+    lender: int,
+    pools: Sequence[Pool],
+    runs: Mapping[int, PoolRun],
+    classes: Sequence[RequestClass],
+    limit: float,
+    speed: float,
+    min_remaining_s: float,
+) -> int | None:
+    """The id of the run to pause for the pool ``lender``; ``None`` if there is none.
+
+    It is the newest idempotent run of the pool that is furthest above its share, unless less than
+    ``min_remaining_s`` seconds of it are left at the instance's ``speed``; then the next such pool is tried.
+    """
+    over_share = [
+        (pool.running / max(pool.share * limit, MIN_SHARE_RUNS), index)
+        for index, pool in enumerate(pools)
+        if index != lender and pool.running > max(1.0, pool.share * limit)
+    ]
+    for _, index in sorted(over_share, reverse=True):
+        candidates = [
+            (run.started_at, request_id)
+            for request_id, run in runs.items()
+            if run.pool == index
+            and not run.is_preempted
+            and classes[run.class_index].idempotency is Idempotency.IDEMPOTENT
+        ]
+        if not candidates:
+            continue
+        started_at, request_id = max(candidates)
+        remaining = runs[request_id].work / speed - (now - started_at)
+        if remaining > min_remaining_s:
+            return request_id
+    return None
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -47,7 +47,7 @@
 from lapishaven.lab.emulator import EmulatorSpec, main
 from lapishaven.pools import Pools, PoolsError, PoolSettings
 from lapishaven.pools.capacity import Capacity
-from lapishaven.pools.ready import Entry, ReadyQueue
+from lapishaven.pools.ready_queue import Entry, ReadyQueue
 from lapishaven.pools.settings import parse as parse_pools
 
 ROOT = Path(__file__).parent.parent
@@ -93,14 +93,14 @@
                 self.last += 1
                 cls = self.last % 2
                 self.left[self.last] = self.random.uniform(*((0.29, 0.49), (0.17, 0.3))[cls]) * self.factor[cls]
-                self.capacity.started(self.now, self.last, cls)
+                self.capacity.run_started(self.now, self.last, cls)
             self.now += step
             done = step * self.speed * min(1.0, self.cores / len(self.left))
             for id in list(self.left):
                 self.left[id] -= done
                 if self.left[id] <= 0:
                     del self.left[id]
-                    self.capacity.ended(self.now, id, True)
+                    self.capacity.run_ended(self.now, id, True)
             if round(self.now / step) % 10 == 0:
                 self.capacity.sample(self.now)
 
@@ -124,13 +124,13 @@
     box.go(20.0, 6)
     box.speed, slowed = 0.1, box.now
     box.go(20.0, 6)
-    assert box.capacity.alarm_at is not None and slowed < box.capacity.alarm_at
+    assert box.capacity.speed_changed_at is not None and slowed < box.capacity.speed_changed_at
     assert box.capacity.speed == pytest.approx(0.1, abs=0.08)
-    first = box.capacity.alarms
+    first = box.capacity.speed_changes
     box.speed, back = 1.0, box.now
     box.go(6.0, 6)
-    assert box.capacity.speed == 1.0 and box.capacity.alarms > first
-    assert box.capacity.alarm_at is not None and box.capacity.alarm_at - back < 4.0
+    assert box.capacity.speed == 1.0 and box.capacity.speed_changes > first
+    assert box.capacity.speed_changed_at is not None and box.capacity.speed_changed_at - back < 4.0
 
 
 def test_the_time_to_find_it() -> None:
@@ -154,25 +154,25 @@
 
 
 def test_a_cold_start_is_a_known_ramp() -> None:
-    cold = Capacity(4, [0.3], cold_from=0.25, cold_span=16.0)
+    cold = Capacity(4, [0.3], slow_start_initial_speed=0.25, slow_start_span=16.0)
     cold.sample(0.0)
-    assert cold.speed_now() == 0.25
+    assert cold.current_speed() == 0.25
     cold.sample(8.0)
-    assert cold.speed_now() == pytest.approx(0.625)
+    assert cold.current_speed() == pytest.approx(0.625)
     assert cold.run_time(0, 8) == pytest.approx(0.3 / 0.625 * 2)
     cold.sample(99.0)
-    assert cold.speed_now() == 1.0
+    assert cold.current_speed() == 1.0
 
 
 # ---- Ready queue
 def test_shares_hold_in_units_of_work() -> None:
     queue = ReadyQueue([0.6, 0.3, 0.1])
     for n in range(3000):
-        queue.push(Entry(n, n % 3, (0.4, 0.2, 0.1)[n % 3], 1.0, 100.0 + n, 200.0))
+        queue.push(Entry(n, n % 3, (0.4, 0.2, 0.1)[n % 3], 100.0 + n, 200.0))
     done = [0.0] * 3
     while sum(done) < 150:
         entry = next(queue.order(0.0, lambda pool: True))
-        queue.start(entry.id)
+        queue.start(entry.request_id)
         done[entry.pool] += entry.work
     assert [round(each / sum(done), 2) for each in done] == [0.6, 0.3, 0.1]
 
@@ -181,15 +181,15 @@
 def test_idle_time_earns_nothing() -> None:
     queue = ReadyQueue([0.5, 0.5])
     for n in range(400):
-        queue.push(Entry(n, 0, 0.1, 1.0, 100.0, 200.0))
+        queue.push(Entry(n, 0, 0.1, 100.0, 200.0))
     for _ in range(100):
-        queue.start(next(queue.order(0.0, lambda pool: True)).id)
+        queue.start(next(queue.order(0.0, lambda pool: True)).request_id)
     for n in range(400, 600):
-        queue.push(Entry(n, 1, 0.1, 1.0, 100.0, 200.0))
+        queue.push(Entry(n, 1, 0.1, 100.0, 200.0))
     pools = []
     for _ in range(40):
         entry = next(queue.order(0.0, lambda pool: True))
-        queue.start(entry.id)
+        queue.start(entry.request_id)
         pools.append(entry.pool)
     assert 18 <= sum(pools) <= 22
 
@@ -199,7 +199,7 @@
 def test_the_queue_gives_what_a_sorted_list_would(rows: list[tuple[int, float, bool]], now: float) -> None:
     queue, plain = ReadyQueue([1.0, 1.0, 1.0]), dict[int, Entry]()
     for n, (pool, aim, removed) in enumerate(rows):
-        entry = Entry(n, pool, 0.1, 1.0, aim, aim + 1.0)
+        entry = Entry(n, pool, 0.1, aim, aim + 1.0)
         queue.push(entry)
         plain[n] = entry
         if removed:
@@ -208,11 +208,15 @@
     for pool in range(3):
         mine = [e for e in plain.values() if e.pool == pool]
         assert queue.count(pool) == len(mine)
-        best = min(mine, key=lambda e: (e.aim_at < now, e.due if e.aim_at < now else e.aim_at, e.id), default=None)
+        best = min(
+            mine,
+            key=lambda e: (e.objective_at < now, e.deadline if e.objective_at < now else e.objective_at, e.request_id),
+            default=None,
+        )
         head = queue.head(now, pool)
         assert (head is None) == (best is None)
         if head is not None and best is not None:
-            assert (head.aim_at < now, head.aim_at) == (best.aim_at < now, best.aim_at)
+            assert (head.objective_at < now, head.objective_at) == (best.objective_at < now, best.objective_at)
 
 
 # ---- Pools
@@ -226,7 +230,7 @@
         new = list(range(self.last + 1, self.last + count + 1))
         self.last += count
         for id in new:
-            self.pools.enqueue(self.now, id, cls, 30.0, self.now + aim, self.now + aim + 1)
+            self.pools.enqueue(self.now, id, cls, self.now + aim, self.now + aim + 1)
         return new
 
     def start(self) -> list[int]:
@@ -273,7 +277,7 @@
     bench.hold(0, 20)
     bench.hold(1, 1)
     bench.start()
-    matches = bench.hold(0, 1) and [id for id, run in bench.pools.running.items() if run.cls == 0]
+    matches = bench.hold(0, 1) and [id for id, run in bench.pools.running.items() if run.class_index == 0]
     bench.hold(1, 5)
     assert not bench.pools.sample(bench.now, poll(1.0, 4.0))
     bench.now += 0.21
@@ -282,7 +286,7 @@
     assert bench.pools.requeue_preempted(bench.now, halted[0])
     assert not bench.pools.requeue_preempted(bench.now, matches[0] if matches[0] != halted[0] else matches[1])
     begun = bench.start()
-    assert [bench.pools.running[id].cls for id in begun] == [1]
+    assert [bench.pools.running[id].class_index for id in begun] == [1]
     assert halted[0] in bench.pools.ready  # and goes on later
 
 
@@ -294,12 +298,12 @@
     begun = bench.start()
     small = [{**RULES["pool"][0], "share": 0.1, "ceiling": 0.25}, {**RULES["pool"][1], "share": 0.8}, RULES["pool"][2]]
     bench.pools.renew(bench.now, rules(pool=small))
-    running = [bench.pools.running[id].cls for id in begun]
+    running = [bench.pools.running[id].class_index for id in begun]
     assert [pool.running for pool in bench.pools.pools] == [running.count(0), running.count(1), 0]
     assert len(bench.pools.ready) == 20 - len(begun)
-    matches = [id for id in begun if bench.pools.running[id].cls == 0]
+    matches = [id for id in begun if bench.pools.running[id].class_index == 0]
     bench.end(*matches)
-    assert [bench.pools.running[id].cls for id in bench.start()].count(0) <= 1
+    assert [bench.pools.running[id].class_index for id in bench.start()].count(0) <= 1
     bench.end(*list(bench.pools.running))
     assert all(pool.running == 0 for pool in bench.pools.pools) and not bench.pools.running
 
@@ -319,7 +323,7 @@
     assert full is not None and full.reason == "pool full"
     # Once so much has gone through at the pool's own rate, there is room again.
     queue = bench.pools.ready.work(0)
-    rate = bench.pools.capacity.rate() * 0.9
+    rate = bench.pools.capacity.work_rate() * 0.9
     assert full.retry_after == pytest.approx(queue / rate + 0.4 - 1.5 * 0.9, abs=0.4)
 
 
@@ -330,8 +334,8 @@
         bench.start()
         bench.now += 0.1
         bench.pools.sample(bench.now, LoadSample(0, cpu, cpu, cpu, None))
-        assert SITE.cores <= bench.pools.limit <= SITE.cores * SITE.collapse_concurrency
-        assert len(bench.pools.running) <= bench.pools.limit + bench.pools.reserve_slots
+        assert SITE.cores <= bench.pools.run_limit.limit <= SITE.cores * SITE.collapse_concurrency
+        assert len(bench.pools.running) <= bench.pools.run_limit.limit + bench.pools.reserve_slots
 
 
 # ---- The Controller
