--- a/lapishaven/admission/__init__.py
+++ b/lapishaven/admission/__init__.py
@@ -33,6 +33,7 @@
     RunFinished,
 )
 from lapishaven.admission.ports import AdmissionPools
+from lapishaven.admission.rejection import Rejection
 from lapishaven.admission.settings import Idempotency, RequestClass, Settings, Tenant
 
 __all__ = [
@@ -53,6 +54,7 @@
     "Outcome",
     "PublishLoad",
     "Reject",
+    "Rejection",
     "ReleaseKey",
     "RequestArrived",
     "RequestCancelled",
--- a/lapishaven/admission/request_table.py
+++ b/lapishaven/admission/request_table.py
@@ -36,7 +36,7 @@
 
     def move(self, request: TrackedRequest, state: RequestState, now: float) -> None:
         """Change the state of a request."""
-        self._leave_state(request)
+        self._exit_state(request)
         request.state = state
         request.state_since = now
         self.counts[state] += 1
@@ -46,7 +46,7 @@
 
     def remove(self, request: TrackedRequest) -> None:
         """Forget a request that has ended."""
-        self._leave_state(request)
+        self._exit_state(request)
         del self.requests[request.request_id]
 
     def occupied_slots(self) -> int:
@@ -57,7 +57,7 @@
         """Requests whose run is suspended for a dependency call."""
         return self.counts[AWAITING_DEPENDENCY] + self.counts[CALLING_DEPENDENCY]
 
-    def _leave_state(self, request: TrackedRequest) -> None:
+    def _exit_state(self, request: TrackedRequest) -> None:
         self.counts[request.state] -= 1
         self._memory.release(request)
         self.queued.pop(request.request_id, None)
--- a/lapishaven/pools/pools.py
+++ b/lapishaven/pools/pools.py
@@ -4,8 +4,7 @@
 
 from collections.abc import Iterator
 
-from lapishaven.admission import Idempotency, LoadSample, Settings
-from lapishaven.admission.rejection import Rejection
+from lapishaven.admission import Idempotency, LoadSample, Rejection, Settings
 from lapishaven.pools.capacity import Capacity
 from lapishaven.pools.pool import Pool, PoolRun
 from lapishaven.pools.preemption import choose_victim, has_waited, is_short
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small builders, and a host that carries out actions and keeps the books of the rules."""
+"""Builders of settings and events, and filters of actions, for tests of the controller."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
 
 
 def saturate(c: Controller, now: float = 0.0, held: int = 40, first: int = 10_000) -> float:
-    """Fill the cores and the hold, then poll until the window is full of busy samples."""
+    """Fill the cores and the queue, then send load samples until the window is full of busy ones; return the time."""
     c.handle(now, [arrival(first + n, rank=0.999) for n in range(held)])
     for _ in range(10):
         now += 0.1
--- a/tests/test_platform_keys.py
+++ b/tests/test_platform_keys.py
@@ -196,7 +196,7 @@
             send c1 5 fuzzy-match
         """)
         assert self.server.broker is not None
-        self.assertEqual(self.server.broker.controller.tenant_seen, [1, 2])
+        self.assertEqual(self.server.broker.controller.rules.quotas.arrived, [1, 2])
 
 
 def test_fields_out_of_their_range_are_errors() -> None:
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -77,7 +77,7 @@
 
 
 class Box:
-    """A box under a Capacity: so many cores, each run with its work, stepped by hand."""
+    """An instance under a Capacity: so many cores, each run with its work, stepped by hand."""
 
     def __init__(self, cores: int = 4, seed: int = 1) -> None:
         self.capacity = Capacity(cores, [0.3, 0.3])
@@ -105,10 +105,10 @@
                 self.capacity.sample(self.now)
 
 
-# ---- Capacity
-# Guards against a box that counts as slow because it is full: four times the load is no tenth of the speed.
+# Capacity
+# Guards against an instance that counts as slow because it is full.
 @pytest.mark.parametrize("seed", range(4))
-def test_load_is_not_taken_for_slowness(seed: int) -> None:
+def test_load_is_not_taken_for_a_slower_instance(seed: int) -> None:
     box = Box(seed=seed)
     for busy in (1, 4, 16, 2, 24):
         box.go(15.0, busy)
@@ -117,9 +117,9 @@
     assert box.capacity.work(1) == pytest.approx(0.235, rel=0.15)
 
 
-# Guards against a limit learnt when the box was fast: a tenth of the speed is seen within two seconds.
+# Guards against a limit learnt when the instance was fast: a tenth of the speed is detected within two seconds.
 @pytest.mark.parametrize("seed", range(4))
-def test_a_tenth_of_the_speed_is_found_in_two_seconds_and_its_end_too(seed: int) -> None:
+def test_a_tenth_of_the_speed_and_its_recovery_are_detected(seed: int) -> None:
     box = Box(seed=seed)
     box.go(20.0, 6)
     box.speed, slowed = 0.1, box.now
@@ -133,7 +133,7 @@
     assert box.capacity.speed_changed_at is not None and box.capacity.speed_changed_at - back < 4.0
 
 
-def test_the_time_to_find_it() -> None:
+def test_the_detection_time_is_bounded() -> None:
     box = Box(seed=9)
     box.go(20.0, 6)
     box.speed, slowed = 0.1, box.now
@@ -142,8 +142,8 @@
         assert box.now < slowed + 2.0
 
 
-# Guards against a class whose work doubles being taken for a slow box, which would refuse all the others.
-def test_a_class_whose_work_doubles_is_not_a_slow_box() -> None:
+# Guards against a class whose work doubles being taken for a slow instance, which would reject all the others.
+def test_a_class_whose_work_doubles_is_not_a_slower_instance() -> None:
     box = Box(seed=3)
     box.go(20.0, 6)
     box.factor[0] = 2.0
@@ -153,7 +153,7 @@
     assert box.capacity.work(1) == pytest.approx(0.235, rel=0.25)
 
 
-def test_a_cold_start_is_a_known_ramp() -> None:
+def test_slow_start_is_part_of_the_speed() -> None:
     cold = Capacity(4, [0.3], slow_start_initial_speed=0.25, slow_start_span=16.0)
     cold.sample(0.0)
     assert cold.current_speed() == 0.25
@@ -164,7 +164,7 @@
     assert cold.current_speed() == 1.0
 
 
-# ---- Ready queue
+# Ready queue
 def test_shares_hold_in_units_of_work() -> None:
     queue = ReadyQueue([0.6, 0.3, 0.1])
     for n in range(3000):
@@ -177,8 +177,8 @@
     assert [round(each / sum(done), 2) for each in done] == [0.6, 0.3, 0.1]
 
 
-# Guards against time saved up while idle: one that comes back takes its share, not all that it left.
-def test_idle_time_earns_nothing() -> None:
+# Guards against credit for idle time: a pool that comes back takes its share, not all that it left.
+def test_an_idle_pool_earns_no_credit() -> None:
     queue = ReadyQueue([0.5, 0.5])
     for n in range(400):
         queue.push(Entry(n, 0, 0.1, 100.0, 200.0))
@@ -219,9 +219,9 @@
             assert (head.objective_at < now, head.objective_at) == (best.objective_at < now, best.objective_at)
 
 
-# ---- Pools
+# Pools
 class Bench:
-    """Pools with everything held at once, run for a while by a stand-in of the Controller."""
+    """Pools with everything queued at once, driven by a stand-in of the Controller."""
 
     def __init__(self, given_rules: PoolSettings | None = None) -> None:
         self.pools, self.now, self.last = Pools(given_rules or rules(), SITE), 0.0, 0
@@ -246,7 +246,7 @@
             self.pools.run_ended(self.now, id, True)
 
 
-# Guards against idle cores beside waiting work, and against a reserve that the others borrow.
+# Guards against idle cores beside queued work, and against a reserve that the others borrow.
 def test_idle_shares_are_lent_but_never_the_reserve() -> None:
     bench = Bench()
     bench.hold(0, 20)
@@ -268,7 +268,7 @@
     assert len(bench.start()) == 3
 
 
-def test_lent_share_is_taken_back_by_a_pause_within_a_bounded_time() -> None:
+def test_a_lent_share_is_preempted_within_a_bounded_time() -> None:
     even = [{**RULES["pool"][0], "share": 0.4}, {**RULES["pool"][1], "share": 0.5}, RULES["pool"][2]]
     bench = Bench(rules(take_back_s=0.2, pool=even))
     for _ in range(40):  # so that the classes are known
@@ -290,7 +290,7 @@
     assert halted[0] in bench.pools.ready  # and goes on later
 
 
-# Guards against a change of shares that loses count of what runs or is held.
+# Guards against a change of shares that loses count of what runs or is queued.
 def test_a_reload_while_over_the_new_share() -> None:
     bench = Bench()
     bench.hold(0, 10)
@@ -308,8 +308,8 @@
     assert all(pool.running == 0 for pool in bench.pools.pools) and not bench.pools.running
 
 
-# Guards against holding what cannot make its aim, and against advice that is made up.
-def test_a_full_pool_refuses_at_once_with_the_time_its_queue_takes() -> None:
+# Guards against queueing what cannot meet its objective, and against an arbitrary Retry-After.
+def test_a_full_pool_rejects_with_the_time_its_queue_takes() -> None:
     bench = Bench()
     for _ in range(20):
         bench.hold(0, 1)
@@ -338,7 +338,7 @@
         assert len(bench.pools.running) <= bench.pools.run_limit.limit + bench.pools.reserve_slots
 
 
-# ---- The Controller
+# The controller
 def stream(seed: int, rounds: int = 400) -> list[tuple[float, list[Event]]]:
     """Recorded batches: arrivals, ends, departures, polls and a drain, all drawn by the seed."""
     rnd, now, batches, open_ids = random.Random(seed), 0.0, list[tuple[float, list[Event]]](), list[int]()
@@ -396,7 +396,7 @@
     return f"[{', '.join(texts)}]"
 
 
-# Guards against pools that change anything where they are off. The digest is of the actions of the module as it was
+# Guards against pools that change anything where they are off. The digest is of the actions of the controller as it was
 # before there were pools, on the same batches.
 def test_without_pools_the_actions_are_the_same_to_the_last_bit() -> None:
     digest = hashlib.sha256()
@@ -409,7 +409,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_with_pools_every_request_is_answered_once_and_nothing_is_miscounted(seed: int) -> None:
-    """Random legal streams: what the host is told to run it runs, and the books of the rules are kept."""
+    """Random legal streams: each request is answered once, within the limits, and no count is left over."""
     rnd = random.Random(seed)
     pools = Pools(rules(take_back_s=0.05), SITE)
     controller = Controller(SITE, seed, pools)
@@ -461,7 +461,7 @@
     assert halts > 0 and sum(controller.rules.table.counts) == 0
 
 
-def test_refusals_of_a_full_pool_come_from_the_pool_and_spare_the_others() -> None:
+def test_a_full_pool_rejects_its_own_requests_and_not_those_of_others() -> None:
     controller = Controller(SITE, 1, Pools(rules(), SITE))
     controller.handle(0.0, [])
     actions = controller.handle(0.0, [arrival(n, class_index=0, rank=0.9) for n in range(1, 60)])
@@ -537,7 +537,7 @@
     assert "--pools" not in (ROOT / "deploy/balancer.toml").read_text()  # off on the platform
 
 
-# ---- Hard cases on the emulator: the real Broker, Controller and client policy
+# Hard scenarios on the emulator: the real Broker, Controller and client policy
 def emulate(**changes: Any) -> dict[str, Any]:
     base: dict[str, Any] = {"servers": 4, "clients": 3, "seconds": 9.0, "load": 0.6, "seed": 5, "pools": "on"}
     return main(EmulatorSpec(**{**base, **changes}))
@@ -557,7 +557,7 @@
     ],
     ids=lambda day: next(iter(day)),
 )
-def test_hard_days_break_no_rule_and_starve_nobody(day: dict[str, Any]) -> None:
+def test_hard_scenarios_break_no_rule_and_starve_no_pool(day: dict[str, Any]) -> None:
     found = emulate(**day)
     assert found["falls"] == found["commits_twice"] == found["late_answers"] == 0
     assert found["worst_concurrency"] < 6.0 and found["worst_memory"] < 1.0
@@ -567,7 +567,7 @@
         assert commits["on_time"] >= 0.9
 
 
-def test_the_same_seed_gives_the_same_day() -> None:
+def test_the_same_seed_gives_the_same_run() -> None:
     first, second = (emulate(seconds=5.0, script="1 slow n2 x0.1 for 3") for _ in range(2))
     for each in (first, second):
         del each["wall_s"], each["events_per_s"]
--- a/tests/test_simulator_codec.py
+++ b/tests/test_simulator_codec.py
@@ -1,4 +1,4 @@
-"""The codec on frames built here: round trips, limits of a frame, and plain words on what is malformed."""
+"""The codec on frames built here: round trips, limits of a frame, and errors that name what is malformed."""
 
 from __future__ import annotations
 
@@ -132,7 +132,7 @@
     assert struct.pack(">BI", 10, 99) in [r[:5] for r in second[1]]
 
 
-def test_down_and_born_in_one_batch_start_anew() -> None:
+def test_down_and_born_in_one_batch_restart_the_instance() -> None:
     replies = run(
         frame([select(3), born(0, len(TEXT))], TEXT)
         + frame([select(3), record(90), born(0, len(TEXT)), arrival(5)], TEXT)
@@ -143,7 +143,7 @@
     assert replies[2][1] == []
 
 
-def test_a_long_batch_is_answered_whole() -> None:
+def test_a_long_batch_is_answered_completely() -> None:
     reply = run(frame([select(1), born(0, len(TEXT))] + [arrival(n) for n in range(1, 5001)], TEXT))[0]
     assert len({r[1:5] for r in reply[1] if r[0] in (10, 20)}) > 1000
 
@@ -200,14 +200,14 @@
     assert reply.frame(1) == struct.pack(">III", 1, 1, 16) + packed.ljust(16, b"\0")
 
 
-def test_remarks_share_the_tail() -> None:
+def test_log_lines_share_the_tail() -> None:
     reply = codec.Reply()
     reply.add(Log("ab"))
     reply.add(Log("cde"))
-    whole = reply.frame(1)
-    assert whole[12:21] == struct.pack(">BII", 140, 0, 2)
-    assert whole[28:37] == struct.pack(">BII", 140, 2, 3)
-    assert whole[44:] == b"abcde"
+    frame_bytes = reply.frame(1)
+    assert frame_bytes[12:21] == struct.pack(">BII", 140, 0, 2)
+    assert frame_bytes[28:37] == struct.pack(">BII", 140, 2, 3)
+    assert frame_bytes[44:] == b"abcde"
 
 
 def without(path: str) -> bytes:
@@ -236,7 +236,7 @@
         (frame([select(1), born(0, len(TEXT)), record(80, struct.pack(">IB", 1, 40))], TEXT), "TIMER"),
     ],
 )
-def test_malformed_input_is_one_plain_line(data: bytes, words: str) -> None:
+def test_malformed_input_is_reported_in_one_line(data: bytes, words: str) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "lapishaven.simulator.adapter"], input=data, capture_output=True, timeout=30, check=False
     )
@@ -245,7 +245,7 @@
     assert len(lines) == 1 and words in lines[0]
 
 
-def test_an_exception_in_the_decisions_becomes_die(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_controller_becomes_die(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(self: object, now: float, events: object) -> list[Action]:
         raise IndexError("out of range")
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,7 +1,7 @@
-"""A fleet that starts cold under the sum of what all callers send: no server runs more than its warm-up survives.
+"""A fleet in slow start under the load of all callers: no server runs more than it survives while it warms up.
 
 Thirty real Controllers in simulated time, each before the laboratory's model of cores that warm up as slowly as the
-settings allow. The rule: in the mean of ``fall_span`` seconds at most cores x (1 + (fall_multiple - 1) x share of
+settings allow. The rule: in the mean of ``collapse_span`` seconds at most cores x (1 + (collapse_concurrency - 1) x
 speed) runs are on the cores.
 """
 
@@ -37,7 +37,7 @@
 
 
 class ColdServer:
-    """One Controller and its cores, from its start on."""
+    """One Controller and its cores, from its start."""
 
     def __init__(self, rules: Settings, speed: float, seed: int) -> None:
         self.rules, self.random = rules, Random(seed)
@@ -53,7 +53,7 @@
         self.events: list[Event] = []
         self.last = 0
         self.counts: deque[int] = deque(maxlen=round(rules.collapse_span / TICK))
-        self.worst = 0.0  # of the mean, as a part of what is survived
+        self.worst = 0.0  # highest mean concurrency, as a part of what is survived
 
     def arrive(self, cls: int, caller: int) -> None:
         self.last += 1
@@ -92,7 +92,7 @@
 )
 @pytest.mark.parametrize("load", [1.0, 3.0])
 @pytest.mark.parametrize("limited", [True, False])
-def test_no_cold_server_falls_under_what_all_callers_send(
+def test_no_server_in_slow_start_collapses_under_the_load_of_all_callers(
     cores: int,
     fall_multiple: float,
     fall_span: float,
@@ -102,9 +102,9 @@
     limited: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a ramp that holds for each caller by itself and not for their sum, at ``load`` times what the
-    fleet can do when it is warm, and with every caller's first requests in one burst. The running limit alone keeps the
-    rule mostly; without it (``limited`` off) the ceiling that follows the warm-up must."""
+    """Guards against a slow start that holds for each caller alone and not for their sum, at ``load`` times what the
+    warm fleet can do, and with every caller's first requests in one burst. Without the stepped limit (``limited``
+    off) the ceiling of slow start alone must keep the rule."""
     if not limited:
         monkeypatch.setattr(ConcurrencyLimit, "step", lambda self, now, **inputs: setattr(self, "limit", 1e9))
     rules = settings(
