--- a/lapishaven/proto/admission_settings.py
+++ b/lapishaven/proto/admission_settings.py
@@ -46,9 +46,11 @@
         return f"{self._path}.{key}" if self._path else key
 
     def table(self, key: str) -> _Table:
+        """A nested object."""
         return _Table(self.data.get(key), self._path_of(key))
 
     def tables(self, key: str) -> list[_Table]:
+        """A list of objects."""
         rows = self.data.get(key)
         path = self._path_of(key)
         if not isinstance(rows, list):
@@ -56,12 +58,14 @@
         return [_Table(row, f"{path}[{index}]") for index, row in enumerate(rows)]
 
     def number(self, key: str) -> float:
+        """A number that must be there."""
         value = self.optional_number(key)
         if value is None:
             raise SettingsError(self._path_of(key), "is missing")
         return value
 
     def optional_number(self, key: str) -> float | None:
+        """A number; ``None`` if it is absent."""
         value = self.data.get(key)
         if value is None:
             return None
@@ -70,9 +74,11 @@
         return float(value)
 
     def flag(self, key: str) -> bool:
+        """Whether a value is there and true."""
         return bool(self.data.get(key))
 
     def choice(self, key: str, choices: dict[str, Any]) -> Any:
+        """What a word stands for in ``choices``."""
         value = self.data.get(key)
         if not isinstance(value, str) or value not in choices:
             raise SettingsError(self._path_of(key), f"is {value!r}")
@@ -99,9 +105,21 @@
     gauge_names = extra.data.get("gauges")
     if not isinstance(gauge_names, list):
         raise SettingsError("extra.gauges", "is not a list")
+    settings = _settings(top, extra, obligations, limits, classes, tenants)
+    return InstanceSettings(settings, tuple(str(name) for name in gauge_names))
+
+
+def _settings(
+    top: _Table,
+    extra: _Table,
+    obligations: _Table,
+    limits: _Table,
+    classes: tuple[RequestClass, ...],
+    tenants: tuple[Tenant, ...],
+) -> Settings:
     max_retry_after = limits.optional_number("max-retry-after")
     callers = _Table(top.data.get("callers") or {}, "callers")
-    settings = Settings(
+    return Settings(
         classes=classes,
         tenants=tenants,
         cores=int(extra.number("cores")),
@@ -134,7 +152,6 @@
         registry_follows_health=extra.flag("registry-follows"),
         idle_timeout=extra.optional_number("idle"),
     )
-    return InstanceSettings(settings, tuple(str(name) for name in gauge_names))
 
 
 def _request_class(row: _Table, extra: _Table, index: int) -> RequestClass:
