--- a/lapishaven/admission/tenant_quota.py
+++ b/lapishaven/admission/tenant_quota.py
@@ -15,7 +15,8 @@
 
     def __init__(self, settings: Settings) -> None:
         count = len(settings.tenants)
-        self.arrived = [0] * count  # since the last load sample
+        self.arrived = [0] * count
+        """Requests by tenant since the last load sample."""
         self._rates = [0.0] * count  # requests a second
         self._weights = [1.0] * count
         self.apply_settings(settings)
