--- a/lapishaven/lab/etcd.py
+++ b/lapishaven/lab/etcd.py
@@ -1,9 +1,9 @@
-"""A stand-in for etcd v3's JSON gateway, as far as ownership uses it: a process on loopback with faults by word.
+"""A stand-in for etcd v3's JSON gateway, as far as ownership uses it: a process on loopback with faults on request.
 
 ``Store`` is the state, pure, with time passed in; the rest is HTTP. What etcd does that matters here is done likewise:
 int64 as strings, fields that are zero or false left out, one revision for a transaction, keys that go with their
-lease, a keep-alive of a lease that is over answered with no TTL, a put with such a lease turned down, expiry looked for
-twice a second. It is not etcd: one process, nothing on disk, no watch, no auth.
+lease, a keep-alive of an expired lease answered without a TTL, a put with such a lease rejected, expiry checked twice a
+second. It is not etcd: one process, nothing on disk, no watch, no auth.
 
 Faults are words on standard input, a JSON object a line: ``{"stall": S}`` holds what comes for S seconds and does it
 then, ``{"refuse": S}`` answers 503, ``{"lose": N}`` does the next N writes and closes without an answer,
@@ -24,12 +24,14 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from typing import Any
 
-EXPIRY = 0.5  # s between looks for leases that are over, as in etcd
-MIN_TTL = 2  # s; etcd raises shorter ones to its election timeout
+EXPIRY_INTERVAL_S = 0.5  # between two checks for expired leases, as in etcd
+MIN_TTL_S = 2  # etcd raises shorter ones to its election timeout
+FIRST_LEASE = 7_587_000_000_000_000_000  # etcd numbers leases by large integers
+STALL_STEP_S = 0.05
 
 
-class Refused(Exception):
-    """An error of etcd's: its code and text."""
+class EtcdError(Exception):
+    """An error that etcd answers with: its code and text."""
 
     def __init__(self, code: int, text: str) -> None:
         super().__init__(text)
@@ -38,6 +40,8 @@
 
 @dataclass(slots=True)
 class Entry:
+    """A key's value, its lease (0 for none), and the revisions that created it and last wrote it."""
+
     value: str
     lease: int
     create: int
@@ -46,26 +50,31 @@
 
 
 @dataclass(slots=True)
-class Granted:
+class GrantedLease:
+    """A lease: its time to live in seconds, when it expires, and the keys that go with it."""
+
     ttl: int
-    until: float
+    expires_at: float
     keys: set[str] = field(default_factory=set)
 
 
 class Store:
     """Keys and values as they come, in base64 (its order is not that of the bytes, so ranges decode)."""
 
-    def __init__(self, min_ttl: int = MIN_TTL) -> None:
+    def __init__(self, min_ttl: int = MIN_TTL_S) -> None:
         self.revision = 1
         self.entries: dict[str, Entry] = {}
-        self.leases: dict[int, Granted] = {}
-        self._next, self._min_ttl = 7_587_000_000_000_000_000, min_ttl
+        self.leases: dict[int, GrantedLease] = {}
+        self._next_lease = FIRST_LEASE
+        self._min_ttl = min_ttl
 
     def expire(self, now: float) -> None:
-        for number in [n for n, lease in self.leases.items() if lease.until <= now]:
+        """End the leases that have expired."""
+        for number in [number for number, lease in self.leases.items() if lease.expires_at <= now]:
             self.end(number)
 
     def end(self, number: int) -> None:
+        """End a lease; its keys go with it."""
         keys = self.leases.pop(number).keys
         if keys:
             self.revision += 1
@@ -76,40 +85,42 @@
         return {"cluster_id": "1", "member_id": "1", "revision": str(self.revision), "raft_term": "2"}
 
     def call(self, now: float, path: str, body: dict[str, Any]) -> dict[str, Any]:
-        """Carry out one call; ``Refused`` where etcd answers with an error."""
-        work: dict[str, Callable[[float, dict[str, Any]], dict[str, Any]]] = {
+        """Carry out one call; ``EtcdError`` where etcd answers with an error."""
+        handlers: dict[str, Callable[[float, dict[str, Any]], dict[str, Any]]] = {
             "/v3/lease/grant": self._grant,
             "/v3/lease/keepalive": self._keepalive,
             "/v3/lease/revoke": self._revoke,
             "/v3/kv/range": self._range,
-            "/v3/kv/txn": self._txn,
+            "/v3/kv/txn": self._transaction,
         }
-        if path not in work:
-            raise Refused(404, "Not Found")
-        return work[path](now, body)
+        if path not in handlers:
+            raise EtcdError(404, "Not Found")
+        return handlers[path](now, body)
 
     def _grant(self, now: float, body: dict[str, Any]) -> dict[str, Any]:
-        ttl, number = max(self._min_ttl, int(body["TTL"])), self._next
-        self._next += 1
-        self.leases[number] = Granted(ttl, now + ttl)
+        ttl = max(self._min_ttl, int(body["TTL"]))
+        number = self._next_lease
+        self._next_lease += 1
+        self.leases[number] = GrantedLease(ttl, now + ttl)
         return {"header": self._header(), "ID": str(number), "TTL": str(ttl)}
 
     def _keepalive(self, now: float, body: dict[str, Any]) -> dict[str, Any]:
         lease = self.leases.get(int(body["ID"]))
         result = {"header": self._header(), "ID": body["ID"]}
         if lease is not None:
-            lease.until = now + lease.ttl
+            lease.expires_at = now + lease.ttl
             result["TTL"] = str(lease.ttl)
         return {"result": result}
 
     def _revoke(self, now: float, body: dict[str, Any]) -> dict[str, Any]:
         if int(body["ID"]) not in self.leases:
-            raise Refused(404, "etcdserver: requested lease not found")
+            raise EtcdError(404, "etcdserver: requested lease not found")
         self.end(int(body["ID"]))
         return {"header": self._header()}
 
     def _range(self, now: float, body: dict[str, Any]) -> dict[str, Any]:
-        key, end = base64.b64decode(body["key"]), base64.b64decode(body.get("range_end", ""))
+        key = base64.b64decode(body["key"])
+        end = base64.b64decode(body.get("range_end", ""))
         if end:
             names = sorted(base64.b64decode(name) for name in self.entries)
             found = [base64.b64encode(name).decode() for name in names if key <= name < end]
@@ -119,51 +130,55 @@
         if found:
             answer["count"] = str(len(found))
             if not body.get("count_only"):
-                answer["kvs"] = [self._kv(name) for name in found]
+                answer["kvs"] = [self._key_value(name) for name in found]
         return answer
 
-    def _kv(self, name: str) -> dict[str, str]:
+    def _key_value(self, name: str) -> dict[str, str]:
         entry = self.entries[name]
-        kv = {
+        fields = {
             "key": name,
             "create_revision": str(entry.create),
             "mod_revision": str(entry.mod),
             "version": str(entry.version),
             "value": entry.value,
         }
-        return {**kv, "lease": str(entry.lease)} if entry.lease else kv
-
-    def _holds(self, compare: dict[str, Any]) -> bool:
-        if compare.get("result") != "EQUAL":
-            raise Refused(400, "only EQUAL is there")
-        entry = self.entries.get(compare["key"])
-        if compare["target"] == "CREATE":
-            return (entry.create if entry else 0) == int(compare["create_revision"])
-        if compare["target"] == "MOD":
-            return (entry.mod if entry else 0) == int(compare["mod_revision"])
-        if compare["target"] == "LEASE":
-            return (entry.lease if entry else 0) == int(compare["lease"])
-        raise Refused(400, f"no target {compare['target']}")
-
-    def _txn(self, now: float, body: dict[str, Any]) -> dict[str, Any]:
-        holds = all([self._holds(each) for each in body.get("compare", [])])
-        then = body.get("success" if holds else "failure", [])
-        keys = [next(iter(op.values()))["key"] for op in then]
+        return {**fields, "lease": str(entry.lease)} if entry.lease else fields
+
+    def _holds(self, comparison: dict[str, Any]) -> bool:
+        if comparison.get("result") != "EQUAL":
+            raise EtcdError(400, "only EQUAL is there")
+        entry = self.entries.get(comparison["key"])
+        if comparison["target"] == "CREATE":
+            return (entry.create if entry else 0) == int(comparison["create_revision"])
+        if comparison["target"] == "MOD":
+            return (entry.mod if entry else 0) == int(comparison["mod_revision"])
+        if comparison["target"] == "LEASE":
+            return (entry.lease if entry else 0) == int(comparison["lease"])
+        raise EtcdError(400, f"no target {comparison['target']}")
+
+    def _transaction(self, now: float, body: dict[str, Any]) -> dict[str, Any]:
+        holds = all([self._holds(comparison) for comparison in body.get("compare", [])])
+        operations = body.get("success" if holds else "failure", [])
+        keys = [next(iter(operation.values()))["key"] for operation in operations]
         if len(set(keys)) != len(keys):
-            raise Refused(400, "etcdserver: duplicate key given in txn request")
-        for op in then:
-            if (lease := int(op.get("request_put", {}).get("lease", 0))) and lease not in self.leases:
-                raise Refused(404, "etcdserver: requested lease not found")
-        if any("request_put" in op or op["request_delete_range"]["key"] in self.entries for op in then):
+            raise EtcdError(400, "etcdserver: duplicate key given in txn request")
+        for operation in operations:
+            if (lease := int(operation.get("request_put", {}).get("lease", 0))) and lease not in self.leases:
+                raise EtcdError(404, "etcdserver: requested lease not found")
+        if any(self._changes(operation) for operation in operations):
             self.revision += 1
-        for op in then:
-            if "request_put" in op:
-                self._put(op["request_put"])
+        for operation in operations:
+            if "request_put" in operation:
+                self._put(operation["request_put"])
             else:
-                self._delete(op["request_delete_range"]["key"])
+                self._delete(operation["request_delete_range"]["key"])
         answer: dict[str, Any] = {"header": self._header()}
         return {**answer, "succeeded": True} if holds else answer
 
+    def _changes(self, operation: dict[str, Any]) -> bool:
+        """Whether it is a put, or deletes a key that is there."""
+        return "request_put" in operation or operation["request_delete_range"]["key"] in self.entries
+
     def _put(self, put: dict[str, Any]) -> None:
         key, lease = put["key"], int(put.get("lease", 0))
         old = self.entries.get(key)
@@ -183,69 +198,77 @@
 class Gateway:
     """The store with its faults, for many threads."""
 
-    def __init__(self, min_ttl: int = MIN_TTL) -> None:
+    def __init__(self, min_ttl: int = MIN_TTL_S) -> None:
         self.store = Store(min_ttl)
         self.lock = threading.Lock()
         self.calls: dict[str, int] = {}
-        self._stall_to = self._refuse_to = self._late_to = 0.0
-        self._late = 0.0
-        self._lose = self._twice = 0
-        self._life = 0  # grows with each restart; a connection of an earlier one is closed
+        self._stall_until = 0.0
+        self._refuse_until = 0.0
+        self._late_until = 0.0
+        self._late_s = 0.0
+        self._writes_to_lose = 0
+        self._transactions_to_repeat = 0
+        self._incarnation = 0  # grows with each restart; a connection of an earlier one is closed
 
     def fault(self, words: dict[str, Any]) -> None:
+        """Take a fault, as the module describes them."""
         now = time.monotonic()
         with self.lock:
-            self._stall_to = now + words["stall"] if "stall" in words else self._stall_to
-            self._refuse_to = now + words["refuse"] if "refuse" in words else self._refuse_to
+            self._stall_until = now + words["stall"] if "stall" in words else self._stall_until
+            self._refuse_until = now + words["refuse"] if "refuse" in words else self._refuse_until
             if "late" in words:
-                self._late, self._late_to = words["late"], now + words["for"]
-            self._lose += words.get("lose", 0)
-            self._twice += words.get("twice", 0)
+                self._late_s = words["late"]
+                self._late_until = now + words["for"]
+            self._writes_to_lose += words.get("lose", 0)
+            self._transactions_to_repeat += words.get("twice", 0)
             if "restart" in words:
-                self._life += 1
+                self._incarnation += 1
                 for number, lease in list(self.store.leases.items()):
                     if words["restart"] == "aged":
                         self.store.end(number)
                     else:
-                        lease.until = now + lease.ttl
+                        lease.expires_at = now + lease.ttl
 
-    def answer(self, path: str, body: dict[str, Any], life: int) -> tuple[int, dict[str, Any]] | None:
-        """Code and object; None: close without an answer."""
-        while (wait := self._stall_to - time.monotonic()) > 0:
-            time.sleep(min(wait, 0.05))
+    def answer(self, path: str, body: dict[str, Any], incarnation: int) -> tuple[int, dict[str, Any]] | None:
+        """The HTTP status and the answer; None: close without an answer. ``incarnation``: in which the connection was
+        opened."""
+        while (wait := self._stall_until - time.monotonic()) > 0:
+            time.sleep(min(wait, STALL_STEP_S))
         now = time.monotonic()
         with self.lock:
             self.calls[path] = self.calls.get(path, 0) + 1
-            if life != self._life:
+            if incarnation != self._incarnation:
                 return None
-            if now < self._refuse_to:
+            if now < self._refuse_until:
                 return 503, {"error": "etcdserver: no leader", "code": 14}
             times = 1
-            if self._twice > 0 and path == "/v3/kv/txn":
-                self._twice -= 1
+            if self._transactions_to_repeat > 0 and path == "/v3/kv/txn":
+                self._transactions_to_repeat -= 1
                 times = 2
             try:
                 for _ in range(times):
                     found = self.store.call(now, path, body)
-            except Refused as error:
+            except EtcdError as error:
                 return error.code, {"error": str(error), "code": 5, "message": str(error)}
             except (KeyError, ValueError, TypeError) as error:
                 return 400, {"error": f"{type(error).__name__}: {error}", "code": 3}
-            if self._lose > 0 and path in ("/v3/kv/txn", "/v3/lease/grant"):
-                self._lose -= 1
+            if self._writes_to_lose > 0 and path in ("/v3/kv/txn", "/v3/lease/grant"):
+                self._writes_to_lose -= 1
                 return None
-            late = self._late if now < self._late_to else 0.0
+            late = self._late_s if now < self._late_until else 0.0
         if late:
             time.sleep(late)
         return 200, found
 
-    def life(self) -> int:
-        return self._life
+    def incarnation(self) -> int:
+        """Grows with each restart."""
+        return self._incarnation
 
     def expire(self) -> None:
+        """End expired leases, for ever."""
         while True:
-            time.sleep(EXPIRY)
-            if time.monotonic() >= self._stall_to:  # a stalled one ends nothing either
+            time.sleep(EXPIRY_INTERVAL_S)
+            if time.monotonic() >= self._stall_until:  # a stalled process ends nothing either
                 with self.lock:
                     self.store.expire(time.monotonic())
 
@@ -264,12 +287,13 @@
 
         def setup(self) -> None:
             super().setup()
-            self._life = gateway.life()
+            self._incarnation = gateway.incarnation()
 
-        def do_POST(self) -> None:
+        def do_POST(self) -> None:  # noqa: N802 - the name that http.server calls
+            """Answer one call."""
             body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
             try:
-                found = gateway.answer(self.path, json.loads(body), self._life)
+                found = gateway.answer(self.path, json.loads(body), self._incarnation)
             except ValueError:
                 found = 400, {"error": "no JSON", "code": 3}
             if found is None:
@@ -293,8 +317,9 @@
 
 
 def main() -> None:
+    """Serve the gateway that the first argument describes, until standard input ends."""
     spec = json.loads(sys.argv[1])
-    gateway = Gateway(spec.get("min_ttl", MIN_TTL))
+    gateway = Gateway(spec.get("min_ttl", MIN_TTL_S))
     server = serve(spec.get("host", "127.0.0.1"), spec.get("port", 0), gateway)
     print(
         json.dumps({"at": time.monotonic(), "who": spec["name"], "what": "start", "port": server.server_address[1]}),
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""The decisions of ownership, without I/O: leases, fences, placement, members, duties, settings, the book's guards."""
+"""The decisions of ownership, without I/O: leases, fences, placement, members, duties, settings, the store's guards."""
 
 from __future__ import annotations
 
@@ -25,8 +25,7 @@
 from lapishaven.ownership.fenced_store import Admission, FencedStore, FencedStoreError
 from lapishaven.ownership.lease import TRANSITIONS, Lease, LeaseError, LeaseEvent, LeaseState
 from lapishaven.ownership.member import Member
-from lapishaven.ownership.model import ListedMember, MemberRecord, SessionGrant, Shard, View
-from lapishaven.ownership.model import MemberState as Serves
+from lapishaven.ownership.model import ListedMember, MemberRecord, MemberState, SessionGrant, Shard, View
 from lapishaven.ownership.notices import NoticeKind
 from lapishaven.ownership.operations import Completed, Join, Renew, Unknown
 from lapishaven.ownership.overload import OverloadDetector, OverloadRules
@@ -51,7 +50,7 @@
     assert lease.expire(12.7) and lease.state is LeaseState.LOST
 
 
-def test_the_table_says_what_is_impossible() -> None:
+def test_an_event_that_the_transition_table_lacks_is_an_error() -> None:
     """Guards the table: an event that it does not have is a fault, and is not passed over."""
     lease = Lease(3.0, 0.3)
     with pytest.raises(LeaseError):
@@ -60,7 +59,7 @@
 
 
 # ---- Fences
-def test_a_fence_refuses_older_repeats_equal_and_tells_an_older_copy() -> None:
+def test_a_fence_rejects_older_tokens_recognizes_repeats_and_detects_an_older_copy() -> None:
     """Guards each verdict: the receiver's only protection against owners that woke up late."""
     shard: Shard = ("work", 1)
     mark = HighWaterMark(7, 3, 10)
@@ -83,7 +82,7 @@
 
 
 @pytest.mark.parametrize("table", [table for plan in DUTY_SCHEMAS.values() for table in plan.guarded_tables])
-def test_no_duty_s_effect_can_be_reached_around_the_fence(tmp_path: Path, table: str) -> None:
+def test_no_guarded_table_can_be_written_around_the_fence(tmp_path: Path, table: str) -> None:
     """Guards every receiver in the product: plain SQL on the same file must not write what only the fence may."""
     FencedStore(str(tmp_path / "b"), DUTY_SCHEMAS).close()
     base = sqlite3.connect(tmp_path / "b")
@@ -93,19 +92,19 @@
     base.close()
 
 
-def test_an_effect_that_fails_leaves_no_mark_and_the_act_may_come_again(tmp_path: Path) -> None:
+def test_an_effect_that_fails_leaves_no_mark_and_may_be_sent_again(tmp_path: Path) -> None:
     """Guards the one transaction: a mark without its effect would answer the repeat as done."""
-    book = FencedStore(str(tmp_path / "b"), DUTY_SCHEMAS)
+    store = FencedStore(str(tmp_path / "b"), DUTY_SCHEMAS)
     act = EffectRequest(("periods", 0), 5, 1)
     with pytest.raises(FencedStoreError):
-        book.admit(act, "close", {"shard": "no number", "period": 1})
-    assert book.admit(act, "close", {"shard": 0, "period": 1}).verdict is Verdict.ADMIT
-    assert book.admit(act, "close", {"shard": 0, "period": 1}).verdict is Verdict.REPEAT
-    assert find_store_violation(book) is None
-    book.close()
+        store.admit(act, "close", {"shard": "no number", "period": 1})
+    assert store.admit(act, "close", {"shard": 0, "period": 1}).verdict is Verdict.ADMIT
+    assert store.admit(act, "close", {"shard": 0, "period": 1}).verdict is Verdict.REPEAT
+    assert find_store_violation(store) is None
+    store.close()
 
 
-def test_a_book_of_a_newer_schema_is_left_alone(tmp_path: Path) -> None:
+def test_a_store_of_a_newer_schema_is_left_alone(tmp_path: Path) -> None:
     """Guards a downgrade: an old program must not write into what it does not know."""
     base = sqlite3.connect(tmp_path / "b")
     base.execute("pragma user_version = 99")
@@ -117,7 +116,7 @@
 # ---- Placement
 @rounds(max_examples=40)
 @given(st.integers(1, 30), st.integers(1, 200), st.integers(0, 10**6))
-def test_shards_are_spread_evenly_and_move_least(members: int, count: int, seed: int) -> None:
+def test_placement_is_even_and_moves_few_shards(members: int, count: int, seed: int) -> None:
     """Guards both bars at once: a plan that balances by moving everything, or that moves nothing, fails."""
     shards: list[Shard] = [("w", n) for n in range(count)]
     parts = [Candidate(f"m{n}") for n in range(members)]
@@ -139,7 +138,7 @@
 
 
 # ---- Members
-def test_a_fleet_settles_and_follows_a_death_within_the_lease_and_a_second() -> None:
+def test_every_shard_has_an_owner_again_a_second_after_the_lease_of_a_dead_one() -> None:
     """Guards liveness: every shard has one owner, also after a kill, a leave and half of the members at once."""
     fleet = SimFleet(60, 3)
     for n in range(10):
@@ -166,7 +165,7 @@
     assert not [notice for one in fleet.members.values() for _, notice in one.notices if notice.kind in UNEXPECTED]
 
 
-def test_an_outage_makes_nobody_an_owner_and_its_end_is_no_herd() -> None:
+def test_an_outage_makes_no_owners_and_rejoins_are_spread_after_it() -> None:
     """Guards an outage of minutes: owners stop by their own clocks, and come back spread over time."""
     fleet = SimFleet(30, 7)
     for n in range(30):
@@ -189,7 +188,7 @@
     assert all(len(names) == 1 for names in fleet.owners().values())
 
 
-def test_one_that_flaps_is_given_no_work_for_longer_each_time() -> None:
+def test_a_flapping_member_settles_for_longer_each_time() -> None:
     """Guards the others' shards from moving each second because one process cannot stay up."""
     fleet = SimFleet(12, 9)
     for name in ("a", "b", "c"):
@@ -207,7 +206,7 @@
     assert sum(moves[:3]) > 0 and sum(moves[-5:]) == 0
 
 
-def test_a_refused_act_ends_the_session_and_all_that_it_holds() -> None:
+def test_a_rejected_effect_ends_the_session_with_all_its_shards() -> None:
     """Guards the wake-up: one refusal says that time went by unseen, so nothing else may be believed either."""
     shards: list[Shard] = [("w", 0), ("w", 1)]
     member = Member(MemberRecord("a", "a1"), shards, MembershipRules(), Random(1))
@@ -221,7 +220,7 @@
     assert isinstance(op, Join) and op.record.incarnation != "a1"
 
 
-def test_each_attempt_to_join_is_another_start() -> None:
+def test_each_attempt_to_join_is_another_incarnation() -> None:
     """Guards the read-back, as the model does: a first attempt that came late must not be taken for the second, whose
     time is counted from a later instant."""
     member = Member(MemberRecord("a", "a1"), [("w", 0)], MembershipRules(), Random(1))
@@ -241,7 +240,7 @@
     assert member.session.id is None
 
 
-def test_a_renewal_without_answer_keeps_the_old_time() -> None:
+def test_a_renewal_without_answer_does_not_lengthen_the_lease() -> None:
     """Guards doubt: neither yes nor no, so nothing is gained by it and nothing is given up before its time."""
     rules = MembershipRules(ttl=3.0, margin=0.3)
     member = Member(MemberRecord("a", "a1"), [("w", 0)], rules, Random(1))
@@ -263,28 +262,28 @@
 # ---- Duties
 def test_a_period_is_closed_once_and_late_rows_go_to_the_next(tmp_path: Path) -> None:
     """Guards billing: a row in no statement, or in two, is a dispute."""
-    book = FencedStore(str(tmp_path / "b"), DUTY_SCHEMAS)
+    store = FencedStore(str(tmp_path / "b"), DUTY_SCHEMAS)
     collector = periods.ConsumptionCollector("n1", "n1:1", 1, 10.0)
     for wall, team in ((1.0, "x"), (2.0, "x"), (12.0, "y")):
         collector.record(wall, team, "c", 0.5)
     rows = collector.pending_rows()
     assert collector.pending_rows() == rows  # until they are kept
     for _ in range(2):  # the answer to the first flush was lost
-        book.write(lambda base: periods.insert_rows(base, rows))
+        store.write(lambda base: periods.insert_rows(base, rows))
     collector.confirm(rows)
     assert collector.pending_rows() == []
     for number, period in enumerate((0, 0, 1), 1):  # a new owner closes period 0 once more
-        book.admit(EffectRequest(("periods", 0), number, 1), "close", {"shard": 0, "period": period})
+        store.admit(EffectRequest(("periods", 0), number, 1), "close", {"shard": 0, "period": period})
     collector.record(3.0, "x", "c", 0.5)  # late
-    book.write(lambda base: periods.insert_rows(base, collector.pending_rows()))
-    book.admit(EffectRequest(("periods", 0), 4, 1), "close", {"shard": 0, "period": 2})
-    assert book.read("select team, period, count, worth from statement order by period, team") == [
+    store.write(lambda base: periods.insert_rows(base, collector.pending_rows()))
+    store.admit(EffectRequest(("periods", 0), 4, 1), "close", {"shard": 0, "period": 2})
+    assert store.read("select team, period, count, worth from statement order by period, team") == [
         ("x", 0, 2, 1000),
         ("y", 1, 1, 500),
         ("x", 2, 1, 500),
     ]
-    assert find_store_violation(book) is None
-    book.close()
+    assert find_store_violation(store) is None
+    store.close()
 
 
 def test_periods_follow_what_is_closed_and_not_the_wall_clock() -> None:
@@ -294,7 +293,7 @@
     assert periods.period_to_close(-3500.0, 10.0, 2.0, 8) is None
 
 
-def test_a_rollout_takes_at_most_k_and_its_share_and_counts_who_is_away_anyway() -> None:
+def test_a_rollout_keeps_to_its_limits_and_counts_unavailable_members() -> None:
     """Guards capacity: a member that died by itself is away too."""
     places = [restart.RolloutMember(f"m{n}", 1.0, restart.RolloutStage.WAITING, f"s{n}") for n in range(8)]
     assert restart.choose_permitted(places, frozenset(), 3, 0.25) == ["m0", "m1"]
@@ -310,7 +309,7 @@
 
 
 @given(st.floats(1, 1000), st.dictionaries(st.text("ab", min_size=1, max_size=4), st.floats(0, 500), max_size=12))
-def test_dealt_rates_sum_to_the_contract_and_are_fair(rate: float, needs: dict[str, float]) -> None:
+def test_fair_rates_sum_to_the_contract(rate: float, needs: dict[str, float]) -> None:
     """Guards both ends: more than the contract is overspent, less is service that was paid for."""
     dealt = budgets.max_min_fair_rates(rate, needs)
     if needs:
@@ -323,49 +322,49 @@
     st.dictionaries(st.sampled_from("abcdef"), st.floats(0, 50)),
     st.dictionaries(st.sampled_from("abcdef"), st.floats(0, 20)),
 )
-def test_what_may_still_be_out_is_never_dealt_again(wanted: dict[str, float], out: dict[str, float]) -> None:
+def test_outstanding_grants_are_never_granted_again(wanted: dict[str, float], out: dict[str, float]) -> None:
     """Guards an owner change: the old owner's grants run on at members that do not know of the new one."""
     grants = budgets.grantable_rates(100.0, {k: min(v, 100.0 / 6) for k, v in wanted.items()}, out)
     alive = sum(max(grants.get(name, 0.0), out.get(name, 0.0)) for name in {*grants, *out})
     assert alive <= max(100.0, sum(out.values())) + 1e-6
 
 
-def test_a_purse_keeps_to_its_grant_and_falls_back_when_it_ends() -> None:
+def test_a_bucket_keeps_to_its_grant_and_falls_back_when_it_ends() -> None:
     """Guards a member cut off from the dealer: neither the old grant for ever, nor nothing."""
-    purse = budgets.QuotaBucket(rate=100.0, members=4, fallback_share=0.2, burst_s=1.0)
-    purse.grant(0.0, 0.0, 50.0, 2.0, 1)
+    bucket = budgets.QuotaBucket(rate=100.0, members=4, fallback_share=0.2, burst_s=1.0)
+    bucket.grant(0.0, 0.0, 50.0, 2.0, 1)
     spent: Counter[int] = Counter()
     for tick in range(5000):
         now = tick / 1000
-        spent[int(now)] += purse.take(now) is None
+        spent[int(now)] += bucket.take(now) is None
     assert 45 <= spent[1] <= 55
     assert spent[3] + spent[4] <= 2 * 5 + 5  # the static part: 100 * 0.2 / 4 a second
-    purse.grant(9.0, 5.0, 50.0, 2.0, 2)  # asked for at 5: over
-    assert purse.take(9.0) is None and purse.granted_until == 2.0
-    purse.grant(10.0, 10.0, 50.0, 2.0, 3)
-    purse.grant(13.0, 13.0, 50.0, 2.0, 3)  # the same round, for over a span: its dealer is gone
-    assert purse.granted_until == 12.0
+    bucket.grant(9.0, 5.0, 50.0, 2.0, 2)  # asked for at 5: over
+    assert bucket.take(9.0) is None and bucket.granted_until == 2.0
+    bucket.grant(10.0, 10.0, 50.0, 2.0, 3)
+    bucket.grant(13.0, 13.0, 50.0, 2.0, 3)  # the same round, for over a span: its dealer is gone
+    assert bucket.granted_until == 12.0
 
 
-def test_a_dealer_that_owns_a_contract_again_counts_what_another_dealt_meanwhile() -> None:
+def test_an_owner_that_returns_counts_the_grants_of_another() -> None:
     """Guards a process that loses its shard and gets it back: what it remembers of grants is not what is out."""
-    book = FencedStore(":memory:", {"budgets": budgets.DUTY_SCHEMA})
+    store = FencedStore(":memory:", {"budgets": budgets.DUTY_SCHEMA})
     numbers: Counter[int] = Counter()
 
     def dealer(token: int) -> Any:
         def act(effect: str, detail: Any) -> Any:
             numbers[token] += 1
-            return book.admit(EffectRequest(("budgets", 0), token, numbers[token]), effect, detail).answer
+            return store.admit(EffectRequest(("budgets", 0), token, numbers[token]), effect, detail).answer
 
         return act
 
     def need(member: str, need: float, seen: int) -> None:
-        adopted = book.read("select coalesce(max(round), 0) from budget_round")[0][0] if member == "y" else 0
-        book.write(lambda base: budgets.report_demand(base, "c", member, need, seen, adopted))
+        adopted = store.read("select coalesce(max(round), 0) from budget_round")[0][0] if member == "y" else 0
+        store.write(lambda base: budgets.report_demand(base, "c", member, need, seen, adopted))
 
     first, other = (
-        budgets.QuotaDistribution({"c": 100.0}, 6.0, book.read),
-        budgets.QuotaDistribution({"c": 100.0}, 6.0, book.read),
+        budgets.QuotaDistribution({"c": 100.0}, 6.0, store.read),
+        budgets.QuotaDistribution({"c": 100.0}, 6.0, store.read),
     )
     need("x", 10.0, 1)
     first.step(0, dealer(1), 0.0)
@@ -375,49 +374,49 @@
     need("x", 10.0, 3)
     need("y", 100.0, 3)
     first.step(0, dealer(3), 51.0)
-    given = dict(book.read("select member, rate from budget_grant"))
-    most = dict(book.read("select member, most from budget_grant"))
+    given = dict(store.read("select member, rate from budget_grant"))
+    most = dict(store.read("select member, most from budget_grant"))
     assert most["x"] > 90.0 and given["y"] + most["x"] <= 100.0 + 1e-6
-    book.close()
+    store.close()
 
 
 def rolling(
-    reports: dict[str, tuple[str, bool, bool]], serving: dict[str, float], book: FencedStore
+    reports: dict[str, tuple[str, bool, bool]], serving: dict[str, float], store: FencedStore
 ) -> list[tuple[str, Any]]:
-    """What the duty does at one step, on a book with one rollout."""
+    """What the duty does at one step, on a store with one rollout."""
     done: list[tuple[str, Any]] = []
     for name, report in reports.items():
-        book.write(lambda base, name=name, report=report: restart.report_member(base, name, *report))
-    duty = restart.RollingRestart(book.read, lambda: 7, lambda: serving)
-    number = book.read("select count(*) from fence_log")[0][0]
+        store.write(lambda base, name=name, report=report: restart.report_member(base, name, *report))
+    duty = restart.RollingRestart(store.read, lambda: 7, lambda: serving)
+    number = store.read("select count(*) from fence_log")[0][0]
 
     def act(effect: str, detail: Any) -> Any:
         done.append((effect, detail))
-        return book.admit(EffectRequest(("restart", 0), 7, number + len(done)), effect, detail).answer
+        return store.admit(EffectRequest(("restart", 0), 7, number + len(done)), effect, detail).answer
 
     for _ in range(3):
         duty.step(0, act, 0.0)
     return done
 
 
-def test_a_rollout_takes_only_members_that_serve_and_obey_and_counts_the_dead_as_away() -> None:
+def test_a_rollout_enlists_members_that_serve_and_obey_and_counts_the_dead_as_away() -> None:
     """Guards a rollout from waiting for ever for an operator's session or a member that does not obey, and capacity
     from one that died while its last word was that it is ready."""
-    book = FencedStore(":memory:", DUTY_SCHEMAS)
-    assert rolling({}, {}, book) == []  # nobody ordered anything
-    book.write(lambda base: restart.order_rollout(base, "r", 1, 0.5, 1))
+    store = FencedStore(":memory:", DUTY_SCHEMAS)
+    assert rolling({}, {}, store) == []  # nobody ordered anything
+    store.write(lambda base: restart.order_rollout(base, "r", 1, 0.5, 1))
     all_up = {name: (f"{name}1", True, name != "deaf") for name in ("a", "b", "deaf", "dead")}
-    assert rolling({}, {}, book) == []  # nobody is there: no act, again and again
-    done = rolling(all_up, {"a": 1.0, "b": 1.0, "deaf": 1.0, "dead": 1.0, "operator-1": 1.0}, book)
+    assert rolling({}, {}, store) == []  # nobody is there: no act, again and again
+    done = rolling(all_up, {"a": 1.0, "b": 1.0, "deaf": 1.0, "dead": 1.0, "operator-1": 1.0}, store)
     assert [name for name, _ in done[0][1]["members"]] == ["a", "b", "dead"]
     assert done[1] == ("permit", {"rollout": "r", "token": 7, "members": [("a", "a1")]})
-    assert rolling({"a": ("a2", True, True)}, {"a": 1.0, "b": 1.0, "deaf": 1.0}, book) == [
+    assert rolling({"a": ("a2", True, True)}, {"a": 1.0, "b": 1.0, "deaf": 1.0}, store) == [
         ("complete", {"rollout": "r", "members": ["a"]})
     ]  # dead is away, so b has to wait
-    book.close()
+    store.close()
 
 
-def test_an_act_that_got_no_answer_is_repeated_and_another_one_is_not_taken_for_it() -> None:
+def test_an_effect_without_answer_is_repeated_and_another_takes_the_next_number() -> None:
     """Guards against an acknowledgement of what was never done: the second act must not get the first one's answer."""
     sent: list[tuple[int, str]] = []
 
@@ -447,7 +446,7 @@
     assert sent == [(1, "one")] * 6 + [(2, "two")] and standing.number == 2
 
 
-def test_contracts_ask_the_dealer_first_and_keep_their_own_for_the_rest() -> None:
+def test_contracts_use_granted_quota_first_and_their_own_bucket_for_the_rest() -> None:
     """Guards the port: an undealt contract is served from its own bucket, as before."""
 
     class Dealt:
@@ -455,10 +454,10 @@
             return 2.5 if contract.team == "dealt" else -1.0
 
     terms = [Contract(team, "s", 0, 1.0, "interpreter", 1.0, 1.0) for team in ("dealt", "own")]
-    book = Contracts(terms, Dealt())
-    assert book.admit(0.0, ("dealt", "s", 0)) == Denied("over budget", 2.5)
-    assert book.admit(0.0, ("own", "s", 0)) is terms[1]
-    assert book.admit(0.0, ("own", "s", 0)) == Denied("over budget", 1.0)
+    contracts = Contracts(terms, Dealt())
+    assert contracts.admit(0.0, ("dealt", "s", 0)) == Denied("over budget", 2.5)
+    assert contracts.admit(0.0, ("own", "s", 0)) is terms[1]
+    assert contracts.admit(0.0, ("own", "s", 0)) == Denied("over budget", 1.0)
 
 
 # ---- Settings
@@ -498,29 +497,30 @@
     assert all(found.values()), found
 
 
-def test_a_strained_member_gives_back_what_is_over_its_half_and_a_burst_moves_nothing() -> None:
+def test_an_overloaded_member_sheds_what_is_over_its_half_and_a_burst_moves_nothing() -> None:
     """Guards owners without time for their work, and the fleet from shards that go round: a short overload, one that
     all members share and one with nobody to take the work move nothing."""
     shards = [("tick", n) for n in range(12)]
 
     def view(*weights: float) -> View:
         seen = tuple(
-            ListedMember(n, MemberRecord(f"m{n}", f"s{n}", Serves.SERVING, weight)) for n, weight in enumerate(weights)
+            ListedMember(n, MemberRecord(f"m{n}", f"s{n}", MemberState.SERVING, weight))
+            for n, weight in enumerate(weights)
         )
         return View(1, seen, {}, {})
 
     def moved_by(there: View, until: float, overloaded: Callable[[float], bool], before: View | None = None) -> int:
-        strain, now = OverloadDetector(OverloadRules(sustained_for=2.0, shed_interval=0.5)), 0.0
+        detector, now = OverloadDetector(OverloadRules(sustained_for=2.0, shed_interval=0.5)), 0.0
         held = {shard: n for n, shard in enumerate(shards[:4])}
         if before is not None:
-            strain.observe(now, 0, 0, True)
-            strain.shard_to_shed(2.0, "m0", 1.0, before, {}, 12)
+            detector.observe(now, 0, 0, True)
+            detector.shard_to_shed(2.0, "m0", 1.0, before, {}, 12)
             assert (
-                strain.shard_to_shed(2.0, "m0", 1.0, before, {shards[11]: 1}, 12) is None
+                detector.shard_to_shed(2.0, "m0", 1.0, before, {shards[11]: 1}, 12) is None
             )  # one is less than its part
         while now < until:
-            strain.observe(now, 0, 0, overloaded(now))
-            shard = strain.shard_to_shed(now, "m0", 1.0, there, held, 12)
+            detector.observe(now, 0, 0, overloaded(now))
+            shard = detector.shard_to_shed(now, "m0", 1.0, there, held, 12)
             if shard is not None:
                 assert held.pop(shard) == max([*held.values(), -1]) + 1  # the last that it took
             now += 0.1
@@ -535,42 +535,42 @@
     assert moved_by(view(1.0), 10.0, lambda now: True) == 0  # nobody there
     assert moved_by(view(1.0, 0.5, 0.5), 10.0, lambda now: True, even) == 0  # all the others are strained too
     assert moved_by(view(1.0, 0.5, 1.0), 10.0, lambda now: True, even) == 1
-    strain, answers, refusals = OverloadDetector(OverloadRules(sustained_for=2.0)), 0, 0
+    detector, answers, refusals = OverloadDetector(OverloadRules(sustained_for=2.0)), 0, 0
     for n in range(40):  # a tenth refused is no overload, three tenths are
         answers, refusals = answers + 10, refusals + (1 if n < 20 else 3)
-        strain.observe(n * 0.2, answers, refusals, False)
-        assert strain.overloaded(n * 0.2) == (n > 30), n
-    strain.observe(8.0, answers, refusals, False)
-    assert strain.overloaded(8.0)  # nothing answered says nothing
+        detector.observe(n * 0.2, answers, refusals, False)
+        assert detector.overloaded(n * 0.2) == (n > 30), n
+    detector.observe(8.0, answers, refusals, False)
+    assert detector.overloaded(8.0)  # nothing answered says nothing
 
 
-def test_what_purses_spill_is_dealt_once_more_up_to_the_stated_part() -> None:
+def test_overflowed_tokens_are_granted_once_more_up_to_the_stated_share() -> None:
     """Guards the contract's use where many small members each waste a little, and its bound whatever they claim."""
-    book = FencedStore(":memory:", {"budgets": budgets.DUTY_SCHEMA})
+    store = FencedStore(":memory:", {"budgets": budgets.DUTY_SCHEMA})
     numbers = [0]
 
     def act(effect: str, detail: Any) -> Any:
         numbers[0] += 1
-        return book.admit(EffectRequest(("budgets", 0), 1, numbers[0]), effect, detail).answer
+        return store.admit(EffectRequest(("budgets", 0), 1, numbers[0]), effect, detail).answer
 
     def dealt(spill: float) -> float:
         for n in range(2):
             for member in ("a", "b"):
-                book.write(
+                store.write(
                     lambda base, n=n, member=member: budgets.report_demand(
                         base, "c", member, 90.0, n, numbers[0], spill
                     )
                 )
-        budgets.QuotaDistribution({"c": 100.0}, 6.0, book.read).step(0, act, 100.0 * numbers[0])
-        return float(book.read("select sum(rate) from budget_grant")[0][0])
+        budgets.QuotaDistribution({"c": 100.0}, 6.0, store.read).step(0, act, 100.0 * numbers[0])
+        return float(store.read("select sum(rate) from budget_grant")[0][0])
 
     assert dealt(0.0) == pytest.approx(100.0)
-    book.write(lambda base: base.execute("delete from budget_need"))
+    store.write(lambda base: base.execute("delete from budget_need"))
     assert dealt(50.0) == pytest.approx(100.0 * (1 + budgets.MAX_OVERFLOW_SHARE))
-    purse = budgets.QuotaBucket(rate=100.0, members=2, fallback_share=0.1, burst_s=1.0)
-    purse.measure_demand(0.0)
-    purse.grant(0.0, 0.0, 50.0, 100.0, 1)
+    bucket = budgets.QuotaBucket(rate=100.0, members=2, fallback_share=0.1, burst_s=1.0)
+    bucket.measure_demand(0.0)
+    bucket.grant(0.0, 0.0, 50.0, 100.0, 1)
     for n in range(1, 40):
-        purse.measure_demand(float(n))
-    assert purse.overflow_rate == pytest.approx(50.0, rel=0.01)  # nobody asks: all runs over
-    book.close()
+        bucket.measure_demand(float(n))
+    assert bucket.overflow_rate == pytest.approx(50.0, rel=0.01)  # nobody asks: all runs over
+    store.close()
