--- a/lapishaven/frontends/platform.py
+++ b/lapishaven/frontends/platform.py
@@ -1,4 +1,4 @@
-"""The platform's front: callers' JSON-RPC lines to core requests, and answers back."""
+"""The platform's frontend: callers' JSON-RPC lines to core requests, and answers back."""
 
 from __future__ import annotations
 
@@ -17,161 +17,210 @@
 from lapishaven.net.loop import Wait
 from lapishaven.proto import TooLarge, jsonrpc
 
-OPEN_LIMIT = 64  # open requests on a connection past which more are an error; the protocol allows 32
-DIGEST = 16  # bytes of a body's digest; two bodies of one key by chance alike would need 2^64 tries
-SLICE = 16  # messages of one connection in a round, so that a flood on one does not hold up the others
+MAX_OPEN_REQUESTS = 64  # on one connection, above which more are an error; the protocol allows 32
+BODY_DIGEST_BYTES = 16  # the chance that two bodies with one key have one digest is 2^-128
+MESSAGES_PER_ROUND = 16  # of one connection, so that a flood on one does not delay the others
+NOT_UP_RETRY_AFTER_S = 1.0  # Retry-After until the backend is up
 
 
 class Session:
-    """One caller's connection."""
+    """One caller's connection.
+
+    The end of a caller's input is not the end of the caller: what is open is still answered. See
+    ``docs/design/closing.md``.
+    """
 
     def __init__(self, host: Host, sock: socket.socket) -> None:
         self.host = host
         self.conn = Connection(host.loop, sock, self._ended)
-        self.open: dict[int, Request | None] = {}  # by the id on this connection
-        self._calls: dict[str, int] = {}
-        self.since: float | None = host.loop.now
-        self._feeding = False  # whether messages that were read are still to be taken up
-        self._leaving: ConnectionEnd | None = None
+        self.open: dict[int, Request | None] = {}  # by the id on this connection; None: a check, or not entered yet
+        self.since: float | None = host.loop.now  # when the rest of a message began to be awaited
+        self._ids_by_call: dict[str, int] = {}  # ids on this connection by the caller's name of the attempt
+        self._feeding = False  # whether messages that were read are still to be processed
+        self._closing_as: ConnectionEnd | None = None  # how it ends once nothing is open
         if host.draining:
             self.conn.write(jsonrpc.DRAINING)
 
     @property
     def busy(self) -> bool:
+        """Whether something that was read is still to be processed or answered."""
         return bool(self.open) or self._feeding
 
+    # ---- Input
     def run(self) -> Generator[Wait, Any, None]:
+        """Read and serve until the input ends."""
         machine = jsonrpc.Server()
         while True:
             data = yield from self.conn.read()
             if isinstance(data, ConnectionEnd):
-                return self._input_ended(data)
-            self._feeding = True
-            try:
-                for n, message in enumerate(machine.feed(data or b""), 1):
-                    if n % SLICE == 0:
-                        yield self.host.loop.next_round()
-                    if self.conn.end is not None:
-                        return
-                    self._message(message)
-            except TooLarge as error:
-                self.conn.write(jsonrpc.error(None, jsonrpc.PARSE_ERROR, str(error)))
-                self._leaving = ConnectionEnd.TOO_LARGE
-            finally:
-                self._feeding = False
-            self.since = None if machine.whole else self.host.loop.now if self.since is None else self.since
-            if self._leaving is not None:
-                return self.leave(self._leaving)
+                self._input_ended(data)
+                return
+            if not (yield from self._feed(machine, data or b"")):
+                return
+            self._note_partial_message(machine)
+            if self._closing_as is not None:
+                self.leave(self._closing_as)
+                return
+
+    def _feed(self, machine: jsonrpc.Server, data: bytes) -> Generator[Wait, Any, bool]:
+        """Process the messages that some bytes complete; returns false if the connection ended before one of them."""
+        self._feeding = True
+        try:
+            for count, message in enumerate(machine.feed(data), 1):
+                if count % MESSAGES_PER_ROUND == 0:
+                    yield self.host.loop.next_round()
+                if self.conn.end is not None:
+                    return False
+                self._process(message)
+        except TooLarge as error:
+            self.conn.write(jsonrpc.error(None, jsonrpc.PARSE_ERROR, str(error)))
+            self._closing_as = ConnectionEnd.TOO_LARGE
+        finally:
+            self._feeding = False
+        return True
+
+    def _note_partial_message(self, machine: jsonrpc.Server) -> None:
+        """Note since when the rest of a message is awaited."""
+        if machine.whole:
+            self.since = None
+        elif self.since is None:
+            self.since = self.host.loop.now
 
     def _input_ended(self, end: ConnectionEnd) -> None:
-        """The peer sends no more. It may still wait for its answers, or be gone; where it is gone, what is written
-        comes back as a reset. So it is told at once what holds anyhow: nothing new reaches this connection."""
+        """The peer sends no more; it may still wait for its answers, or have gone.
+
+        If it has gone, what is written comes back as a reset. So it is told at once what holds anyhow: nothing more is
+        to be sent on this connection.
+        """
         if self.open and end is ConnectionEnd.PEER_CLOSED:
             self.host.counters.add("platform", "half-closed with requests open")
             self.conn.write(jsonrpc.DRAINING)
         self.leave(end)
 
-    def leave(self, end: ConnectionEnd) -> None:
-        """Take up nothing more, and close once all that is open is answered."""
-        self._leaving = end
-        if self._feeding:
-            return  # what was read is taken up first
-        self.conn.discard()
-        if not self.open:
-            self.conn.close(end)
-
-    def _message(self, message: jsonrpc.Message) -> None:
+    def _process(self, message: jsonrpc.Message) -> None:
         if isinstance(message, jsonrpc.Serve):
             self._serve(message)
         elif isinstance(message, jsonrpc.Forget):
-            id = self._calls.get(message.call or "", message.id if message.call is None else None)
-            self.host.counters.add("platform", "forget")
-            if id is not None and id in self.open:
-                self._forget(id)
-            else:
-                self.host.counters.add("platform", "forget of nothing open")
+            self._cancel_named(message)
         elif isinstance(message, jsonrpc.IsWell):
-            id = message.id
-            self.host.counters.add("platform", "checks")
-            self.open[id] = None
-            self.host.check(message.deep, lambda up: self._send(id, jsonrpc.well(id, up)))
+            self._check_health(message)
         else:
             self.host.counters.add("platform", f"malformed {message.code}")
             self.conn.write(jsonrpc.error(message.id, message.code, message.text))
 
-    def _serve(self, m: jsonrpc.Serve) -> None:
-        broker = self.host.broker
-        cls = self.host.classes.get(m.method)
-        if cls is None:
-            self.conn.write(jsonrpc.error(m.id, jsonrpc.NO_METHOD, "no such class"))
+    def _check_health(self, message: jsonrpc.IsWell) -> None:
+        request_id = message.id
+        self.host.counters.add("platform", "checks")
+        self.open[request_id] = None
+        self.host.check(message.deep, lambda healthy: self._send(request_id, jsonrpc.well(request_id, healthy)))
+
+    # ---- Requests
+    def _serve(self, message: jsonrpc.Serve) -> None:
+        """Submit a request, or answer it with an error."""
+        class_index = self.host.classes.get(message.method)
+        if class_index is None:
+            self.conn.write(jsonrpc.error(message.id, jsonrpc.NO_METHOD, "no such class"))
             return
-        if len(self.open) >= OPEN_LIMIT:
-            # Still read, as what comes next may take the others back.
+        if len(self.open) >= MAX_OPEN_REQUESTS:
+            # The connection is still read, as what comes next may cancel some of them.
             self.host.counters.add("platform", "too many open")
-            self.conn.write(jsonrpc.error(m.id, jsonrpc.INVALID_REQUEST, "too many open requests"))
+            self.conn.write(jsonrpc.error(message.id, jsonrpc.INVALID_REQUEST, "too many open requests"))
             return
-        span = age(time.time(), m.recv)
-        if span is None:
+        request_age = age(time.time(), message.recv)
+        if request_age is None:
             self.host.counters.add("platform", f"malformed {jsonrpc.INVALID_PARAMS}")
-            self.conn.write(jsonrpc.error(m.id, jsonrpc.INVALID_PARAMS, "recv is out of its range"))
+            self.conn.write(jsonrpc.error(message.id, jsonrpc.INVALID_PARAMS, "recv is out of its range"))
             return
+        broker = self.host.broker
         if broker is None:
-            self.host.counters.add(THROTTLED, m.method)
-            self.conn.write(jsonrpc.error(m.id, jsonrpc.REFUSED, "not up yet", 1.0))
+            self.host.counters.add(THROTTLED, message.method)
+            self.conn.write(jsonrpc.error(message.id, jsonrpc.REFUSED, "not up yet", NOT_UP_RETRY_AFTER_S))
             return
-        self.open[m.id] = None
-        self._calls.setdefault(m.call, m.id)  # of two the second is failed
-        sub = Submission(
-            m.call,
-            cls,
-            m.body,
-            m.heap,
-            m.crit,
-            span,
-            m.src,
-            m.rep,
-            is_write=m.row is None,
-            subject=m.row,
-            idempotency_key=m.key,
-            body_digest=blake2b(m.body, digest_size=DIGEST).digest() if m.key is not None else None,
-            time_left=m.left,
-            tenant_index=self.host.tenants.get(m.tenant or "", len(self.host.tenants)),
-        )
-        request = broker.submit(self.host.loop.now, sub, lambda answer: self._answer(m, answer))
+        self.open[message.id] = None
+        self._ids_by_call.setdefault(message.call, message.id)  # the core fails the second of two with one name
+        submission = self._submission(message, class_index, request_age)
+        request = broker.submit(self.host.loop.now, submission, lambda answer: self._answer(message, answer))
         if request is not None:
-            self.open[m.id] = request
+            self.open[message.id] = request
+
+    def _submission(self, message: jsonrpc.Serve, class_index: int, request_age: float) -> Submission:
+        body_digest = None
+        if message.key is not None:
+            body_digest = blake2b(message.body, digest_size=BODY_DIGEST_BYTES).digest()
+        return Submission(
+            attempt_id=message.call,
+            class_index=class_index,
+            body=message.body,
+            memory_kb=message.heap,
+            rank=message.crit,
+            age=request_age,
+            caller_id=message.src,
+            is_retry=message.rep,
+            is_write=message.row is None,
+            subject=message.row,
+            idempotency_key=message.key,
+            body_digest=body_digest,
+            time_left=message.left,
+            tenant_index=self.host.tenants.get(message.tenant or "", len(self.host.tenants)),
+        )
 
-    def _forget(self, id: int) -> None:
-        request = self.open.pop(id)
+    def _cancel_named(self, message: jsonrpc.Forget) -> None:
+        """Cancel the request that a message names by its attempt, or else by its id on this connection."""
+        by_id = message.id if message.call is None else None
+        request_id = self._ids_by_call.get(message.call or "", by_id)
+        self.host.counters.add("platform", "forget")
+        if request_id is not None and request_id in self.open:
+            self._cancel(request_id)
+        else:
+            self.host.counters.add("platform", "forget of nothing open")
+
+    def _cancel(self, request_id: int) -> None:
+        request = self.open.pop(request_id)
         if request is not None and self.host.broker is not None:
-            self._calls.pop(request.submission.attempt_id, None)
+            self._ids_by_call.pop(request.submission.attempt_id, None)
             self.host.broker.cancel(request)
 
-    def _answer(self, m: jsonrpc.Serve, answer: Answer) -> None:
-        if self._calls.get(m.call) == m.id:
-            del self._calls[m.call]
+    # ---- Output
+    def _answer(self, message: jsonrpc.Serve, answer: Answer) -> None:
+        if self._ids_by_call.get(message.call) == message.id:
+            del self._ids_by_call[message.call]
         if answer.kind is AnswerKind.SERVED:
-            line = jsonrpc.result(m.id, answer.body)
+            line = jsonrpc.result(message.id, answer.body)
         elif answer.kind is AnswerKind.REJECTED:
-            line = jsonrpc.error(m.id, jsonrpc.REFUSED, answer.reason, answer.retry_after, answer.no_retry_elsewhere)
+            line = jsonrpc.error(
+                message.id, jsonrpc.REFUSED, answer.reason, answer.retry_after, answer.no_retry_elsewhere
+            )
         else:
-            line = jsonrpc.error(m.id, jsonrpc.FAILED, answer.reason)
-        self._send(m.id, line)
+            line = jsonrpc.error(message.id, jsonrpc.FAILED, answer.reason)
+        self._send(message.id, line)
 
-    def _send(self, id: int, line: bytes) -> None:
-        if id in self.open:
-            del self.open[id]
+    def _send(self, request_id: int, line: bytes) -> None:
+        """Send an answer, unless its request was cancelled."""
+        if request_id in self.open:
+            del self.open[request_id]
             self.conn.write(line)
             self._close_if_done()
 
-    def _close_if_done(self) -> None:
-        if self._leaving is not None and not self.open and not self._feeding:
-            self.conn.close(self._leaving)
-
+    # ---- The end
     def drain(self) -> None:
+        """Tell the caller that nothing new is to be sent here."""
         self.conn.write(jsonrpc.DRAINING)
 
+    def leave(self, end: ConnectionEnd) -> None:
+        """Process nothing more, and close once all that is open is answered."""
+        self._closing_as = end
+        if self._feeding:
+            return  # what was read is processed first
+        self.conn.discard()
+        if not self.open:
+            self.conn.close(end)
+
+    def _close_if_done(self) -> None:
+        if self._closing_as is not None and not self.open and not self._feeding:
+            self.conn.close(self._closing_as)
+
     def _ended(self, end: ConnectionEnd) -> None:
-        for id in list(self.open):
-            self._forget(id)
+        """The connection is gone, and with it the caller of all that is open."""
+        for request_id in list(self.open):
+            self._cancel(request_id)
         self.host.ended(self, end)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -138,7 +138,7 @@
 
     # Guards against losing what was read before the end, while the session waits for its next slice.
     def test_the_end_of_the_input_drops_nothing_that_came_before(self) -> None:
-        caller, odd = self.connect(), platform.SLICE + 4
+        caller, odd = self.connect(), platform.MESSAGES_PER_ROUND + 4
         session = self.of(caller)
         assert isinstance(session, platform.Session)
         self.send(caller, *[b"[]\n"] * odd, *(self.message("t1", str(n), "fuzzy-match") for n in (1, 2, 3)))
@@ -295,7 +295,7 @@
         """)
         used = self.server.budget.used
         with (
-            mock.patch.object(platform.Session, "_message", side_effect=RuntimeError("planted")),
+            mock.patch.object(platform.Session, "_process", side_effect=RuntimeError("planted")),
             mock.patch("traceback.print_exc"),
         ):
             self.play("send c1 2 fuzzy-match")
