--- a/lapishaven/backends/interpreter.py
+++ b/lapishaven/backends/interpreter.py
@@ -1,19 +1,20 @@
-"""The interpreter behind its link, which is held open, made anew when it breaks, and moved on a reload.
+"""The interpreter behind one link, which is held open, dialled again when it breaks, and moved on a reload.
 
-A break may take the last commands along, so what was sent stays in doubt until a ``TOPS`` proves that it was
-read. After the next ``BANNER`` a ``TOP`` fences the notices that follow it; what is still in doubt behind the
-fence either runs or never arrived, and is settled there.
+A break may lose the last commands, so what was sent is unconfirmed until a ``TOPS`` proves that it was read. After the
+next ``BANNER`` a ``TOP`` serves as a fence: once it is answered, all notices of earlier ends have been read, and what
+is still uncertain either runs or never arrived, which is settled then.
 """
 
 from __future__ import annotations
 
-from collections import deque
+import socket
 from collections.abc import Callable, Generator
-from dataclasses import dataclass
 from typing import Any
 
 from lapishaven.admission import Outcome
 from lapishaven.backends import BackendListener
+from lapishaven.backends.pending_health_checks import PendingHealthChecks
+from lapishaven.backends.unconfirmed_commands import Command, UnconfirmedCommands
 from lapishaven.connection_end import ConnectionEnd, outcome_of
 from lapishaven.counters import Counters
 from lapishaven.net.connection import Connection, Dial, connect
@@ -21,63 +22,16 @@
 from lapishaven.proto import ProtocolError
 from lapishaven.proto import interpreter as proto
 
-DIAL = 1.0  # s for a connection to come about
-AGAIN = (0.02, 0.05, 0.1, 0.25)  # s between tries; the last one stays
-SMOKE_WAIT = 3.0  # s for a deep check; a caller's own check gives up sooner
-LOST = 0.1  # s before a break in which a command may be lost even if a later one was answered
-HANDOVER = 0.25  # s for the old link's last answer when the interpreter moves
-PROBE = 0.1  # s for a run to say that it was stopped, after which it counts as never begun
+DIAL_TIMEOUT_S = 1.0
+REDIAL_DELAYS_S = (0.02, 0.05, 0.1, 0.25)  # after the first, second, ... failure; the last one from then on
+HEALTH_CHECK_TIMEOUT_S = 3.0  # of a deep check; a caller's own check gives up sooner
+MOVE_TIMEOUT_S = 0.25  # for the old link's last answer when the interpreter moves
+PROBE_TIMEOUT_S = 0.1  # for a run to report that it was stopped, after which it counts as never begun
 OUTCOMES = {"OK": Outcome.OK, "ERROR": Outcome.ERROR, "STOPPED": Outcome.CANCELLED, "MOOT": Outcome.OBSOLETE}
 
 
-@dataclass(slots=True)
-class Command:
-    """A command for a run."""
-
-    handle: str
-    data: bytes
-    starts: bool = False
-    once: bool = False  # starts what must not be started twice, or looks whether that runs
-    end: int = 0  # where it ends in the link's bytes
-    at: float = 0.0  # when it was written
-
-
-class Ledger:
-    """Commands on one link of which it is not proved that the interpreter read them."""
-
-    def __init__(self) -> None:
-        self._queue: deque[Command] = deque()
-        self._marks: dict[str, int] = {}  # where the commands end that an answer to this tag proves read
-        self._end = self._proved = 0
-
-    def note(self, now: float, command: Command) -> None:
-        self._end += len(command.data)
-        command.end, command.at = self._end, now
-        self._queue.append(command)
-
-    def mark(self, tag: str, size: int) -> None:
-        """A question on its way; its answer proves that all before it was read."""
-        self._end += size
-        self._marks[tag] = self._end
-
-    def answered(self, now: float, tag: str) -> None:
-        self._proved = max(self._proved, self._marks.get(tag, 0))
-        self._marks = {tag: end for tag, end in self._marks.items() if end > self._proved}
-        while self._queue and self._queue[0].end <= self._proved and self._queue[0].at < now - LOST:
-            self._queue.popleft()
-
-    def settle(self, sent: int) -> tuple[list[Command], list[Command]]:
-        """At the link's end: what the kernel never wholly took, so never ran, and what is in doubt."""
-        unsent = [command for command in self._queue if command.end > sent]
-        doubtful = [command for command in self._queue if command.end <= sent]
-        self._queue.clear()
-        self._marks.clear()
-        self._end = self._proved = 0
-        return unsent, doubtful
-
-
 class InterpreterBackend:
-    """A core backend on the interpreter's lines."""
+    """A backend on the interpreter's line protocol."""
 
     def __init__(
         self,
@@ -88,269 +42,305 @@
         counters: Counters,
         dial: Dial = connect,
     ) -> None:
+        """``gauge_names`` are the names of the values in a load sample, in their order."""
+        self.loop = loop
+        self.address = address
+        self.counters = counters
+        self._gauge_names = gauge_names
+        self._listener = listener
         self._dial = dial
-        self.loop, self.address, self.names = loop, address, gauge_names
-        self.listener, self.counters = listener, counters
-        self.ready = False
+        self._ready = False  # whether the interpreter has sent its banner on the link
         self._conn: Connection | None = None
-        self._last = 0  # number of the last end of a run that was read
-        self._ledger = Ledger()
+        self._last_notice = 0  # number of the last end of a run that was read
+        self._unconfirmed = UnconfirmedCommands()
         self._waiting: list[Command] = []  # for the next link
-        self._running: set[str] = set()  # started, and no end was told
+        self._running: set[str] = set()  # handles that were started and whose end was not reported
         self._resent: set[str] = set()  # of these, those whose command was sent on two links
-        self._doubt: list[Command] = []  # from links that broke, to be settled behind the fence
-        self._probes: dict[str, bool] = {}  # runs stopped to see whether they run, and whether to go on
-        self._fences: dict[str, Callable[[], None]] = {}
-        self._tags = 0
-        self._asked = False
-        self._smokes: dict[str, list[Callable[[bool], None]]] = {}
-        self._pause: Wait | None = None
-        self._moving = self._stopped = False
+        self._uncertain: list[Command] = []  # from links that broke, to be settled behind the fence
+        self._probes: dict[str, bool] = {}  # handles stopped to see whether they run, and whether to resume them
+        self._fences: dict[str, Callable[[], None]] = {}  # what to do once a fence is answered, by its tag
+        self._tag_count = 0
+        self._sample_requested = False
+        self._health_checks = PendingHealthChecks()
+        self._redial_pause: Wait | None = None
+        self._moving = False  # whether the link is fenced before it is dialled at a new address
+        self._stopped = False
 
     # ---- Commands
     def start(self, handle: str, cls: str, body: bytes, once: bool) -> None:
+        """Start a run, on the next link if there is none now."""
         self._running.add(handle)
-        self._command(Command(handle, proto.apply(handle, cls, body), True, once))
+        self._send(Command(handle, proto.apply(handle, cls, body), starts=True, once=once))
 
     def pause(self, handle: str) -> None:
+        """Stop a run; one whose start was never sent ends as unreachable."""
         stop = Command(handle, proto.pause(handle))
         if any(command.handle == handle and command.starts for command in self._waiting):
-            # It never left, so there is nothing to stop.
+            # Its start was never sent, so there is nothing to stop.
             self._waiting = [command for command in self._waiting if command.handle != handle]
-            self._over(handle)
-            self.loop.at(self.loop.now, lambda: self.listener.finished(handle, Outcome.UNREACHABLE, 0.0, b""))
+            self._forget(handle)
+            self.loop.at(self.loop.now, lambda: self._listener.finished(handle, Outcome.UNREACHABLE, 0.0, b""))
         elif handle in self._probes:
             self._probes[handle] = False
-        elif any(command.handle == handle for command in self._doubt):
-            self._doubt.append(stop)
+        elif self._is_uncertain(handle):
+            self._uncertain.append(stop)
         else:
-            self._command(stop)
+            self._send(stop)
+
+    def _is_uncertain(self, handle: str) -> bool:
+        return any(command.handle == handle for command in self._uncertain)
 
     def resume(self, handle: str) -> None:
+        """Let a run that was stopped go on."""
         self._running.add(handle)
-        self._command(Command(handle, proto.resume(handle)))
+        self._send(Command(handle, proto.resume(handle)))
 
     def gauges(self) -> None:
-        self._asked = True
-        if self.ready and not self._moving:
+        """Request a load sample, on the next link if there is none now."""
+        self._sample_requested = True
+        if self._ready and not self._moving:
             self._fence(None)
 
     def health_check(self, told: Callable[[bool], None]) -> None:
-        """A deep health check; ``told`` is called once. One that meets a break is sent on the next link.
-
-        Checks that come while one is out share its end, so that a flood of them is no flood of work.
-        """
-        if self._smokes:
-            return next(iter(self._smokes.values())).append(told)
-        self._tags += 1
-        tag = f"s{self._tags}"
-        self._smokes[tag] = [told]
-        self.loop.at(self.loop.now + SMOKE_WAIT, lambda: self._smoked(tag, False))
-        self._ask(tag)
-
-    def _ask(self, tag: str) -> None:
-        if self.ready and not self._moving and self._conn is not None:
+        """A deep health check; ``told`` is called once. One that meets a break is sent again on the next link."""
+        if self._health_checks.join(told):
+            return
+        self._tag_count += 1
+        tag = f"s{self._tag_count}"
+        self._health_checks.add(tag, told)
+        self.loop.at(self.loop.now + HEALTH_CHECK_TIMEOUT_S, lambda: self._health_checks.settle(tag, False))
+        self._ask_health(tag)
+
+    def _ask_health(self, tag: str) -> None:
+        if self._ready and not self._moving and self._conn is not None:
             question = proto.smoke(tag)
-            self._ledger.mark(tag, len(question))
+            self._unconfirmed.add_question(tag, len(question))
             self._conn.write(question)
 
-    def _command(self, command: Command) -> None:
-        if self.ready and not self._moving and self._conn is not None:
-            self._ledger.note(self.loop.now, command)
+    def _send(self, command: Command) -> None:
+        """Send a command, on the next link if there is none now."""
+        if self._ready and not self._moving and self._conn is not None:
+            self._unconfirmed.add(self.loop.now, command)
             self._conn.write(command.data)
         else:
             self._waiting.append(command)
 
     def _fence(self, then: Callable[[], None] | None) -> None:
-        """Ask for the gauges; ``then`` is called once all that was sent before is proved read."""
+        """Request the gauges; ``then`` is called once all that was sent before is proven to have been read."""
         assert self._conn is not None
-        self._tags += 1
-        tag = f"t{self._tags}"
+        self._tag_count += 1
+        tag = f"t{self._tag_count}"
         question = proto.top(tag)
-        self._ledger.mark(tag, len(question))
+        self._unconfirmed.add_question(tag, len(question))
         self._conn.write(question)
         if then is not None:
             self._fences[tag] = then
 
-    def _smoked(self, tag: str, good: bool) -> None:
-        for told in self._smokes.pop(tag, ()):
-            told(good)
-
     # ---- The link
     def run(self) -> Generator[Wait, Any, None]:
         """Hold the link: dial, read until it ends, dial again."""
         failures = 0
         while not self._stopped:
             address = self.address
-            sock = yield from self._dial(self.loop, address, DIAL)
+            sock = yield from self._dial(self.loop, address, DIAL_TIMEOUT_S)
             if isinstance(sock, ConnectionEnd):
                 self.counters.add("interpreter", sock.value)
             elif self._stopped or self.address != address:
-                sock.close()  # moved once more, or over, while it was dialled
+                sock.close()  # moved once more, or closed, while it was dialled
             else:
-                self._conn = conn = Connection(self.loop, sock, self._ended)
-                hello = proto.connect(self._last)
-                self._ledger.mark("", len(hello))
-                conn.write(hello)
-                before = self._last
-                yield from self._read(conn)
-                failures = 0 if self._last > before else failures
+                before = self._last_notice
+                yield from self._read(self._open_link(sock))
+                failures = 0 if self._last_notice > before else failures
             if self.address == address:
-                self._pause = Wait(AGAIN[min(failures, len(AGAIN) - 1)])
-                yield self._pause
-                self._pause = None
+                self._redial_pause = Wait(REDIAL_DELAYS_S[min(failures, len(REDIAL_DELAYS_S) - 1)])
+                yield self._redial_pause
+                self._redial_pause = None
                 failures += 1
             else:
                 failures = 0
 
+    def _open_link(self, sock: socket.socket) -> Connection:
+        """Make a link of a socket, and have the notices after the last one that was read sent on it."""
+        conn = self._conn = Connection(self.loop, sock, self._ended)
+        hello = proto.connect(self._last_notice)
+        self._unconfirmed.add_question("", len(hello))
+        conn.write(hello)
+        return conn
+
     def _read(self, conn: Connection) -> Generator[Wait, Any, None]:
+        """Process what comes on a link until it ends."""
         machine = proto.Client()
         while True:
             data = yield from conn.read()
             if isinstance(data, ConnectionEnd):
-                # Never closed in order: what is still queued here is sent on the next link, and must not be twice.
-                return conn.abort(data)
+                # Not closed gracefully: what is still queued here is sent on the next link, and must not be sent twice.
+                conn.abort(data)
+                return
             if conn.end is not None:
                 return  # all notices that were not read on it come again on the next link
             try:
                 for message in machine.feed(data or b""):
-                    self._told(message)
+                    self._process(message)
             except ProtocolError:
                 conn.abort(ConnectionEnd.PROTOCOL_ERROR)
                 return
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """From now on the interpreter is there; the link goes over without a command in doubt if it can."""
+        """The interpreter is at this address from now on; the link moves without an uncertain command if it can."""
         if address == self.address:
             return
         self.address = address
         conn = self._conn
         if conn is not None and conn.end is None:
-            if self.ready and not self._moving:
+            if self._ready and not self._moving:
                 self._moving = True
                 self._fence(lambda: conn.abort(ConnectionEnd.MOVED))
-                self.loop.at(self.loop.now + HANDOVER, lambda: conn.abort(ConnectionEnd.MOVED))
-            elif not self.ready:
+                self.loop.at(self.loop.now + MOVE_TIMEOUT_S, lambda: conn.abort(ConnectionEnd.MOVED))
+            elif not self._ready:
                 conn.abort(ConnectionEnd.MOVED)
-        elif self._pause is not None:
-            self._pause.wake()
+        elif self._redial_pause is not None:
+            self._redial_pause.wake()
 
     def _ended(self, end: ConnectionEnd) -> None:
         assert self._conn is not None
         self.counters.add("ends", f"interpreter {end.value}")
-        unsent, doubtful = self._ledger.settle(self._conn.sent)
-        self._waiting = unsent + self._waiting
-        doubtful = [command for command in doubtful if command.handle in self._running]
-        self._doubt += doubtful
-        self.counters.add("interpreter", "commands in doubt", len(doubtful))
-        self.ready = self._moving = False
+        unconfirmed = self._unconfirmed.settle(self._conn.sent)
+        self._waiting = unconfirmed.unsent + self._waiting
+        uncertain = [command for command in unconfirmed.uncertain if command.handle in self._running]
+        self._uncertain += uncertain
+        self.counters.add("interpreter", "commands in doubt", len(uncertain))
+        self._ready = False
+        self._moving = False
         self._fences.clear()
-        for handle, goes_on in self._probes.items():
-            self._doubt += [Command(handle, b"", once=True)]
-            self._doubt += [] if goes_on else [Command(handle, proto.pause(handle))]
+        for handle, resumes in self._probes.items():
+            self._uncertain.append(Command(handle, b"", once=True))
+            if not resumes:
+                self._uncertain.append(Command(handle, proto.pause(handle)))
         self._probes.clear()
 
-    # ---- What is in doubt
-    def _settle(self) -> None:
-        """All ends up to here are read: what is in doubt still runs, or never arrived."""
-        doubt, self._doubt = self._doubt, []
-        for command in doubt:
-            if command.once and command.handle not in self._probes:
-                # Never sent twice, as it might end in between and run again. Stopping tells whether it runs.
-                self._probes[command.handle] = True
-                self._command(Command(command.handle, proto.pause(command.handle), once=True))
-            elif command.once:
-                continue
-            elif command.handle in self._probes:
-                self._probes[command.handle] = False  # its caller is gone, so it is not taken up again
-            else:
-                # Where it runs already, nothing happens; where its request is over, it is told to be moot.
-                self.counters.add("interpreter", "commands sent again")
-                self._resent.add(command.handle)
-                self._command(command)
+    # ---- Uncertain commands
+    def _settle_uncertain(self) -> None:
+        """All ends up to here were read, so what is uncertain still runs, or never arrived."""
+        uncertain = self._uncertain
+        self._uncertain = []
+        for command in uncertain:
+            self._settle_command(command)
         if self._probes:
-            conn, probes = self._conn, list(self._probes)
-            self.loop.at(self.loop.now + PROBE, lambda: self._look(conn, probes))
-
-    def _look(self, conn: Connection | None, probes: list[str]) -> None:
-        if conn is self._conn and self.ready and not self._moving:
-            self._fence(lambda: self._probed(probes))
-
-    def _probed(self, probes: list[str]) -> None:
-        """None of these said that it was stopped, so it does not run, though that is no full proof."""
+            conn = self._conn
+            probes = list(self._probes)
+            self.loop.at(self.loop.now + PROBE_TIMEOUT_S, lambda: self._check_probes(conn, probes))
+
+    def _settle_command(self, command: Command) -> None:
+        """Probe whether a run that must not be started twice runs; send any other command again."""
+        if command.once and command.handle not in self._probes:
+            # Never sent twice, as it might end in between and run again. Stopping it shows whether it runs.
+            self._probes[command.handle] = True
+            self._send(Command(command.handle, proto.pause(command.handle), once=True))
+        elif command.once:
+            return
+        elif command.handle in self._probes:
+            self._probes[command.handle] = False  # its caller has gone, so it is not resumed
+        else:
+            # Where it runs already, nothing happens; where its request is over, the run ends as obsolete.
+            self.counters.add("interpreter", "commands sent again")
+            self._resent.add(command.handle)
+            self._send(command)
+
+    def _check_probes(self, conn: Connection | None, probes: list[str]) -> None:
+        """Give up the probes that are not answered behind one more fence, if the link is still the same."""
+        if conn is self._conn and self._ready and not self._moving:
+            self._fence(lambda: self._give_up_probes(probes))
+
+    def _give_up_probes(self, probes: list[str]) -> None:
+        """None of these reported that it was stopped, so it does not run, though that is no full proof."""
         for handle in probes:
             if self._probes.pop(handle, None) is not None:
                 self.counters.add("interpreter", "runs given up")
-                self._over(handle)
-                self.listener.finished(handle, outcome_of(ConnectionEnd.RESET), 0.0, b"")
+                self._forget(handle)
+                self._listener.finished(handle, outcome_of(ConnectionEnd.RESET), 0.0, b"")
 
     # ---- Notices
-    def _told(self, message: proto.Message) -> None:
+    def _process(self, message: proto.Message) -> None:
         if isinstance(message, proto.Value):
-            # Remarks have numbers too, but none is let stand for the end of a run.
-            if message.number <= self._last:
-                self.counters.add("interpreter", "notices seen before")
-                return
-            self._last = message.number
-            self._value(message)
+            self._process_value(message)
         elif isinstance(message, proto.Tops):
-            self._ledger.answered(self.loop.now, message.tag)
-            self._asked = False
-            self.listener.gauges(dict(zip(self.names, message.values, strict=False)))
-            then = self._fences.pop(message.tag, None)
-            if then is not None:
-                then()
+            self._process_sample(message)
         elif isinstance(message, proto.Smoked):
-            self._smoked(message.tag, message.good)
+            self._health_checks.settle(message.tag, message.good)
         elif isinstance(message, proto.Rejected):
-            self.counters.add("interpreter", f"rejected {message.command}")
-            if message.command == "APPLY":
-                # It was not carried out, so unless it was sent before as well, nothing of it ran.
-                outcome = Outcome.OBSOLETE if message.handle in self._resent else Outcome.UNREACHABLE
-                self._over(message.handle)
-                self.listener.finished(message.handle, outcome, 0.0, b"")
+            self._process_rejection(message)
         elif isinstance(message, proto.Banner):
-            self.ready = True
-            self.listener.up(message.cold, message.up_for)
-            waiting, self._waiting = self._waiting, []
-            for command in waiting:
-                self._command(command)
-            for tag in self._smokes:
-                self._ask(tag)
-            if self._doubt:
-                self._fence(self._settle)
-            elif self._asked:
-                self._fence(None)
-
-    def _value(self, message: proto.Value) -> None:
+            self._process_banner(message)
+
+    def _process_value(self, message: proto.Value) -> None:
+        # Remarks have numbers too, but none of them may stand for the end of a run.
+        if message.number <= self._last_notice:
+            self.counters.add("interpreter", "notices seen before")
+            return
+        self._last_notice = message.number
+        self._run_ended(message)
+
+    def _process_sample(self, message: proto.Tops) -> None:
+        self._unconfirmed.answered(self.loop.now, message.tag)
+        self._sample_requested = False
+        self._listener.gauges(dict(zip(self._gauge_names, message.values, strict=False)))
+        then = self._fences.pop(message.tag, None)
+        if then is not None:
+            then()
+
+    def _process_rejection(self, message: proto.Rejected) -> None:
+        self.counters.add("interpreter", f"rejected {message.command}")
+        if message.command == "APPLY":
+            # It was not carried out, so nothing of it ran, unless it had been sent before as well.
+            outcome = Outcome.OBSOLETE if message.handle in self._resent else Outcome.UNREACHABLE
+            self._forget(message.handle)
+            self._listener.finished(message.handle, outcome, 0.0, b"")
+
+    def _process_banner(self, message: proto.Banner) -> None:
+        """The interpreter is up on this link: send what waits for it."""
+        self._ready = True
+        self._listener.up(message.cold, message.up_for)
+        waiting = self._waiting
+        self._waiting = []
+        for command in waiting:
+            self._send(command)
+        for tag in self._health_checks.tags:
+            self._ask_health(tag)
+        if self._uncertain:
+            self._fence(self._settle_uncertain)
+        elif self._sample_requested:
+            self._fence(None)
+
+    def _run_ended(self, message: proto.Value) -> None:
         outcome = OUTCOMES.get(message.end, Outcome.ERROR)
-        goes_on = outcome is Outcome.CANCELLED and self._goes_on(message.handle)
-        self._over(message.handle)
-        if goes_on:
-            return self.resume(message.handle)
-        self.listener.finished(message.handle, outcome, message.spent, message.result)
-
-    def _goes_on(self, handle: str) -> bool:
-        """Whether it was stopped just to see whether it runs; the word of it may come over the next link."""
-        mine = [command.once for command in self._doubt if command.handle == handle]
-        return self._probes.get(handle, bool(mine) and all(mine))
-
-    def _over(self, handle: str) -> None:
+        resumes = outcome is Outcome.CANCELLED and self._should_resume(message.handle)
+        self._forget(message.handle)
+        if resumes:
+            self.resume(message.handle)
+            return
+        self._listener.finished(message.handle, outcome, message.spent, message.result)
+
+    def _should_resume(self, handle: str) -> bool:
+        """Whether a run was stopped just to see whether it runs; the report may come over the next link."""
+        only_probes = [command.once for command in self._uncertain if command.handle == handle]
+        return self._probes.get(handle, bool(only_probes) and all(only_probes))
+
+    def _forget(self, handle: str) -> None:
         self._running.discard(handle)
         self._resent.discard(handle)
         self._probes.pop(handle, None)
-        if self._doubt:
-            self._doubt = [command for command in self._doubt if command.handle != handle]
+        if self._uncertain:
+            self._uncertain = [command for command in self._uncertain if command.handle != handle]
 
     def failed(self) -> None:
-        """Its coroutine has ended by a fault: the link goes, and ``run`` may be started again."""
+        """``run`` has ended by a fault of this program: break the link, as it is started again."""
         if self._conn is not None:
             self._conn.abort(ConnectionEnd.FAULT)
 
     def close(self) -> None:
         """End for good."""
         self._stopped = True
-        if self._pause is not None:
-            self._pause.wake()
+        if self._redial_pause is not None:
+            self._redial_pause.wake()
         if self._conn is not None:
             self._conn.abort(ConnectionEnd.SHUTDOWN)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -8,7 +8,7 @@
 from scenario import World, configuration
 
 from lapishaven import config
-from lapishaven.backends.interpreter import Command, Ledger
+from lapishaven.backends.unconfirmed_commands import Command, UnconfirmedAtEnd, UnconfirmedCommands
 from lapishaven.client_connections import EVICTION_PART
 from lapishaven.net.loop import Loop
 
@@ -123,16 +123,16 @@
 
     # Guards against a second run after a break in mid-command: what the kernel took whole may have run.
     def test_a_command_counts_as_sent_with_its_last_byte(self) -> None:
-        ledger = Ledger()
-        ledger.mark("", 11)
+        unconfirmed = UnconfirmedCommands()
+        unconfirmed.add_question("", 11)
         for now, handle in enumerate("abcd"):
-            ledger.note(now, Command(handle, b"APPLY " + handle.encode() + b" x 0\r\n\r\n"))
-            ledger.mark(handle, 10)
-        ledger.answered(2.05, "b")  # proves a, but c was written too short a time before to be safe
-        unsent, doubtful = ledger.settle(11 + 25 * 2 + 15 + 10 + 14)
-        self.assertEqual([c.handle for c in doubtful], ["c"])
-        self.assertEqual([c.handle for c in unsent], ["d"])
-        self.assertEqual(ledger.settle(1000), ([], []))
+            unconfirmed.add(now, Command(handle, b"APPLY " + handle.encode() + b" x 0\r\n\r\n"))
+            unconfirmed.add_question(handle, 10)
+        unconfirmed.answered(2.05, "b")  # proves a, but c was written too short a time before to be safe
+        at_end = unconfirmed.settle(11 + 25 * 2 + 15 + 10 + 14)
+        self.assertEqual([command.handle for command in at_end.uncertain], ["c"])
+        self.assertEqual([command.handle for command in at_end.unsent], ["d"])
+        self.assertEqual(unconfirmed.settle(1000), UnconfirmedAtEnd([], []))
 
     # Guards against requests that seem to run for a minute as a break took their commands along: each held a
     # place and its caller until its due time. What is safe is sent again, a commit never is.
