--- a/lapishaven/backends/uwsgi.py
+++ b/lapishaven/backends/uwsgi.py
@@ -14,12 +14,14 @@
 from lapishaven.proto import ProtocolError, TooLarge
 from lapishaven.proto import uwsgi as proto
 
-DIAL = 1.0  # s for a connection to come about
-POOL = 0.005  # s after which the gauges are told
+DIAL = 1.0  # s for a connection to be established
+POOL = 0.005  # s after which the gauges that were requested are delivered
+HTTP_OK = 200
+HTTP_SERVICE_UNAVAILABLE = 503
 
 
 class UwsgiBackend:
-    """A core backend on the uwsgi protocol. It cannot pause: to halt is to close the connection."""
+    """A backend on the uwsgi protocol. It cannot pause a run: to pause one is to close its connection."""
 
     def __init__(
         self,
@@ -32,52 +34,62 @@
         counters: Counters,
         dial: Dial = connect,
     ) -> None:
+        """``path`` is the URL path above the classes, ``cores`` the server's, ``spans`` the deadlines by class (s)."""
+        self.loop = loop
+        self.address = address
+        self.counters = counters
+        self._path = path
+        self._cores = cores
+        self._deadlines = spans
+        self._listener = listener
         self._dial = dial
-        self.loop, self.address, self.path, self.cores = loop, address, path, cores
-        self.spans, self.listener, self.counters = spans, listener, counters
-        self._running: dict[str, Connection | None] = {}
-        self._halted: set[str] = set()
+        self._running: dict[str, Connection | None] = {}  # by handle; None while its connection is dialled
+        self._cancelled: set[str] = set()  # handles that were paused while their connections were dialled
 
     def run(self) -> Generator[Wait, Any, None]:
-        """There is no link to hold: the backend is up at once."""
-        self.listener.up(False, 0.0)
+        """Report that the backend is up, at once, as there is no connection to hold."""
+        self._listener.up(False, 0.0)
         return
         yield
 
     # ---- Commands
     def change_address(self, address: tuple[str, int]) -> None:
-        """New attempts go there; those under way have connections of their own and go on."""
+        """Send new attempts there; those in flight have connections of their own and go on."""
         self.address = address
 
     def start(self, handle: str, cls: str, body: bytes, once: bool) -> None:
+        """Send an attempt on a connection of its own; it is never sent twice."""
         self._running[handle] = None
-        self.loop.spawn(self._attempt(handle, cls, body), lambda error: self._fault(handle))
+        self.loop.spawn(self._attempt(handle, cls, body), lambda error: self._attempt_failed(handle))
 
-    def _fault(self, handle: str) -> None:
+    def _attempt_failed(self, handle: str) -> None:
+        """The attempt's coroutine has ended by a fault of this program."""
         conn = self._running.get(handle)
         if conn is not None:
             conn.abort(ConnectionEnd.FAULT)
         self._end(handle, outcome_of(ConnectionEnd.FAULT), 0.0)
 
     def pause(self, handle: str) -> None:
+        """Close the attempt's connection, which ends the attempt as cancelled."""
         conn = self._running.get(handle)
         if conn is not None:
             conn.close(ConnectionEnd.ABANDONED, unsent=False)
         elif handle in self._running:
-            self._halted.add(handle)
+            self._cancelled.add(handle)
 
     def resume(self, handle: str) -> None:
-        # Never paused, so there is nothing to go on with; the attempt ended when it was halted.
+        """End the attempt as cancelled, unless it has ended: no attempt is ever paused, so none can go on."""
         self._end(handle, Outcome.CANCELLED, 0.0)
 
     def gauges(self) -> None:
-        """What this side can see: each attempt in hand wants a core of the server's."""
-        wanted = len(self._running)
-        use = min(1.0, wanted / self.cores)
-        values = {"core_use": use, "on_cores": float(wanted), "links": float(wanted)}
-        self.loop.at(self.loop.now + POOL, lambda: self.listener.gauges(values))
+        """Deliver what this side can see: each attempt in flight is taken to need one core of the server."""
+        in_flight = len(self._running)
+        core_use = min(1.0, in_flight / self._cores)
+        values = {"core_use": core_use, "on_cores": float(in_flight), "links": float(in_flight)}
+        self.loop.at(self.loop.now + POOL, lambda: self._listener.gauges(values))
 
     def health_check(self, told: Callable[[bool], None]) -> None:
+        """Check whether the server accepts a connection."""
         self.loop.spawn(self._dial_only(told))
 
     def _dial_only(self, told: Callable[[bool], None]) -> Generator[Wait, Any, None]:
@@ -88,28 +100,29 @@
 
     # ---- One attempt
     def _attempt(self, handle: str, cls: str, body: bytes) -> Generator[Wait, Any, None]:
-        began = self.loop.now
+        started_at = self.loop.now
         sock = yield from self._dial(self.loop, self.address, DIAL)
         if isinstance(sock, ConnectionEnd):
-            # Whether refused or out of time, nothing was sent, so it never ran.
-            return self._end(handle, outcome_of(ConnectionEnd.UNREACHED), self.loop.now - began)
+            # Whether refused or timed out, nothing was sent, so it never ran.
+            return self._end(handle, outcome_of(ConnectionEnd.UNREACHED), self.loop.now - started_at)
         conn = Connection(self.loop, sock, lambda end: self.counters.add("ends", f"uwsgi backend {end.value}"))
         self._running[handle] = conn
-        if handle in self._halted:
+        if handle in self._cancelled:
             conn.close(ConnectionEnd.ABANDONED, unsent=False)
-        conn.write(
-            proto.packet({"REQUEST_METHOD": "POST", "PATH_INFO": self.path + cls, "HTTP_X_REQUEST_ID": handle}, body)
-        )
-        outcome, result, _ = yield from read_response(self.loop, conn, began + self.spans[cls])
-        self._end(handle, outcome, self.loop.now - began, result)
+        variables = {"REQUEST_METHOD": "POST", "PATH_INFO": self._path + cls, "HTTP_X_REQUEST_ID": handle}
+        conn.write(proto.packet(variables, body))
+        outcome, result, _ = yield from read_response(self.loop, conn, started_at + self._deadlines[cls])
+        self._end(handle, outcome, self.loop.now - started_at, result)
 
     def _end(self, handle: str, outcome: Outcome, spent: float, result: bytes = b"") -> None:
-        if self._running.pop(handle, 0) != 0:
-            self._halted.discard(handle)
-            self.listener.finished(handle, outcome, spent, result)
+        """Report the end of an attempt, the first time."""
+        if handle in self._running:
+            del self._running[handle]
+            self._cancelled.discard(handle)
+            self._listener.finished(handle, outcome, spent, result)
 
     def failed(self) -> None:
-        """There is no link that could be left behind."""
+        """Do nothing: there is no connection to release."""
 
     def close(self) -> None:
         """End for good."""
@@ -121,7 +134,7 @@
 def read_response(
     loop: Loop, conn: Connection, until: float
 ) -> Generator[Wait, Any, tuple[Outcome, bytes, proto.Response | None]]:
-    """How the attempt that was sent on a connection ended, its result, and the response if one came."""
+    """How the attempt that was sent on a connection ended by the time ``until``, its result, and any response."""
     machine = proto.Client()
     while True:
         data = yield from conn.read(max(0.0, until - loop.now))
@@ -138,14 +151,18 @@
             return outcome_of(end), b"", None
         if response is not None:
             conn.close(ConnectionEnd.FINISHED)
-            return outcome_of_response(response), response.body if response.status == 200 else b"", response
+            return outcome_of_response(response), response.body if response.status == HTTP_OK else b"", response
         if isinstance(data, ConnectionEnd):
             return outcome_of(data), b"", None
 
 
 def outcome_of_response(response: proto.Response) -> Outcome:
-    """What a server's word says of the attempt."""
-    if response.status == 200:
+    """What a server's response proves about the attempt.
+
+    A 503 with Retry-After states that the server rejected the request without running it.
+    """
+    if response.status == HTTP_OK:
         return Outcome.OK
-    # A 503 with Retry-After is a server's word that it turned the request away unrun.
-    return Outcome.OVERLOADED if response.status == 503 and "retry-after" in response.headers else Outcome.ERROR
+    if response.status == HTTP_SERVICE_UNAVAILABLE and "retry-after" in response.headers:
+        return Outcome.OVERLOADED
+    return Outcome.ERROR
--- a/lapishaven/catalog_reporter.py
+++ b/lapishaven/catalog_reporter.py
@@ -1,4 +1,4 @@
-"""Reports to the catalog: at a steady pace, at once on a change, and again while it is down."""
+"""Reports health to the service registry: periodically, at once on a change, and again after a failure."""
 
 from __future__ import annotations
 
@@ -12,36 +12,44 @@
 from lapishaven.proto import ProtocolError
 from lapishaven.proto import catalog as proto
 
-EVERY = 0.8  # s; an entry lapses after 3 s, so two reports may be lost
-ANSWER = 0.6  # s for one report's answer
-AGAIN = 0.1  # s after a failed one
+REPORT_INTERVAL_S = 0.8  # an entry lapses after 3 s, so two reports may be lost
+RESPONSE_TIMEOUT_S = 0.6  # for a connection, and for one report's response
+RETRY_DELAY_S = 0.1  # after a report that failed
+NO_CONTENT = 204  # status of a report that was accepted
 
 
 class CatalogReporter:
-    """Holds one connection to the catalog and reports on it."""
+    """Holds one connection to the registry and reports on it, once ``tell`` has said what."""
 
     def __init__(
         self, loop: Loop, address: tuple[str, int], name: str, counters: Counters, dial: Dial = connect
     ) -> None:
-        self._connect = dial
-        self.loop, self.address, self.name, self.counters = loop, address, name, counters
-        self.passing: bool | None = None
-        self._pause: Wait | None = None
+        """``name`` is this server's name in the registry."""
+        self.address = address
+        self.passing: bool | None = None  # what is reported; None until that is known
+        self._loop = loop
+        self._name = name
+        self._counters = counters
+        self._dial = dial
+        self._pause: Wait | None = None  # the wait between two reports
         self._conn: Connection | None = None
         self._http: proto.Client | None = None
-        self._waits = self._stopped = False
+        self._awaits_response = False
+        self._stopped = False
 
     def tell(self, passing: bool) -> None:
-        """From now on report this, the first time at once."""
-        changed, self.passing = passing != self.passing, passing
-        if changed and self._pause is not None:
+        """Report this from now on, at once if it is a change."""
+        if passing == self.passing:
+            return
+        self.passing = passing
+        if self._pause is not None:
             self._pause.wake()
-        elif changed and self._conn is not None and self._waits:
-            # The answer that is awaited may never come, and callers go by the old report meanwhile.
+        elif self._conn is not None and self._awaits_response:
+            # The response that is awaited may never come, and callers rely on the old report meanwhile.
             self._conn.close(ConnectionEnd.ABANDONED)
 
     def move(self, address: tuple[str, int]) -> None:
-        """From now on the catalog is there; the next report goes there at once."""
+        """The registry is at this address from now on; the next report is sent there at once."""
         if address == self.address:
             return
         self.address = address
@@ -53,73 +61,80 @@
     def run(self) -> Generator[Wait, Any, None]:
         """Report until ``close``."""
         while not self._stopped:
-            good, address, told = True, self.address, None
+            succeeded = True
+            address = self.address
+            reported: bool | None = None
             if self.passing is not None:
-                good = yield from self._connected()
-                # What holds by now: it may have changed, or the server may have ended, while it was dialled.
-                told = self.passing
+                succeeded = yield from self._connected()
+                # It may have changed, or the server may have ended, while the connection was dialled.
+                reported = self.passing
                 if self._stopped:
                     return
-                if good:
-                    good = yield from self._report(told is True)
-                self.counters.add("catalog", "reports" if good else "failed reports")
-            if (self.passing, self.address) == (told, address) and not self._stopped:
-                self._pause = Wait(EVERY if good else AGAIN)
+                if succeeded:
+                    succeeded = yield from self._report(reported is True)
+                self._counters.add("catalog", "reports" if succeeded else "failed reports")
+            if (self.passing, self.address) == (reported, address) and not self._stopped:
+                self._pause = Wait(REPORT_INTERVAL_S if succeeded else RETRY_DELAY_S)
                 yield self._pause
                 self._pause = None
 
-    def _usable(self) -> bool:
-        conn, http = self._conn, self._http
-        # The catalog may have closed it since the last answer, which nobody was waiting to read.
-        return conn is not None and conn.closing is None and not conn.left() and http is not None and http.reusable
+    def _has_usable_connection(self) -> bool:
+        """Whether a report can be sent on the connection, which the registry may have closed since the last one."""
+        if self._conn is None or self._conn.closing is not None or self._conn.left():
+            return False
+        return self._http is not None and self._http.reusable
 
     def _connected(self) -> Generator[Wait, Any, bool]:
-        """Whether there is a connection to the catalog's address of now, dialled if need be."""
-        if self._usable():
+        """Whether there is a connection to the registry's present address, which is dialled if need be."""
+        if self._has_usable_connection():
             return True
         if self._conn is not None:
             self._conn.close(ConnectionEnd.FINISHED)
-        self._conn, address = None, self.address
-        sock = yield from self._connect(self.loop, address, ANSWER)
+        self._conn = None
+        address = self.address
+        sock = yield from self._dial(self._loop, address, RESPONSE_TIMEOUT_S)
         if isinstance(sock, ConnectionEnd):
             return False
         if self._stopped or address != self.address:
             sock.close()
             return False
-        self._conn = Connection(self.loop, sock, lambda end: self.counters.add("ends", f"catalog {end.value}"))
-        self._http = proto.Client(f"{address[0]}:{address[1]}", self.name)
+        self._conn = Connection(self._loop, sock, lambda end: self._counters.add("ends", f"catalog {end.value}"))
+        self._http = proto.Client(f"{address[0]}:{address[1]}", self._name)
         return True
 
     def _report(self, passing: bool) -> Generator[Wait, Any, bool]:
-        """One report, and whether it was taken."""
+        """Send one report; returns whether it was accepted."""
         assert self._conn is not None and self._http is not None
-        conn, http = self._conn, self._http
-        conn.write(http.report(passing))
-        until = self.loop.now + ANSWER
-        self._waits = True
+        self._conn.write(self._http.report(passing))
+        self._awaits_response = True
         try:
-            while True:
-                data = yield from conn.read(max(0.0, until - self.loop.now))
-                if data is None or isinstance(data, ConnectionEnd):
-                    conn.close(ConnectionEnd.TIMED_OUT if data is None else data)
-                    return False
-                try:
-                    status = http.feed(data)
-                except ProtocolError:
-                    conn.close(ConnectionEnd.PROTOCOL_ERROR)
-                    return False
-                if status is not None:
-                    return status == 204
+            return (yield from self._read_response(self._conn, self._http))
         finally:
-            self._waits = False
+            self._awaits_response = False
+
+    def _read_response(self, conn: Connection, http: proto.Client) -> Generator[Wait, Any, bool]:
+        """Whether the response accepts the report; closes the connection if there is none in time, or a bad one."""
+        read_until = self._loop.now + RESPONSE_TIMEOUT_S
+        while True:
+            data = yield from conn.read(max(0.0, read_until - self._loop.now))
+            if data is None or isinstance(data, ConnectionEnd):
+                conn.close(ConnectionEnd.TIMED_OUT if data is None else data)
+                return False
+            try:
+                status = http.feed(data)
+            except ProtocolError:
+                conn.close(ConnectionEnd.PROTOCOL_ERROR)
+                return False
+            if status is not None:
+                return status == NO_CONTENT
 
     def failed(self) -> None:
-        """Its coroutine has ended by a fault: the connection goes, and ``run`` may be started again."""
+        """``run`` has ended by a fault of this program: close the connection, as it is started again."""
         if self._conn is not None:
             self._conn.abort(ConnectionEnd.FAULT)
 
     def close(self) -> None:
-        """No further report, also where one is about to be sent."""
+        """Send no further report, not even one that is about to be sent."""
         self._stopped = True
         if self._pause is not None:
             self._pause.wake()
--- a/tests/test_catalog_crossings.py
+++ b/tests/test_catalog_crossings.py
@@ -10,7 +10,7 @@
 from scenario import Peer
 from wire import wait_for
 
-from lapishaven.catalog_reporter import AGAIN, ANSWER, EVERY, CatalogReporter
+from lapishaven.catalog_reporter import REPORT_INTERVAL_S, RESPONSE_TIMEOUT_S, RETRY_DELAY_S, CatalogReporter
 from lapishaven.connection_end import ConnectionEnd
 from lapishaven.counters import Counters
 from lapishaven.net.loop import Loop, Wait
@@ -109,7 +109,7 @@
     catalog.rounds()
     catalog.reporter.move(NEW)
     catalog.let_go()
-    catalog.wait(AGAIN)
+    catalog.wait(RETRY_DELAY_S)
     assert catalog.dialled == [OLD, NEW]
     assert catalog.reports(0) == [] and catalog.peers[0].closed
     assert catalog.reports(1) == ["passing"] and b"Host: 127.0.0.1:2\r\n" in bytes(catalog.peers[1].data)
@@ -122,7 +122,7 @@
     catalog.rounds()
     catalog.reporter.close()
     catalog.let_go()
-    catalog.wait(2 * EVERY)
+    catalog.wait(2 * REPORT_INTERVAL_S)
     assert catalog.reports(0) == [] and catalog.peers[0].closed and len(catalog.dialled) == 1
 
 
@@ -132,7 +132,7 @@
     catalog.answer()
     catalog.reporter.close()
     catalog.reporter.tell(False)
-    catalog.wait(2 * EVERY)
+    catalog.wait(2 * REPORT_INTERVAL_S)
     assert catalog.reports() == ["passing"] and catalog.peers[0].closed
 
 
@@ -158,7 +158,7 @@
         if sum(len(catalog.reports(n)) for n in range(len(catalog.peers))) > before:
             times.append(catalog.now)
     gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
-    assert max(gaps) <= ANSWER + AGAIN + 0.1 < LAPSE
+    assert max(gaps) <= RESPONSE_TIMEOUT_S + RETRY_DELAY_S + 0.1 < LAPSE
 
 
 @pytest.mark.parametrize("cut", [1, 9, 23, len(DONE) - 1])
@@ -169,7 +169,7 @@
     assert catalog.counters.get("catalog", "reports") == 0
     catalog.answer(DONE[cut:])
     assert catalog.counters.get("catalog", "reports") == 1
-    catalog.wait(EVERY + 0.1)
+    catalog.wait(REPORT_INTERVAL_S + 0.1)
     assert catalog.reports() == ["passing", "passing"] and len(catalog.peers) == 1
 
 
@@ -181,7 +181,7 @@
     catalog.peers[0].sock.shutdown(socket.SHUT_WR)
     catalog.rounds()
     assert catalog.counters.get("catalog", "reports") == 1
-    catalog.wait(EVERY + 0.1)
+    catalog.wait(REPORT_INTERVAL_S + 0.1)
     assert len(catalog.peers) == 2 and catalog.reports(1) == ["passing"]
 
 
@@ -189,7 +189,7 @@
     """Guards against a late answer that vouches for a report which it does not belong to."""
     catalog.reporter.tell(True)
     catalog.rounds()
-    catalog.wait(ANSWER + AGAIN + 0.1)
+    catalog.wait(RESPONSE_TIMEOUT_S + RETRY_DELAY_S + 0.1)
     assert len(catalog.peers) == 2
     catalog.answer(DONE, 0)
     assert catalog.counters.get("catalog", "reports") == 0
@@ -202,7 +202,7 @@
     catalog.rounds()
     catalog.answer(DONE[:14])
     catalog.peers[0].sock.shutdown(socket.SHUT_RDWR)
-    catalog.wait(AGAIN + 0.1)
+    catalog.wait(RETRY_DELAY_S + 0.1)
     assert catalog.counters.get("catalog", "failed reports") == 1 and catalog.reports(1) == ["passing"]
 
 
@@ -221,5 +221,5 @@
     catalog.rounds()
     catalog.reporter.failed()
     catalog.loop.spawn(catalog.reporter.run())
-    catalog.wait(EVERY)
+    catalog.wait(REPORT_INTERVAL_S)
     assert catalog.reports() == ["passing"] and len(catalog.peers) >= 2
