--- a/lapishaven/core/action_executor.py
+++ b/lapishaven/core/action_executor.py
@@ -19,14 +19,12 @@
     SkipDependency,
     StartRun,
 )
-from lapishaven.core.idempotency_keys import IdempotencyKeyTable
+from lapishaven.core.core_state import CoreState
 from lapishaven.core.load_sampling import LoadSampling
 from lapishaven.core.ports import ModuleListener
 from lapishaven.core.request_lifecycle import RequestLifecycle
-from lapishaven.core.request_table import RequestTable
 from lapishaven.core.requests import Answer, AnswerKind, Request
 from lapishaven.core.run_control import RunControl
-from lapishaven.counters import Counters
 
 DUE_REASON = "due"  # the controller's reason for a failure because the deadline passed
 
@@ -39,21 +37,19 @@
 
     def __init__(
         self,
-        table: RequestTable,
-        keys: IdempotencyKeyTable,
+        state: CoreState,
         lifecycle: RequestLifecycle,
         runs: RunControl,
         load_sampling: LoadSampling,
         listener: ModuleListener,
-        counters: Counters,
     ) -> None:
-        self._table = table
-        self._keys = keys
+        self._table = state.table
+        self._keys = state.keys
+        self._counters = state.counters
         self._lifecycle = lifecycle
         self._runs = runs
         self._load_sampling = load_sampling
         self._listener = listener
-        self._counters = counters
 
     def carry_out(self, now: float, action: Action) -> None:
         """Carry out one action; one about a request that has left the table is ignored."""
--- a/lapishaven/core/broker.py
+++ b/lapishaven/core/broker.py
@@ -9,7 +9,6 @@
     AdmissionPools,
     Controller,
     DrainRequested,
-    Event,
     Outcome,
     RequestCancelled,
     Settings,
@@ -17,6 +16,7 @@
 from lapishaven.core.action_executor import ActionExecutor
 from lapishaven.core.active_settings import ActiveSettings
 from lapishaven.core.contracts import Contracts
+from lapishaven.core.core_state import CoreState
 from lapishaven.core.drain_state import DrainState
 from lapishaven.core.durable_execution import DurableExecution
 from lapishaven.core.execution_guard import ExecutionGuard
@@ -87,59 +87,27 @@
         self.counters = counters
         self.controller = Controller(settings, seed, pools)
         self.guard = ExecutionGuard(memory)
-        self._settings = ActiveSettings(settings)
-        self._events: list[Event] = []
         self._has_turned = False  # the controller gets one empty batch at the start, to set its timers
-        self._drain_state = DrainState()
-        self._table = RequestTable(seed)
-        self._load_sampling = LoadSampling(backend, counters, self._events)
-        keys = IdempotencyKeyTable(memory // STORED_RESULTS_PART)
-        recorder = recorder or NullAttemptRecorder()
-        self._lifecycle = RequestLifecycle(
-            settings=self._settings,
-            table=self._table,
-            keys=keys,
-            recorder=recorder,
-            counters=counters,
-            events=self._events,
-        )
-        durable: DurableExecution | None = None
-        if result_store is not None:
-            durable = DurableExecution(result_store, self._settings, self.guard, self._lifecycle, counters)
-        self._runs = RunControl(
-            settings=self._settings,
-            table=self._table,
-            guard=self.guard,
-            drain_state=self._drain_state,
-            lifecycle=self._lifecycle,
-            durable=durable,
-            recorder=recorder,
-            counters=counters,
-            events=self._events,
-        )
-        self._executor = ActionExecutor(
-            table=self._table,
-            keys=keys,
-            lifecycle=self._lifecycle,
-            runs=self._runs,
-            load_sampling=self._load_sampling,
-            listener=listener,
-            counters=counters,
-        )
-        self._intake = SubmissionIntake(
-            settings=self._settings,
-            table=self._table,
-            keys=keys,
+        state = CoreState(
+            settings=ActiveSettings(settings),
+            table=RequestTable(seed),
+            keys=IdempotencyKeyTable(memory // STORED_RESULTS_PART),
             guard=self.guard,
-            drain_state=self._drain_state,
-            lifecycle=self._lifecycle,
-            durable=durable,
-            contracts=contracts,
-            default_backend=backend,
-            routes=dict(routes or {}),
+            drain_state=DrainState(),
+            recorder=recorder or NullAttemptRecorder(),
             counters=counters,
-            events=self._events,
+            events=[],
         )
+        self._settings = state.settings
+        self._table = state.table
+        self._drain_state = state.drain_state
+        self._events = state.events
+        self._load_sampling = LoadSampling(backend, counters, state.events)
+        self._lifecycle = RequestLifecycle(state)
+        durable = DurableExecution(result_store, state, self._lifecycle) if result_store is not None else None
+        self._runs = RunControl(state, self._lifecycle, durable)
+        self._executor = ActionExecutor(state, self._lifecycle, self._runs, self._load_sampling, listener)
+        self._intake = SubmissionIntake(state, self._lifecycle, durable, contracts, backend, routes or {})
 
     @property
     def settings(self) -> Settings:
--- a/lapishaven/core/durable_execution.py
+++ b/lapishaven/core/durable_execution.py
@@ -8,12 +8,10 @@
 
 from collections.abc import Callable
 
-from lapishaven.core.active_settings import ActiveSettings
-from lapishaven.core.execution_guard import ExecutionGuard
+from lapishaven.core.core_state import CoreState
 from lapishaven.core.ports import EffectState, IntentOutcome, KnownEffect, ResultStore
 from lapishaven.core.request_lifecycle import NEVER_RAN_RETRY_AFTER_S, RequestLifecycle
 from lapishaven.core.requests import Answer, AnswerKind, Request, RequestState, Submission
-from lapishaven.counters import Counters
 
 
 class DurableExecution:
@@ -22,19 +20,12 @@
     Its methods, ``covers`` aside, are for requests and submissions that it covers.
     """
 
-    def __init__(
-        self,
-        store: ResultStore,
-        settings: ActiveSettings,
-        guard: ExecutionGuard,
-        lifecycle: RequestLifecycle,
-        counters: Counters,
-    ) -> None:
+    def __init__(self, store: ResultStore, state: CoreState, lifecycle: RequestLifecycle) -> None:
         self._store = store
-        self._settings = settings
-        self._guard = guard
+        self._settings = state.settings
+        self._guard = state.guard
+        self._counters = state.counters
         self._lifecycle = lifecycle
-        self._counters = counters
 
     def covers(self, submission: Submission) -> bool:
         """Whether its run and result are recorded."""
--- a/lapishaven/core/request_lifecycle.py
+++ b/lapishaven/core/request_lifecycle.py
@@ -2,14 +2,11 @@
 
 from __future__ import annotations
 
-from lapishaven.admission import Event, Outcome, RunFinished
+from lapishaven.admission import Outcome, RunFinished
 from lapishaven.core import outcome_metrics
-from lapishaven.core.active_settings import ActiveSettings
-from lapishaven.core.idempotency_keys import IdempotencyKeyTable
-from lapishaven.core.ports import AttemptRecorder, Reply
-from lapishaven.core.request_table import RequestTable
+from lapishaven.core.core_state import CoreState
+from lapishaven.core.ports import Reply
 from lapishaven.core.requests import WITHOUT_RUN, Answer, AnswerKind, Request, RequestState, Submission
-from lapishaven.counters import Counters
 
 NEVER_RAN_RETRY_AFTER_S = 1.0  # Retry-After where the backend is unreachable or full, or the server shuts down
 
@@ -17,22 +14,13 @@
 class RequestLifecycle:
     """Answers requests once, removes them from the table once, and serves duplicates from their originals."""
 
-    def __init__(
-        self,
-        settings: ActiveSettings,
-        table: RequestTable,
-        keys: IdempotencyKeyTable,
-        recorder: AttemptRecorder,
-        counters: Counters,
-        events: list[Event],
-    ) -> None:
-        """``events`` is the queue of what the controller is to be told."""
-        self._settings = settings
-        self._table = table
-        self._keys = keys
-        self._recorder = recorder
-        self._counters = counters
-        self._events = events
+    def __init__(self, state: CoreState) -> None:
+        self._settings = state.settings
+        self._table = state.table
+        self._keys = state.keys
+        self._recorder = state.recorder
+        self._counters = state.counters
+        self._events = state.events
 
     def answer(self, request: Request, answer: Answer) -> None:
         """Answer a request, unless it was answered or its caller has gone.
--- a/lapishaven/core/run_control.py
+++ b/lapishaven/core/run_control.py
@@ -2,17 +2,12 @@
 
 from __future__ import annotations
 
-from lapishaven.admission import Event, Idempotency, Outcome, RunFinished
+from lapishaven.admission import Idempotency, Outcome, RunFinished
 from lapishaven.core import outcome_metrics
-from lapishaven.core.active_settings import ActiveSettings
-from lapishaven.core.drain_state import DrainState
+from lapishaven.core.core_state import CoreState
 from lapishaven.core.durable_execution import DurableExecution
-from lapishaven.core.execution_guard import ExecutionGuard
-from lapishaven.core.ports import AttemptRecorder
 from lapishaven.core.request_lifecycle import NEVER_RAN_RETRY_AFTER_S, RequestLifecycle
-from lapishaven.core.request_table import RequestTable
 from lapishaven.core.requests import Answer, AnswerKind, Request, RequestState
-from lapishaven.counters import Counters
 
 NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE)  # outcomes that prove that the run did nothing
 
@@ -20,28 +15,17 @@
 class RunControl:
     """The one place where a run is started, and where its end is taken in."""
 
-    def __init__(
-        self,
-        settings: ActiveSettings,
-        table: RequestTable,
-        guard: ExecutionGuard,
-        drain_state: DrainState,
-        lifecycle: RequestLifecycle,
-        durable: DurableExecution | None,
-        recorder: AttemptRecorder,
-        counters: Counters,
-        events: list[Event],
-    ) -> None:
-        """``durable`` is ``None`` where no result store is configured; ``events`` is the controller's queue."""
-        self._settings = settings
-        self._table = table
-        self._guard = guard
-        self._drain_state = drain_state
+    def __init__(self, state: CoreState, lifecycle: RequestLifecycle, durable: DurableExecution | None) -> None:
+        """``durable`` is ``None`` where no result store is configured."""
+        self._settings = state.settings
+        self._table = state.table
+        self._guard = state.guard
+        self._drain_state = state.drain_state
+        self._recorder = state.recorder
+        self._counters = state.counters
+        self._events = state.events
         self._lifecycle = lifecycle
         self._durable = durable
-        self._recorder = recorder
-        self._counters = counters
-        self._events = events
 
     # ---- Start and pause
     def start(self, now: float, request: Request) -> None:
--- a/lapishaven/core/submission_intake.py
+++ b/lapishaven/core/submission_intake.py
@@ -2,18 +2,16 @@
 
 from __future__ import annotations
 
-from lapishaven.admission import Event, RequestArrived
-from lapishaven.core.active_settings import ActiveSettings
+from collections.abc import Mapping
+
+from lapishaven.admission import RequestArrived
 from lapishaven.core.contracts import Contract, Contracts, Denied, Party
-from lapishaven.core.drain_state import DrainState
+from lapishaven.core.core_state import CoreState
 from lapishaven.core.durable_execution import DurableExecution
-from lapishaven.core.execution_guard import ExecutionGuard
-from lapishaven.core.idempotency_keys import EffectKey, IdempotencyKeyTable
+from lapishaven.core.idempotency_keys import EffectKey
 from lapishaven.core.ports import Backend, Reply
 from lapishaven.core.request_lifecycle import NEVER_RAN_RETRY_AFTER_S, RequestLifecycle
-from lapishaven.core.request_table import RequestTable
 from lapishaven.core.requests import Answer, AnswerKind, Request, Submission
-from lapishaven.counters import Counters
 
 
 class SubmissionIntake:
@@ -24,35 +22,29 @@
 
     def __init__(
         self,
-        settings: ActiveSettings,
-        table: RequestTable,
-        keys: IdempotencyKeyTable,
-        guard: ExecutionGuard,
-        drain_state: DrainState,
+        state: CoreState,
         lifecycle: RequestLifecycle,
         durable: DurableExecution | None,
         contracts: Contracts | None,
         default_backend: Backend,
-        routes: dict[str, Backend],
-        counters: Counters,
-        events: list[Event],
+        routes: Mapping[str, Backend],
     ) -> None:
         """``contracts`` is ``None`` where none are checked, ``durable`` where no result store is configured.
 
-        ``routes`` has the backends by the names that contracts route to; ``events`` is the controller's queue.
+        ``routes`` has the backends by the names that contracts route to.
         """
-        self._settings = settings
-        self._table = table
-        self._keys = keys
-        self._guard = guard
-        self._drain_state = drain_state
+        self._settings = state.settings
+        self._table = state.table
+        self._keys = state.keys
+        self._guard = state.guard
+        self._drain_state = state.drain_state
+        self._counters = state.counters
+        self._events = state.events
         self._lifecycle = lifecycle
         self._durable = durable
         self._contracts = contracts
         self._default_backend = default_backend
         self._routes = routes
-        self._counters = counters
-        self._events = events
 
     def replace_contracts(self, contracts: Contracts | None) -> None:
         """Take over a reload's contracts, with the budgets of those that stay, if contracts were checked before."""
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -473,8 +473,9 @@
     def test_serve_reload_and_counters(self) -> None:
         names = [spec.name for spec in self.server.config.settings.classes]
         table: dict[str, Any] = {"pool": [{"name": "all", "classes": names, "share": 1.0}]}
-        self.server._pool_rules, self.server.broker = parse_pools(table, names, 6), None
-        self.server.up(False, 1.0)
+        self.server.running.pools = parse_pools(table, names, 6)
+        self.server.core.broker = None
+        self.server.core.up(False, 1.0)
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit
@@ -482,14 +483,14 @@
             send vm OK c1.1
             expect c1 result 1
         """)
-        assert self.server.pools is not None
-        assert self.server.pools.state()["all started"] == 1
+        assert self.server.core.pools is not None
+        assert self.server.core.pools.state()["all started"] == 1
         split: dict[str, Any] = {"pool": [{"name": name, "classes": [name], "share": 0.5} for name in names]}
         rules_now = parse_pools(split, names, 6)
-        self.server._files = lambda: Files(parse(configuration()), pools=rules_now)
+        self.server.config_reload._read_files = lambda: Files(parse(configuration()), pools=rules_now)
         self.play("send server HUP")
-        assert [pool.name for pool in self.server.pools.pools] == names
-        self.server.tell_counters()
+        assert [pool.name for pool in self.server.core.pools.pools] == names
+        self.server.counter_report.log_counters()
         assert self.server.counters.groups["pools"]["limit"] == 6
 
 
