--- a/benchmarks/client.py
+++ b/benchmarks/client.py
@@ -111,10 +111,10 @@
 
 def reference_cost(calls: int) -> float:
     """CPU in microseconds of the least that any client must do for a call: one request and one answer in JSON."""
-    machine, cpu = jsonrpc.Client(), time.process_time()
+    machine, cpu = jsonrpc.ClientParser(), time.process_time()
     for n in range(1, calls + 1):
-        jsonrpc.request(n, "look", f"{n:016x}", b"x", 30.0, recv=time.time())
-        for _ in machine.feed(jsonrpc.result(n, b"x")):
+        jsonrpc.encode_request(n, "look", f"{n:016x}", b"x", 30.0, recv=time.time())
+        for _ in machine.feed(jsonrpc.encode_result(n, b"x")):
             pass
     return round((time.process_time() - cpu) / calls * 1e6, 1)
 
--- a/lapishaven/admin/server.py
+++ b/lapishaven/admin/server.py
@@ -70,7 +70,7 @@
     def _ended(self, conn: Connection, end: ConnectionEnd) -> None:
         del self._connections[conn]
         self.listener.budget.used -= 1
-        self.listener.room_made()
+        self.listener.descriptor_freed()
         self._counters.add("ends", f"control {end.value}")
 
     def _serve(self, conn: Connection) -> Generator[Wait, Any, None]:
--- a/lapishaven/admission/settings.py
+++ b/lapishaven/admission/settings.py
@@ -93,7 +93,7 @@
     over_quota_weight: float
     """The part of its weight that a request beyond its tenant's quota earns, 0 to 1."""
     weight_per_work: bool
-    """Against its name: whether the weight of a class counts for each unit of work, not for each request."""
+    """Whether the weight of a class counts for each unit of work, not for each request."""
     max_retry_after: float | None
     """The longest Retry-After that callers follow, in seconds; ``None``: callers are not told any."""
     load_signal: str | None
--- a/lapishaven/backends/__init__.py
+++ b/lapishaven/backends/__init__.py
@@ -13,13 +13,13 @@
 class BackendListener(Protocol):
     """Receives a backend's reports, on the loop's thread."""
 
-    def up(self, cold: bool, up_for: float) -> None:
+    def backend_up(self, cold: bool, up_for: float) -> None:
         """The backend can run requests, since ``up_for`` seconds; it is slow at first if it is ``cold``."""
 
-    def finished(self, handle: str, outcome: Outcome, spent: float, result: bytes) -> None:
+    def run_finished(self, handle: str, outcome: Outcome, spent: float, result: bytes) -> None:
         """The run of attempt ``handle`` ended after ``spent`` seconds; the result is empty unless that was well."""
 
-    def gauges(self, values: dict[str, float]) -> None:
+    def load_sampled(self, values: dict[str, float]) -> None:
         """The gauges by name that were requested."""
 
 
--- a/lapishaven/backends/interpreter.py
+++ b/lapishaven/backends/interpreter.py
@@ -79,7 +79,7 @@
             # Its start was never sent, so there is nothing to stop.
             self._waiting = [command for command in self._waiting if command.handle != handle]
             self._forget(handle)
-            self.loop.at(self.loop.now, lambda: self._listener.finished(handle, Outcome.UNREACHABLE, 0.0, b""))
+            self.loop.at(self.loop.now, lambda: self._listener.run_finished(handle, Outcome.UNREACHABLE, 0.0, b""))
         elif handle in self._probes:
             self._probes[handle] = False
         elif self._is_uncertain(handle):
@@ -95,7 +95,7 @@
         self._running.add(handle)
         self._send(Command(handle, proto.resume(handle)))
 
-    def gauges(self) -> None:
+    def request_load_sample(self) -> None:
         """Request a load sample, on the next link if there is none now."""
         self._sample_requested = True
         if self._ready and not self._moving:
@@ -257,7 +257,7 @@
             if self._probes.pop(handle, None) is not None:
                 self.counters.add("interpreter", "runs given up")
                 self._forget(handle)
-                self._listener.finished(handle, outcome_of(ConnectionEnd.RESET), 0.0, b"")
+                self._listener.run_finished(handle, outcome_of(ConnectionEnd.RESET), 0.0, b"")
 
     # ---- Notices
     def _process(self, message: proto.Message) -> None:
@@ -283,7 +283,7 @@
     def _process_sample(self, message: proto.Tops) -> None:
         self._unconfirmed.answered(self.loop.now, message.tag)
         self._sample_requested = False
-        self._listener.gauges(dict(zip(self._gauge_names, message.values, strict=False)))
+        self._listener.load_sampled(dict(zip(self._gauge_names, message.values, strict=False)))
         then = self._fences.pop(message.tag, None)
         if then is not None:
             then()
@@ -294,12 +294,12 @@
             # It was not carried out, so nothing of it ran, unless it had been sent before as well.
             outcome = Outcome.OBSOLETE if message.handle in self._resent else Outcome.UNREACHABLE
             self._forget(message.handle)
-            self._listener.finished(message.handle, outcome, 0.0, b"")
+            self._listener.run_finished(message.handle, outcome, 0.0, b"")
 
     def _process_banner(self, message: proto.Banner) -> None:
         """The interpreter is up on this link: send what waits for it."""
         self._ready = True
-        self._listener.up(message.cold, message.up_for)
+        self._listener.backend_up(message.cold, message.up_for)
         waiting = self._waiting
         self._waiting = []
         for command in waiting:
@@ -318,7 +318,7 @@
         if resumes:
             self.resume(message.handle)
             return
-        self._listener.finished(message.handle, outcome, message.spent, message.result)
+        self._listener.run_finished(message.handle, outcome, message.spent, message.result)
 
     def _should_resume(self, handle: str) -> bool:
         """Whether a run was stopped just to see whether it runs; the report may come over the next link."""
--- a/lapishaven/backends/load_balanced.py
+++ b/lapishaven/backends/load_balanced.py
@@ -59,13 +59,13 @@
         self.balancer = LoadBalancer(settings.rules, random)
         self._addresses: dict[str, tuple[str, int]] = {}
         self._dispatcher = RunDispatcher(
-            loop, self.balancer, self._addresses, settings, listener.finished, counters, dial
+            loop, self.balancer, self._addresses, settings, listener.run_finished, counters, dial
         )
         self.set_addresses(settings.addresses)
 
     def run(self) -> Generator[Wait, Any, None]:
         """There is no connection to hold: the backend is up at once."""
-        self.listener.up(False, 0.0)
+        self.listener.backend_up(False, 0.0)
         return
         yield
 
@@ -99,7 +99,7 @@
         if run is not None:
             self._dispatcher.finish(run, Outcome.CANCELLED)
 
-    def gauges(self) -> None:
+    def request_load_sample(self) -> None:
         """Publish what this side can see: each run in flight uses a core of the endpoints."""
         in_flight = len(self._dispatcher.runs)
         values = {
@@ -107,7 +107,7 @@
             "on_cores": float(in_flight),
             "links": float(in_flight),
         }
-        self.loop.at(self.loop.now + POOL, lambda: self.listener.gauges(values))
+        self.loop.at(self.loop.now + POOL, lambda: self.listener.load_sampled(values))
 
     def health_check(self, told: Callable[[bool], None]) -> None:
         """Find out whether any endpoint can be reached."""
--- a/lapishaven/backends/run_dispatcher.py
+++ b/lapishaven/backends/run_dispatcher.py
@@ -138,7 +138,7 @@
         }
         if number > 1:
             variables["HTTP_X_RETRY"] = "1"
-        return proto.packet(variables, run.body)
+        return proto.encode_request(variables, run.body)
 
     def _attempt_broke(self, run: BalancedRun, number: int) -> None:
         """An error of this program."""
--- a/lapishaven/backends/uwsgi.py
+++ b/lapishaven/backends/uwsgi.py
@@ -11,7 +11,7 @@
 from lapishaven.counters import Counters
 from lapishaven.net.connection import Connection, Dial, connect
 from lapishaven.net.loop import Loop, Wait
-from lapishaven.proto import ProtocolError, TooLarge
+from lapishaven.proto import ProtocolError, TooLargeError
 from lapishaven.proto import uwsgi as proto
 
 DIAL = 1.0  # s for a connection to be established
@@ -48,7 +48,7 @@
 
     def run(self) -> Generator[Wait, Any, None]:
         """Report that the backend is up, at once, as there is no connection to hold."""
-        self._listener.up(False, 0.0)
+        self._listener.backend_up(False, 0.0)
         return
         yield
 
@@ -81,12 +81,12 @@
         """End the attempt as cancelled, unless it has ended: no attempt is ever paused, so none can go on."""
         self._end(handle, Outcome.CANCELLED, 0.0)
 
-    def gauges(self) -> None:
+    def request_load_sample(self) -> None:
         """Deliver what this side can see: each attempt in flight is taken to need one core of the server."""
         in_flight = len(self._running)
         core_use = min(1.0, in_flight / self._cores)
         values = {"core_use": core_use, "on_cores": float(in_flight), "links": float(in_flight)}
-        self.loop.at(self.loop.now + POOL, lambda: self._listener.gauges(values))
+        self.loop.at(self.loop.now + POOL, lambda: self._listener.load_sampled(values))
 
     def health_check(self, told: Callable[[bool], None]) -> None:
         """Check whether the server accepts a connection."""
@@ -110,7 +110,7 @@
         if handle in self._cancelled:
             conn.close(ConnectionEnd.ABANDONED, unsent=False)
         variables = {"REQUEST_METHOD": "POST", "PATH_INFO": self._path + cls, "HTTP_X_REQUEST_ID": handle}
-        conn.write(proto.packet(variables, body))
+        conn.write(proto.encode_request(variables, body))
         outcome, result, _ = yield from read_response(self.loop, conn, started_at + self._deadlines[cls])
         self._end(handle, outcome, self.loop.now - started_at, result)
 
@@ -119,7 +119,7 @@
         if handle in self._running:
             del self._running[handle]
             self._cancelled.discard(handle)
-            self._listener.finished(handle, outcome, spent, result)
+            self._listener.run_finished(handle, outcome, spent, result)
 
     def failed(self) -> None:
         """Do nothing: there is no connection to release."""
@@ -135,7 +135,7 @@
     loop: Loop, conn: Connection, until: float
 ) -> Generator[Wait, Any, tuple[Outcome, bytes, proto.Response | None]]:
     """How the attempt that was sent on a connection ended by the time ``until``, its result, and any response."""
-    machine = proto.Client()
+    machine = proto.ResponseParser()
     while True:
         data = yield from conn.read(max(0.0, until - loop.now))
         if data is None:
@@ -146,7 +146,7 @@
         except ProtocolError as error:
             if isinstance(data, ConnectionEnd):
                 return outcome_of(data), b"", None
-            end = ConnectionEnd.TOO_LARGE if isinstance(error, TooLarge) else ConnectionEnd.PROTOCOL_ERROR
+            end = ConnectionEnd.TOO_LARGE if isinstance(error, TooLargeError) else ConnectionEnd.PROTOCOL_ERROR
             conn.close(end)
             return outcome_of(end), b"", None
         if response is not None:
--- a/lapishaven/cli/serve.py
+++ b/lapishaven/cli/serve.py
@@ -115,7 +115,7 @@
     """Serve until SIGTERM; SIGHUP reads the files again, SIGUSR1 prints the counters."""
     from lapishaven.counters import Counters
     from lapishaven.server import Server, ServerOptions
-    from lapishaven.signals import Signals
+    from lapishaven.server.signals import Signals
 
     signals = Signals()  # before the first caller can connect
     loaded, counters, store = _load(path, uwsgi, contracts, pools, spread), Counters(), None
--- a/lapishaven/client/asyncio_client.py
+++ b/lapishaven/client/asyncio_client.py
@@ -19,7 +19,7 @@
 from lapishaven.client.wire import TimestampClock
 from lapishaven.proto import jsonrpc
 
-BODY_LIMIT = jsonrpc.BODY_LIMIT
+BODY_LIMIT = jsonrpc.MAX_BODY_BYTES
 ROW_BITS = 64
 
 
--- a/lapishaven/client/calls/attempt_scheduler.py
+++ b/lapishaven/client/calls/attempt_scheduler.py
@@ -91,7 +91,7 @@
         call, endpoint, connection = attempt.call, attempt.endpoint, attempt.connection
         call.state = CallState.OPEN
         call.attempts.append(attempt)
-        endpoint.open += 1
+        endpoint.in_flight += 1
         if endpoint.health.state is EjectionState.TRIAL:
             endpoint.health.trial_in_flight = True
         attempt.connection_idle_s = 0.0 if connection.in_flight else now - connection.idle_since
@@ -101,7 +101,7 @@
         if not self._prober.must_probe_first(now, attempt.endpoint):
             self.send(now, attempt)
             return
-        if attempt.endpoint.asked is None:
+        if attempt.endpoint.outstanding_probe is None:
             self._prober.probe(now, attempt.endpoint)  # sent once it answers (``ConnectionEvents``)
         self._prober.schedule_check()
 
--- a/lapishaven/client/calls/availability.py
+++ b/lapishaven/client/calls/availability.py
@@ -26,7 +26,7 @@
         if endpoint in self._table.failure_detector.suspects:
             return False
         if self._table.one_request_per_connection:
-            return endpoint.next_dial_at <= now and endpoint.open < self._open_limit
+            return endpoint.next_dial_at <= now and endpoint.in_flight < self._open_limit
         return endpoint.least_loaded_connection(self._open_limit) is not None
 
     def candidates(self, now: float, excluded_name: str | None = None) -> list[Endpoint]:
@@ -48,7 +48,7 @@
                 now if endpoint.usable_connections else max(endpoint.next_dial_at, dial_at),
             )
             for endpoint in table.endpoints.values()
-            if table.passes_health_checks(endpoint) and endpoint.suspected is None
+            if table.passes_health_checks(endpoint) and endpoint.suspected_since is None
         ]
         if table.uses_aperture and not table.one_request_per_connection and not any_connected:
             # Any endpoint will do for a call that waits with nothing connected, also one that is not tracked yet.
--- a/lapishaven/client/calls/call_table.py
+++ b/lapishaven/client/calls/call_table.py
@@ -117,7 +117,7 @@
         connection.in_flight.pop(attempt.id, None)
         if attempt in attempt.call.attempts:
             attempt.call.attempts.remove(attempt)
-            endpoint.open -= 1
+            endpoint.in_flight -= 1
             endpoint.health.trial_in_flight = False
         if not connection.in_flight:
             connection.idle_since = now
--- a/lapishaven/client/calls/unresponsive_endpoints.py
+++ b/lapishaven/client/calls/unresponsive_endpoints.py
@@ -39,7 +39,7 @@
     def move_attempts(self, now: float, endpoint: Endpoint) -> None:
         """Check every attempt that is in flight to the endpoint."""
         if len(self._table.failure_detector.suspects) > 1:
-            self._retry_budget.grant_at_least(now, float(endpoint.open))
+            self._retry_budget.grant_at_least(now, float(endpoint.in_flight))
         for connection in list(endpoint.connections):
             for attempt in list(connection.in_flight.values()):
                 call = attempt.call
@@ -51,9 +51,9 @@
         if attempt.sent_at is None or (call.idempotent and self._may_retry(now, call)):
             self._retry_elsewhere(now, attempt)
             return
-        if call.idempotent or endpoint.suspected is None:
+        if call.idempotent or endpoint.suspected_since is None:
             return  # retried at a later check, once the budget allows it
-        if now - endpoint.suspected >= self._engine.settings.health.uncertain_s:
+        if now - endpoint.suspected_since >= self._engine.settings.health.uncertain_s:
             elapsed = now - call.started_at
             self._calls.finish(now, call, Uncertain(call.attempts_sent, elapsed, "its server says nothing"))
 
--- a/lapishaven/client/connection_events.py
+++ b/lapishaven/client/connection_events.py
@@ -58,7 +58,7 @@
         if table.probes_connections:
             self._prober.probe_new_connection(now, connection)
         else:
-            endpoint.heard = now
+            endpoint.last_heard_at = now
         table.membership.record_seen(now, endpoint.name)
         if endpoint.dial_failures:
             endpoint.slow_start_since = now  # it was away, so it is another process, which warms up
@@ -90,7 +90,7 @@
         """Send what waits on a connection, or probe first where its endpoint has been silent."""
         endpoint = connection.endpoint
         if self._prober.must_probe_first(now, endpoint):
-            if connection.in_flight and endpoint.asked is None:
+            if connection.in_flight and endpoint.outstanding_probe is None:
                 self._prober.probe(now, endpoint)
                 self._prober.schedule_check()
             return
--- a/lapishaven/client/connection_pool.py
+++ b/lapishaven/client/connection_pool.py
@@ -251,11 +251,11 @@
         with await connect(self._loop, self._sockets, address, timeout_s) as sock:
             if self._policy.one_request_per_connection:
                 return True  # uwsgi has no health check: that the connection was made is all there is to learn
-            await self._loop.sock_sendall(sock, jsonrpc.is_well(HEALTH_CHECK_ID))
-            machine = jsonrpc.Client()
+            await self._loop.sock_sendall(sock, jsonrpc.encode_health_check(HEALTH_CHECK_ID))
+            machine = jsonrpc.ClientParser()
             while data := await self._loop.sock_recv(sock, HEALTH_CHECK_RECEIVE_SIZE):
                 for message in machine.feed(data):
-                    if isinstance(message, jsonrpc.Result):
-                        return message.up is True
+                    if isinstance(message, jsonrpc.ResultResponse):
+                        return message.healthy is True
                     return False  # draining, or an error
         return False
--- a/lapishaven/client/connections/endpoint_table.py
+++ b/lapishaven/client/connections/endpoint_table.py
@@ -63,7 +63,7 @@
     @property
     def any_connected(self) -> bool:
         """Whether some endpoint is connected that is not suspected of being unresponsive."""
-        responsive = (endpoint for endpoint in self.endpoints.values() if endpoint.suspected is None)
+        responsive = (endpoint for endpoint in self.endpoints.values() if endpoint.suspected_since is None)
         return any(
             connection.state is ConnectionState.READY for endpoint in responsive for connection in endpoint.connections
         )
--- a/lapishaven/client/connections/probing.py
+++ b/lapishaven/client/connections/probing.py
@@ -35,14 +35,14 @@
     # ---- Probes on open connections
     def must_probe_first(self, now: float, endpoint: Endpoint) -> bool:
         """Whether nothing was received from an endpoint for so long that it is probed before a request goes there."""
-        return self._table.probes_connections and now - endpoint.heard > self._engine.settings.health.fresh_s
+        return self._table.probes_connections and now - endpoint.last_heard_at > self._engine.settings.health.fresh_s
 
     def probe(self, now: float, endpoint: Endpoint) -> None:
         """Probe on the connection that has been quiet longest; without a connection there is nothing to learn."""
         established = (ConnectionState.READY, ConnectionState.DRAINING)
         connections = [each for each in endpoint.connections if each.state in established]
         if not connections:
-            endpoint.asked = None
+            endpoint.outstanding_probe = None
             return
         self._send_probe(now, min(connections, key=lambda connection: connection.last_received_at))
 
@@ -56,14 +56,14 @@
         self.schedule_check()
 
     def _send_probe(self, now: float, connection: Connection) -> None:
-        self._detector.asked(now, connection.endpoint)
+        self._detector.probe_sent(now, connection.endpoint)
         self._engine.report(now, "ask", server=connection.endpoint.name)
         self._engine.emit(SendProbe(connection))
 
     def request_sent(self, now: float, connection: Connection) -> None:
         """Watch for the response to a request."""
         if self._table.probes_connections:
-            self._detector.sent(now, connection.endpoint)
+            self._detector.request_sent(now, connection.endpoint)
             self.schedule_check()
         if not connection.response_timer_set and not self._table.one_request_per_connection:
             connection.response_timer_set = True
@@ -73,11 +73,11 @@
     def received(self, now: float, connection: Connection) -> None:
         """Anything arrived from an endpoint."""
         endpoint = connection.endpoint
-        connection.last_received_at = endpoint.heard = now
+        connection.last_received_at = endpoint.last_heard_at = now
         if connection.replaces_idle_close:
             connection.replaces_idle_close = False
             self._dial_budget.refund()
-        if self._table.probes_connections and self._detector.heard(endpoint):
+        if self._table.probes_connections and self._detector.response_received(endpoint):
             self._engine.report(now, "speaks again", server=endpoint.name)
 
     def connection_lost(self, endpoint: Endpoint) -> None:
@@ -88,7 +88,7 @@
     # ---- Checks
     def schedule_check(self) -> None:
         """Check when the failure detector next has something to do."""
-        when = self._detector.next_at()
+        when = self._detector.next_check_at()
         if self._table.probes_connections and when < self._next_check_at:
             self._next_check_at = when
             self._engine.schedule(when, self._check_due)
@@ -97,7 +97,7 @@
         if now < self._next_check_at:
             return
         self._next_check_at = float("inf")
-        to_probe, unresponsive = self._detector.due(now, self._table.is_tracked)
+        to_probe, unresponsive = self._detector.check(now, self._table.is_tracked)
         for endpoint in to_probe:
             self.probe(now, endpoint)
         for endpoint in unresponsive:
--- a/lapishaven/client/fleet/reachability.py
+++ b/lapishaven/client/fleet/reachability.py
@@ -18,7 +18,7 @@
     next_dial_at: float
     dial_failures: int
     lost_at: float | None
-    suspected: float | None
+    suspected_since: float | None
     closed_idle_connection: bool
 
     @property
@@ -59,7 +59,7 @@
     def is_usable(self, name: str) -> bool:
         """Whether the endpoint has a connection and is not suspected of being unresponsive."""
         endpoint = self._endpoints.get(name)
-        return endpoint is not None and endpoint.usable_connections > 0 and endpoint.suspected is None
+        return endpoint is not None and endpoint.usable_connections > 0 and endpoint.suspected_since is None
 
     def closed_idle_connection(self, name: str) -> bool:
         """Whether the endpoint closed its last connection as idle."""
@@ -78,7 +78,7 @@
         endpoint = self._endpoints.get(name)
         if endpoint is None:
             return True
-        if endpoint.ejected or endpoint.suspected is not None or self._deploy_interval.is_flapping(now, name):
+        if endpoint.ejected or endpoint.suspected_since is not None or self._deploy_interval.is_flapping(now, name):
             return False
         if endpoint.lost_at is None or not self._has_catalog:
             return True  # a fixed list will not show it again: the backoff of dials says when
--- a/lapishaven/client/model.py
+++ b/lapishaven/client/model.py
@@ -147,19 +147,21 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """A server that the client tracks. ``heard``, ``open``, ``asked`` and ``suspected`` serve the failure detector.
+    """A server that the client tracks.
+
+    ``last_heard_at``, ``in_flight``, ``outstanding_probe`` and ``suspected_since`` serve the failure detector.
 
     ``slow_start_since``: when the server started, as far as the client knows; None once it has warmed up.
-    ``open``: attempts in flight to it.
+    ``in_flight``: attempts in flight to it.
     ``smoothed_latency``: over all classes, relative to each class's typical time: 1 is typical.
     ``dial_failures``: failed dials in a row.
     ``next_dial_at``: it is not dialled before this.
     ``round_robin_credit``: the state of smooth weighted round robin.
     ``weight_penalty``: the part of its weight that rejections took away, as of ``weight_penalty_at``.
     ``health_check_pending``: a health check on a connection of its own is under way.
-    ``heard``: when anything last arrived from it.
-    ``asked``: the probe that waits for its answer.
-    ``suspected``: since when it is suspected of being unresponsive; None if it is not.
+    ``last_heard_at``: when anything last arrived from it.
+    ``outstanding_probe``: the probe that waits for its answer.
+    ``suspected_since``: since when it is suspected of being unresponsive; None if it is not.
     ``lost_at``: when its connection was lost, until the endpoint list shows it again (deterministic subsetting).
     ``closed_idle_connection``: it closed its last connection cleanly, soon after the last response on it.
     """
@@ -169,7 +171,7 @@
     slow_start_since: float | None
     health: EndpointHealth = field(default_factory=EndpointHealth)
     connections: list[Connection] = field(default_factory=list)
-    open: int = 0
+    in_flight: int = 0
     smoothed_latency: float = UNKNOWN_LATENCY
     smoothed_latency_at: float = 0.0
     dial_failures: int = 0
@@ -178,9 +180,9 @@
     weight_penalty: float = 0.0
     weight_penalty_at: float = 0.0
     health_check_pending: bool = False
-    heard: float = float("-inf")
-    asked: OutstandingProbe | None = None
-    suspected: float | None = None
+    last_heard_at: float = float("-inf")
+    outstanding_probe: OutstandingProbe | None = None
+    suspected_since: float | None = None
     lost_at: float | None = None
     closed_idle_connection: bool = False
 
--- a/lapishaven/client/routing.py
+++ b/lapishaven/client/routing.py
@@ -65,7 +65,7 @@
         """Search from a random place on, so that equals are chosen evenly."""
         start = self.random.randrange(len(endpoints))
         rotated = [*endpoints[start:], *endpoints[:start]]
-        return min(rotated, key=lambda endpoint: (endpoint.open + 1) / self.weight(now, endpoint))
+        return min(rotated, key=lambda endpoint: (endpoint.in_flight + 1) / self.weight(now, endpoint))
 
 
 class TwoChoices(_WeightedStrategy):
@@ -77,9 +77,9 @@
 
     def cost(self, now: float, endpoint: Endpoint) -> float:
         """An attempt in flight counts as at least as slow as it has been out."""
-        in_flight_latency = endpoint.oldest_attempt_age(now) / self.typical_attempt_s if endpoint.open else 0.0
+        in_flight_latency = endpoint.oldest_attempt_age(now) / self.typical_attempt_s if endpoint.in_flight else 0.0
         latency = max(endpoint.decayed_latency(now), in_flight_latency, MIN_RELATIVE_LATENCY)
-        return (endpoint.open + 1) * latency / self.weight(now, endpoint)
+        return (endpoint.in_flight + 1) * latency / self.weight(now, endpoint)
 
     def pick(self, now: float, endpoints: Sequence[Endpoint], call: Call) -> Endpoint:
         """Sample without replacement."""
@@ -131,11 +131,11 @@
             return super().pick(now, endpoints, call)
         by_name = {endpoint.name: endpoint for endpoint in endpoints}
         weights = {endpoint.name: self.weight(now, endpoint) for endpoint in endpoints}
-        total_in_flight = sum(endpoint.open for endpoint in endpoints) + 1
+        total_in_flight = sum(endpoint.in_flight for endpoint in endpoints) + 1
         bound = self.rules.bound * total_in_flight / sum(weights.values())
         for name in self._ring.walk(call.row_id):
             endpoint = by_name.get(name)
-            if endpoint is not None and endpoint.open + 1 <= math.ceil(bound * weights[name]):
+            if endpoint is not None and endpoint.in_flight + 1 <= math.ceil(bound * weights[name]):
                 return endpoint
         return super().pick(now, endpoints, call)
 
--- a/lapishaven/client/wire.py
+++ b/lapishaven/client/wire.py
@@ -65,7 +65,7 @@
     def __init__(self, settings: Settings, clock: TimestampClock) -> None:
         self._settings = settings
         self._clock = clock
-        self._machine = jsonrpc.Client()
+        self._machine = jsonrpc.ClientParser()
         self._last_id = 0
         self._in_flight: dict[int, tuple[int, bool]] = {}  # message id: attempt id, and whether it has a timestamp
         self._probe_ids: set[int] = set()
@@ -76,7 +76,7 @@
         call = attempt.call
         stamp = self._clock.stamp()
         self._in_flight[self._last_id] = attempt.id, stamp is not None
-        return jsonrpc.request(
+        return jsonrpc.encode_request(
             self._last_id,
             call.class_name,
             attempt.request_id,
@@ -91,13 +91,13 @@
 
     def cancel(self, attempt: Attempt) -> bytes:
         """Tell the server that nobody waits for an attempt."""
-        return jsonrpc.forget(attempt.request_id)
+        return jsonrpc.encode_cancel(attempt.request_id)
 
     def probe(self) -> bytes:
         """A probe, answered by ``ProbeAnswered``."""
         self._last_id += 1
         self._probe_ids.add(self._last_id)
-        return jsonrpc.is_well(self._last_id)
+        return jsonrpc.encode_health_check(self._last_id)
 
     def feed(self, data: bytes) -> Iterator[ResponseReceived | DrainingNotice | ProbeAnswered]:
         """Events from received bytes; raises ``ProtocolError`` where the connection cannot be trusted any more."""
@@ -112,27 +112,27 @@
                 if response is not None:
                     yield response
 
-    def _response(self, message: jsonrpc.Result | jsonrpc.Error) -> ResponseReceived | None:
+    def _response(self, message: jsonrpc.ResultResponse | jsonrpc.ErrorResponse) -> ResponseReceived | None:
         found = self._in_flight.pop(message.id, None) if message.id is not None else None
         if found is None:
             if message.id is not None and 0 < message.id <= self._last_id:
                 return None  # a second response to one request: the first one holds
             raise ProtocolError(f"an answer to no request: {message.id}")
         attempt_id, stamped = found
-        if isinstance(message, jsonrpc.Result):
+        if isinstance(message, jsonrpc.ResultResponse):
             return ResponseReceived(attempt_id, AttemptResult(AttemptEnd.SERVED, message.body))
         return ResponseReceived(attempt_id, self._error(message, stamped))
 
-    def _error(self, error: jsonrpc.Error, stamped: bool) -> AttemptResult:
+    def _error(self, error: jsonrpc.ErrorResponse, stamped: bool) -> AttemptResult:
         end = AttemptEnd.FAILED
-        if error.code == jsonrpc.REFUSED:
+        if error.code == jsonrpc.REJECTED_CODE:
             end = AttemptEnd.REJECTED
         elif error.code == jsonrpc.INVALID_PARAMS and stamped and "recv" in error.text:
             self._clock.suspend()
             end = AttemptEnd.TIMESTAMP_REJECTED
         elif error.code in INVALID_REQUEST_CODES:
             end = AttemptEnd.INVALID
-        return AttemptResult(end, b"", error.text, error.code, error.pushback, error.stop)
+        return AttemptResult(end, b"", error.text, error.code, error.retry_after, error.no_retry_elsewhere)
 
     def end_of_stream(self) -> Iterator[ResponseReceived]:
         """The other side closed: a response that was cut off is none."""
@@ -145,7 +145,7 @@
     def __init__(self, settings: Settings, clock: TimestampClock) -> None:
         self._settings = settings
         self._clock = clock
-        self._machine = uwsgi.Client()
+        self._machine = uwsgi.ResponseParser()
         self._attempt_id: int | None = None
 
     def send(self, attempt: Attempt) -> bytes:
@@ -165,7 +165,7 @@
             variables["HTTP_X_REQUEST_START"] = f"t={stamp:.3f}"
         if settings.team:
             variables |= {"HTTP_X_TEAM": settings.team, "HTTP_X_SERVICE": settings.service}
-        return uwsgi.packet(variables, call.body)
+        return uwsgi.encode_request(variables, call.body)
 
     def cancel(self, attempt: Attempt) -> bytes:
         """Nothing: the close of the connection tells the server."""
@@ -211,7 +211,7 @@
     for name, units_per_s in (("x-pushback-ms", 1000.0), ("retry-after", 1.0)):
         value = headers.get(name, "")
         if value.isascii() and value.isdigit():
-            return min(int(value[:MAX_RETRY_AFTER_DIGITS]) / units_per_s, jsonrpc.ADVICE_LIMIT)
+            return min(int(value[:MAX_RETRY_AFTER_DIGITS]) / units_per_s, jsonrpc.MAX_RETRY_AFTER_S)
     return None
 
 
--- a/lapishaven/core/load_sampling.py
+++ b/lapishaven/core/load_sampling.py
@@ -32,7 +32,7 @@
         """Request a sample for each timer that is due, and answer those whose sample has not come in time."""
         while self._timers and self._timers[0][0] <= now:
             if not self._waiting:
-                self._backend.gauges()
+                self._backend.request_load_sample()
             self._waiting.append((now + SAMPLE_TIMEOUT_S, heappop(self._timers)[1]))
         while self._waiting and self._waiting[0][0] <= now:
             self._counters.add("module", "polls without gauges")
--- a/lapishaven/core/ports.py
+++ b/lapishaven/core/ports.py
@@ -25,16 +25,16 @@
 class Backend(Protocol):
     """Runs attempts. The end of each is reported through ``Broker.run_finished``; no method blocks or raises."""
 
-    def start(self, handle: str, cls: str, body: bytes, once: bool) -> None:
+    def start(self, attempt_id: str, class_name: str, body: bytes, send_once: bool) -> None:
         """Start attempt ``handle`` of class ``cls``; with ``once`` it must never be sent a second time."""
 
-    def pause(self, handle: str) -> None:
+    def pause(self, attempt_id: str) -> None:
         """Stop a running attempt; it ends as cancelled unless it ended by itself before."""
 
-    def resume(self, handle: str) -> None:
+    def resume(self, attempt_id: str) -> None:
         """Let an attempt that was paused go on."""
 
-    def gauges(self) -> None:
+    def request_load_sample(self) -> None:
         """Request a load sample, which arrives through ``Broker.load_sampled`` or not at all."""
 
 
--- a/lapishaven/frontends/__init__.py
+++ b/lapishaven/frontends/__init__.py
@@ -67,8 +67,8 @@
     def draining(self) -> bool:
         """Whether the notice to shut down has come."""
 
-    def check(self, deep: bool, told: Callable[[bool], None]) -> None:
+    def health_check(self, deep: bool, told: Callable[[bool], None]) -> None:
         """Answer a health check through ``told``, at once or later; a deep one asks the backend too."""
 
-    def ended(self, session: Session, end: ConnectionEnd) -> None:
+    def connection_ended(self, session: Session, end: ConnectionEnd) -> None:
         """The session's connection has ended and its descriptor is free."""
--- a/lapishaven/frontends/platform.py
+++ b/lapishaven/frontends/platform.py
@@ -15,7 +15,7 @@
 from lapishaven.frontends import Host, age
 from lapishaven.net.connection import Connection
 from lapishaven.net.loop import Wait
-from lapishaven.proto import TooLarge, jsonrpc
+from lapishaven.proto import TooLargeError, jsonrpc
 
 MAX_OPEN_REQUESTS = 64  # on one connection, above which more are an error; the protocol allows 32
 BODY_DIGEST_BYTES = 16  # the chance that two bodies with one key have one digest is 2^-128
@@ -39,7 +39,7 @@
         self._feeding = False  # whether messages that were read are still to be processed
         self._closing_as: ConnectionEnd | None = None  # how it ends once nothing is open
         if host.draining:
-            self.conn.write(jsonrpc.DRAINING)
+            self.conn.write(jsonrpc.DRAINING_NOTICE)
 
     @property
     def busy(self) -> bool:
@@ -49,7 +49,7 @@
     # ---- Input
     def run(self) -> Generator[Wait, Any, None]:
         """Read and serve until the input ends."""
-        machine = jsonrpc.Server()
+        machine = jsonrpc.ServerParser()
         while True:
             data = yield from self.conn.read()
             if isinstance(data, ConnectionEnd):
@@ -62,7 +62,7 @@
                 self.leave(self._closing_as)
                 return
 
-    def _feed(self, machine: jsonrpc.Server, data: bytes) -> Generator[Wait, Any, bool]:
+    def _feed(self, machine: jsonrpc.ServerParser, data: bytes) -> Generator[Wait, Any, bool]:
         """Process the messages that some bytes complete; returns false if the connection ended before one of them."""
         self._feeding = True
         try:
@@ -72,16 +72,16 @@
                 if self.conn.end is not None:
                     return False
                 self._process(message)
-        except TooLarge as error:
-            self.conn.write(jsonrpc.error(None, jsonrpc.PARSE_ERROR, str(error)))
+        except TooLargeError as error:
+            self.conn.write(jsonrpc.encode_error(None, jsonrpc.PARSE_ERROR, str(error)))
             self._closing_as = ConnectionEnd.TOO_LARGE
         finally:
             self._feeding = False
         return True
 
-    def _note_partial_message(self, machine: jsonrpc.Server) -> None:
+    def _note_partial_message(self, machine: jsonrpc.ServerParser) -> None:
         """Note since when the rest of a message is awaited."""
-        if machine.whole:
+        if machine.at_message_boundary:
             self.since = None
         elif self.since is None:
             self.since = self.host.loop.now
@@ -94,80 +94,82 @@
         """
         if self.open and end is ConnectionEnd.PEER_CLOSED:
             self.host.counters.add("platform", "half-closed with requests open")
-            self.conn.write(jsonrpc.DRAINING)
+            self.conn.write(jsonrpc.DRAINING_NOTICE)
         self.leave(end)
 
     def _process(self, message: jsonrpc.Message) -> None:
-        if isinstance(message, jsonrpc.Serve):
+        if isinstance(message, jsonrpc.RunRequest):
             self._serve(message)
-        elif isinstance(message, jsonrpc.Forget):
+        elif isinstance(message, jsonrpc.CancelRequest):
             self._cancel_named(message)
-        elif isinstance(message, jsonrpc.IsWell):
+        elif isinstance(message, jsonrpc.HealthCheck):
             self._check_health(message)
         else:
             self.host.counters.add("platform", f"malformed {message.code}")
-            self.conn.write(jsonrpc.error(message.id, message.code, message.text))
+            self.conn.write(jsonrpc.encode_error(message.id, message.code, message.text))
 
-    def _check_health(self, message: jsonrpc.IsWell) -> None:
+    def _check_health(self, message: jsonrpc.HealthCheck) -> None:
         request_id = message.id
         self.host.counters.add("platform", "checks")
         self.open[request_id] = None
-        self.host.check(message.deep, lambda healthy: self._send(request_id, jsonrpc.well(request_id, healthy)))
+        self.host.health_check(
+            message.deep, lambda healthy: self._send(request_id, jsonrpc.encode_health(request_id, healthy))
+        )
 
     # ---- Requests
-    def _serve(self, message: jsonrpc.Serve) -> None:
+    def _serve(self, message: jsonrpc.RunRequest) -> None:
         """Submit a request, or answer it with an error."""
         class_index = self.host.classes.get(message.method)
         if class_index is None:
-            self.conn.write(jsonrpc.error(message.id, jsonrpc.NO_METHOD, "no such class"))
+            self.conn.write(jsonrpc.encode_error(message.id, jsonrpc.NO_METHOD, "no such class"))
             return
         if len(self.open) >= MAX_OPEN_REQUESTS:
             # The connection is still read, as what comes next may cancel some of them.
             self.host.counters.add("platform", "too many open")
-            self.conn.write(jsonrpc.error(message.id, jsonrpc.INVALID_REQUEST, "too many open requests"))
+            self.conn.write(jsonrpc.encode_error(message.id, jsonrpc.INVALID_REQUEST, "too many open requests"))
             return
-        request_age = age(time.time(), message.recv)
+        request_age = age(time.time(), message.received_at)
         if request_age is None:
             self.host.counters.add("platform", f"malformed {jsonrpc.INVALID_PARAMS}")
-            self.conn.write(jsonrpc.error(message.id, jsonrpc.INVALID_PARAMS, "recv is out of its range"))
+            self.conn.write(jsonrpc.encode_error(message.id, jsonrpc.INVALID_PARAMS, "recv is out of its range"))
             return
         broker = self.host.broker
         if broker is None:
             self.host.counters.add(THROTTLED, message.method)
-            self.conn.write(jsonrpc.error(message.id, jsonrpc.REFUSED, "not up yet", NOT_UP_RETRY_AFTER_S))
+            self.conn.write(jsonrpc.encode_error(message.id, jsonrpc.REJECTED_CODE, "not up yet", NOT_UP_RETRY_AFTER_S))
             return
         self.open[message.id] = None
-        self._ids_by_call.setdefault(message.call, message.id)  # the core fails the second of two with one name
+        self._ids_by_call.setdefault(message.attempt_id, message.id)  # the core fails the second of two with one name
         submission = self._submission(message, class_index, request_age)
         request = broker.submit(self.host.loop.now, submission, lambda answer: self._answer(message, answer))
         if request is not None:
             self.open[message.id] = request
 
-    def _submission(self, message: jsonrpc.Serve, class_index: int, request_age: float) -> Submission:
+    def _submission(self, message: jsonrpc.RunRequest, class_index: int, request_age: float) -> Submission:
         body_digest = None
-        if message.key is not None:
+        if message.idempotency_key is not None:
             body_digest = blake2b(message.body, digest_size=BODY_DIGEST_BYTES).digest()
         return Submission(
-            attempt_id=message.call,
+            attempt_id=message.attempt_id,
             class_index=class_index,
             body=message.body,
-            memory_kb=message.heap,
-            rank=message.crit,
+            memory_kb=message.memory_kb,
+            rank=message.rank,
             age=request_age,
-            caller_id=message.src,
-            is_retry=message.rep,
-            is_write=message.row is None,
-            subject=message.row,
-            idempotency_key=message.key,
+            caller_id=message.caller_id,
+            is_retry=message.is_retry,
+            is_write=message.subject is None,
+            subject=message.subject,
+            idempotency_key=message.idempotency_key,
             body_digest=body_digest,
-            time_left=message.left,
-            tenant_index=self.host.tenants.get(message.tenant or "", len(self.host.tenants)),
+            time_left=message.time_left,
+            tenant_index=self.host.tenants.get(message.tenant_name or "", len(self.host.tenants)),
         )
 
-    def _cancel_named(self, message: jsonrpc.Forget) -> None:
+    def _cancel_named(self, message: jsonrpc.CancelRequest) -> None:
         """Cancel the request that a message names by its attempt, or else by its id on this connection."""
-        by_id = message.id if message.call is None else None
-        request_id = self._ids_by_call.get(message.call or "", by_id)
+        by_id = message.id if message.attempt_id is None else None
+        request_id = self._ids_by_call.get(message.attempt_id or "", by_id)
         self.host.counters.add("platform", "forget")
         if request_id is not None and request_id in self.open:
             self._cancel(request_id)
@@ -181,17 +183,17 @@
             self.host.broker.cancel(request)
 
     # ---- Output
-    def _answer(self, message: jsonrpc.Serve, answer: Answer) -> None:
-        if self._ids_by_call.get(message.call) == message.id:
-            del self._ids_by_call[message.call]
+    def _answer(self, message: jsonrpc.RunRequest, answer: Answer) -> None:
+        if self._ids_by_call.get(message.attempt_id) == message.id:
+            del self._ids_by_call[message.attempt_id]
         if answer.kind is AnswerKind.SERVED:
-            line = jsonrpc.result(message.id, answer.body)
+            line = jsonrpc.encode_result(message.id, answer.body)
         elif answer.kind is AnswerKind.REJECTED:
-            line = jsonrpc.error(
-                message.id, jsonrpc.REFUSED, answer.reason, answer.retry_after, answer.no_retry_elsewhere
+            line = jsonrpc.encode_error(
+                message.id, jsonrpc.REJECTED_CODE, answer.reason, answer.retry_after, answer.no_retry_elsewhere
             )
         else:
-            line = jsonrpc.error(message.id, jsonrpc.FAILED, answer.reason)
+            line = jsonrpc.encode_error(message.id, jsonrpc.FAILED_CODE, answer.reason)
         self._send(message.id, line)
 
     def _send(self, request_id: int, line: bytes) -> None:
@@ -204,7 +206,7 @@
     # ---- The end
     def drain(self) -> None:
         """Tell the caller that nothing new is to be sent here."""
-        self.conn.write(jsonrpc.DRAINING)
+        self.conn.write(jsonrpc.DRAINING_NOTICE)
 
     def leave(self, end: ConnectionEnd) -> None:
         """Process nothing more, and close once all that is open is answered."""
@@ -223,4 +225,4 @@
         """The connection is gone, and with it the caller of all that is open."""
         for request_id in list(self.open):
             self._cancel(request_id)
-        self.host.ended(self, end)
+        self.host.connection_ended(self, end)
--- a/lapishaven/frontends/uwsgi.py
+++ b/lapishaven/frontends/uwsgi.py
@@ -31,7 +31,7 @@
 from lapishaven.frontends import Host, age
 from lapishaven.net.connection import Connection
 from lapishaven.net.loop import Wait
-from lapishaven.proto import ProtocolError, TooLarge
+from lapishaven.proto import ProtocolError, TooLargeError
 from lapishaven.proto import uwsgi as proto
 
 MAX_EXCESS_BYTES = 64 * 1024  # after the request, which are discarded; a client that sends more is broken
@@ -53,7 +53,7 @@
 
 ERRORS: dict[type[Exception], HTTPStatus] = {
     ProtocolError: HTTPStatus.BAD_REQUEST,
-    TooLarge: HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
+    TooLargeError: HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
     LookupError: HTTPStatus.NOT_FOUND,
 }
 """The status of each error in a packet."""
@@ -63,7 +63,7 @@
 
 def path_of(request: proto.Request) -> str:
     """The path that a packet names, without its query."""
-    return request.vars.get("PATH_INFO") or request.vars.get("REQUEST_URI", "").partition("?")[0]
+    return request.variables.get("PATH_INFO") or request.variables.get("REQUEST_URI", "").partition("?")[0]
 
 
 def class_name(request: proto.Request, front: UwsgiFrontendConfig) -> str:
@@ -80,7 +80,7 @@
     ``handle`` is its attempt id, ``now`` is in Unix seconds. Raises ``ProtocolError`` for a malformed variable and
     ``LookupError`` for an unknown class.
     """
-    variables = request.vars
+    variables = request.variables
     name = class_name(request, front)
     if name not in classes:
         raise LookupError(f"no class at {path_of(request)[:SHOWN_PATH_LENGTH]!r}")
@@ -109,9 +109,9 @@
 
 def _caller_id(request: proto.Request) -> int:
     """The caller's number; one derived from its address where it gives none."""
-    caller = request.vars.get("HTTP_X_CALLER", "")
+    caller = request.variables.get("HTTP_X_CALLER", "")
     if not caller:
-        return zlib.crc32(request.vars.get("REMOTE_ADDR", "").encode()) % CALLER_COUNT
+        return zlib.crc32(request.variables.get("REMOTE_ADDR", "").encode()) % CALLER_COUNT
     if not (caller.isascii() and caller.isdigit() and int(caller[:CALLER_DIGITS]) < CALLER_COUNT):
         raise ProtocolError("HTTP_X_CALLER is not a number below 65536")
     return int(caller[:CALLER_DIGITS])
@@ -119,7 +119,7 @@
 
 def _request_age(request: proto.Request, now: float) -> float:
     """Seconds since the gateway received the request; 0 where it does not say."""
-    stated = request.vars.get("HTTP_X_REQUEST_START", "")
+    stated = request.variables.get("HTTP_X_REQUEST_START", "")
     if not stated:
         return 0.0
     try:
@@ -161,7 +161,7 @@
     # ---- Input
     def run(self) -> Generator[Wait, Any, None]:
         """Read the request and serve it, until the input ends."""
-        machine = proto.Server()
+        machine = proto.RequestParser()
         excess_bytes = 0
         while True:
             data = yield from self.conn.read()
@@ -178,7 +178,7 @@
                 continue
             self._feed(machine, data)
 
-    def _feed(self, machine: proto.Server, data: bytes) -> None:
+    def _feed(self, machine: proto.RequestParser, data: bytes) -> None:
         """Submit the request if some bytes complete it, or answer with the error that they show."""
         try:
             request = machine.feed(data)
@@ -192,7 +192,7 @@
     def _submit(self, request: proto.Request) -> None:
         self.since = None
         broker = self.host.broker
-        if self.conn.left():
+        if self.conn.peer_has_closed():
             # The client gave up while this process was stopped or the packet was queued: nobody wants it run.
             self.host.counters.add("uwsgi", "given up before it was read")
             self._give_up(ConnectionEnd.PEER_CLOSED)
@@ -214,11 +214,11 @@
         self.host.counters.add("uwsgi", f"status {status.value}")
         headers: Headers = (("X-Load", self._load_word()),) if self._load_word is not None else ()
         if answer.kind is AnswerKind.SERVED:
-            response = proto.response(status, answer.body, "application/octet-stream", headers)
+            response = proto.encode_response(status, answer.body, "application/octet-stream", headers)
         else:
             if answer.kind is AnswerKind.REJECTED:
                 headers += self._retry_headers(answer)
-            response = proto.response(status, answer.reason.encode(), "text/plain", headers)
+            response = proto.encode_response(status, answer.reason.encode(), "text/plain", headers)
         self.conn.write(response)
         self.conn.close(self._closing_as or ConnectionEnd.FINISHED)
 
@@ -230,7 +230,7 @@
 
     def _answer_error(self, status: HTTPStatus, text: str) -> None:
         self.host.counters.add("uwsgi", f"status {status.value}")
-        self.conn.write(proto.response(status, text.encode(), "text/plain"))
+        self.conn.write(proto.encode_response(status, text.encode(), "text/plain"))
         self.conn.close(ConnectionEnd.FINISHED)
 
     # ---- The end
@@ -252,4 +252,4 @@
 
     def _ended(self, end: ConnectionEnd) -> None:
         self._give_up(end)
-        self.host.ended(self, end)
+        self.host.connection_ended(self, end)
--- a/lapishaven/lab/baselines.py
+++ b/lapishaven/lab/baselines.py
@@ -27,12 +27,12 @@
     def __init__(self) -> None:
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
-        self.open: dict[int, asyncio.Future[jsonrpc.Result | jsonrpc.Error]] = {}
+        self.open: dict[int, asyncio.Future[jsonrpc.ResultResponse | jsonrpc.ErrorResponse]] = {}
         self.last = 0
         self.task: asyncio.Task[None] | None = None
 
     async def read(self) -> None:
-        machine = jsonrpc.Client()
+        machine = jsonrpc.ClientParser()
         assert self.reader is not None and self.writer is not None
         try:
             while data := await self.reader.read(65536):
@@ -123,13 +123,13 @@
                 await asyncio.sleep(0)
                 continue
             span = loop.time() - start
-            if isinstance(answer, jsonrpc.Result):
+            if isinstance(answer, jsonrpc.ResultResponse):
                 return Served(tries, span, "", answer.body)
-            refused = answer.code == jsonrpc.REFUSED
+            refused = answer.code == jsonrpc.REJECTED_CODE
             last = Refused(tries, span, answer.text) if refused else Failed(tries, span, answer.text)
         return last
 
-    async def _try(self, cls: str, body: bytes, again: bool) -> jsonrpc.Result | jsonrpc.Error:
+    async def _try(self, cls: str, body: bytes, again: bool) -> jsonrpc.ResultResponse | jsonrpc.ErrorResponse:
         if not self._rows:
             await asyncio.sleep(0.05)
             raise ConnectionError("no server is listed")
@@ -140,11 +140,13 @@
         if connection.writer is None:
             raise ConnectionResetError("the connection ended")
         connection.last += 1
-        future: asyncio.Future[jsonrpc.Result | jsonrpc.Error] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[jsonrpc.ResultResponse | jsonrpc.ErrorResponse] = (
+            asyncio.get_running_loop().create_future()
+        )
         connection.open[connection.last] = future
         rule = self.settings.classes[cls]
         connection.writer.write(
-            jsonrpc.request(
+            jsonrpc.encode_request(
                 connection.last,
                 cls,
                 f"{self.random.getrandbits(64):016x}",
--- a/lapishaven/lab/emulator.py
+++ b/lapishaven/lab/emulator.py
@@ -152,7 +152,7 @@
             run.paused = False
         self.wake(self.emulator.now)
 
-    def gauges(self) -> None:
+    def request_load_sample(self) -> None:
         e = self.emulator
         e.at(e.now, self._gauges, self.life)
 
--- a/lapishaven/lab/field/tier.py
+++ b/lapishaven/lab/field/tier.py
@@ -186,8 +186,8 @@
                 reader, writer = await asyncio.open_connection(HOST, self.ports[front])
                 try:
                     named = {"REQUEST_METHOD": "POST", "PATH_INFO": f"/match/{cls}", **(more or {})}
-                    writer.write(uwsgi.packet(named, body))
-                    machine = uwsgi.Client()
+                    writer.write(uwsgi.encode_request(named, body))
+                    machine = uwsgi.ResponseParser()
                     while (response := machine.feed(await reader.read(4096))) is None:
                         pass
                     status = response.status
--- a/lapishaven/lab/handover/caller.py
+++ b/lapishaven/lab/handover/caller.py
@@ -96,7 +96,9 @@
             return
         id, line.next_id = line.next_id, line.next_id + 1
         call = f"{self.random.getrandbits(64):016x}"
-        data = jsonrpc.request(id, kind.name, call, body, HEAP_KB, recv=time.time(), src=1, crit=self.ranks[kind.name])
+        data = jsonrpc.encode_request(
+            id, kind.name, call, body, HEAP_KB, recv=time.time(), src=1, crit=self.ranks[kind.name]
+        )
         line.sent[id] = body
         line.ids.add(id)
         line.writer.write(data)
@@ -119,7 +121,7 @@
         return line
 
     async def _read(self, line: Line, reader: asyncio.StreamReader) -> None:
-        loop, client = asyncio.get_running_loop(), jsonrpc.Client()
+        loop, client = asyncio.get_running_loop(), jsonrpc.ClientParser()
         ended = Ended.CUT
         try:
             while data := await reader.read(65536):
@@ -143,9 +145,9 @@
         if body is None:
             return
         line.ids.discard(reply.id)  # type: ignore[arg-type]
-        if isinstance(reply, jsonrpc.Result):
+        if isinstance(reply, jsonrpc.ResultResponse):
             self.book.answered(now, body, Ended.SERVED)
-        elif reply.code == jsonrpc.REFUSED:
+        elif reply.code == jsonrpc.REJECTED_CODE:
             self.book.answered(now, body, Ended.REFUSED, reply.text)
         else:
             self.book.answered(now, body, Ended.FAILED, reply.text)
--- a/lapishaven/load_balancing/balancer.py
+++ b/lapishaven/load_balancing/balancer.py
@@ -95,7 +95,7 @@
         self.counts["probes"] += 1
         endpoint = self.endpoints.state_of(probe.endpoint)
         if endpoint is not None:
-            self.failure_detector.asked(now, endpoint)
+            self.failure_detector.probe_sent(now, endpoint)
         if self.counts["probes"] % PROBES_BETWEEN_CLEANUPS == 0:
             self._probes.discard_old(now)
 
@@ -125,7 +125,7 @@
         self.counts["answers"] += 1
         self.receive_report(now, endpoint.name, probe.sent_at, report)
         self.averages.observe_probe_answer(report, now - probe.sent_at)
-        self.failure_detector.way(self.averages.one_way_s)
+        self.failure_detector.set_one_way_delay(self.averages.one_way_s)
         choice = probe.choice
         if choice is None or choice.decided:
             return None
@@ -137,7 +137,7 @@
         endpoint = self.endpoints.state_of(name)
         if endpoint is None:
             return
-        if self.failure_detector.heard(endpoint):
+        if self.failure_detector.response_received(endpoint):
             self.counts["back"] += 1
         if not endpoint.receive_report(now, as_of, report) or report is None:
             return
@@ -156,7 +156,7 @@
         if endpoint is None:
             return
         endpoint.attempt_started(now, self.averages.load_per_slot, self.averages.request_s, self.rules)
-        self.failure_detector.sent(now, endpoint)
+        self.failure_detector.request_sent(now, endpoint)
 
     def attempt_ended(
         self, now: float, name: str, sent_at: float, outcome: AttemptOutcome, retry_after_s: float = 0.0
@@ -169,7 +169,7 @@
         endpoint.attempt_ended(now, sent_at, outcome, self.averages.request_s, self.averages.speed)
         if outcome is AttemptOutcome.SERVED:
             self.averages.observe_request(now - sent_at)
-            self.failure_detector.usual(self.averages.request_s)
+            self.failure_detector.set_request_duration(self.averages.request_s)
             self._ejection.record_success(endpoint)
         elif outcome is AttemptOutcome.REJECTED:
             endpoint.retry_after = max(endpoint.retry_after, now + retry_after_s)
@@ -180,7 +180,7 @@
     # ---- Failure detection
     def check_responsiveness(self, now: float) -> tuple[list[Probe], list[str]]:
         """The health checks that are to be sent now, and the endpoints that have just become unresponsive."""
-        to_probe, newly_suspected = self.failure_detector.due(now, self.endpoints.is_current)
+        to_probe, newly_suspected = self.failure_detector.check(now, self.endpoints.is_current)
         probes = []
         for endpoint in to_probe:
             probe = self._probes.create(now, endpoint.name)
@@ -197,11 +197,11 @@
         endpoint = self.endpoints.state_of(name)
         if endpoint is None or endpoint not in self.failure_detector.suspects:
             return None
-        return endpoint.suspected
+        return endpoint.suspected_since
 
     def next_check_at(self) -> float:
         """When ``check_responsiveness`` should be called next, in s."""
-        return self.failure_detector.next_at()
+        return self.failure_detector.next_check_at()
 
     # ---- For operators
     def describe_endpoints(self, now: float) -> list[dict[str, Any]]:
--- a/lapishaven/load_balancing/endpoint_state.py
+++ b/lapishaven/load_balancing/endpoint_state.py
@@ -46,9 +46,9 @@
     name: str
     report: LoadReport | None = None
     report_as_of: float = NEVER
-    heard: float = NEVER
+    last_heard_at: float = NEVER
     unreported_sends: list[float] = field(default_factory=list)
-    open: int = 0
+    in_flight: int = 0
     report_uses_left: int = 0
     retry_after: float = NEVER
     consecutive_failures: int = 0
@@ -56,14 +56,14 @@
     ejected_until: float = NEVER
     on_trial: bool = False
     phantom_requests: list[float] = field(default_factory=list)
-    asked: OutstandingProbe | None = None
-    suspected: float | None = None
+    outstanding_probe: OutstandingProbe | None = None
+    suspected_since: float | None = None
     expected_durations: dict[float, float] = field(default_factory=dict)
     slowdown: float = 1.0
 
     def receive_report(self, now: float, as_of: float, report: LoadReport | None) -> bool:
         """Record that something came, with or without a report that was asked for at ``as_of``; whether it was news."""
-        self.heard = now
+        self.last_heard_at = now
         if report is None or not is_newer(report, self.report):
             return False
         if self.report is not None and report.incarnation != self.report.incarnation:
@@ -87,7 +87,7 @@
             return False  # it drains
         if self.retry_after > now or self.ejected_until > now:
             return False
-        return not (self.on_trial and self.open)
+        return not (self.on_trial and self.in_flight)
 
     def is_draining(self) -> bool:
         """Whether it asked for no more requests."""
@@ -113,7 +113,7 @@
         else:
             decay_s = max(MIN_DECAY_S, rules.report_decay_requests * request_s)
             trust = exp(-max(0.0, now - self.report_as_of) / decay_s)
-            without_report = max(load_per_slot * slots, float(self.open))
+            without_report = max(load_per_slot * slots, float(self.in_flight))
             reported = trust * self.report.weighted_load + (1 - trust) * without_report
         if self.phantom_requests:
             self.phantom_requests = [until for until in self.phantom_requests if until > now]
@@ -132,7 +132,7 @@
         """A request was sent there."""
         load = self.estimated_load(now, load_per_slot, request_s, rules)
         self.expected_durations[now] = max(1.0, (load + 1) / self.slots())
-        self.open += 1
+        self.in_flight += 1
         self.unreported_sends.append(now)
         self.report_uses_left -= 1
 
@@ -140,7 +140,7 @@
         self, now: float, sent_at: float, outcome: AttemptOutcome, request_s: float, mean_speed: float
     ) -> None:
         """The request that was sent at ``sent_at`` ended."""
-        self.open = max(0, self.open - 1)
+        self.in_flight = max(0, self.in_flight - 1)
         expected = self.expected_durations.pop(sent_at, 1.0)
         if sent_at in self.unreported_sends:
             self.unreported_sends.remove(sent_at)
--- a/lapishaven/load_balancing/failure_detector.py
+++ b/lapishaven/load_balancing/failure_detector.py
@@ -38,10 +38,10 @@
 class Watched(Protocol):
     """An endpoint as the failure detector sees it."""
 
-    heard: float  # when anything last came from it, in s
-    open: int  # our requests in flight there
-    asked: OutstandingProbe | None
-    suspected: float | None  # since when, in s
+    last_heard_at: float  # when anything last came from it, in s
+    in_flight: int  # our requests in flight there
+    outstanding_probe: OutstandingProbe | None
+    suspected_since: float | None  # since when, in s
 
 
 Endpoint = TypeVar("Endpoint", bound=Watched)
@@ -68,11 +68,11 @@
         self.watch = rules.watch_interval_s
         self.silent = rules.probe_timeout_s
 
-    def usual(self, span: float) -> None:
+    def set_request_duration(self, span: float) -> None:
         """Fit the probe interval to the duration of a typical request, in s: about one probe for each of them."""
         self.watch = max(self._rules.watch_interval_s, INTERVAL_IN_REQUESTS * span)
 
-    def way(self, span: float) -> None:
+    def set_one_way_delay(self, span: float) -> None:
         """Fit the probe timeout to the one-way network delay, in s: where all answers are late, late is no failure."""
         self.silent = max(self._rules.probe_timeout_s, TIMEOUT_IN_ONE_WAY_DELAYS * span)
 
@@ -86,22 +86,22 @@
         recent = self._recent_unanswered
         return len(recent) >= MIN_RECENT_PROBES and sum(recent) > self._rules.panic_fraction * len(recent)
 
-    def asked(self, now: float, endpoint: Endpoint) -> None:
+    def probe_sent(self, now: float, endpoint: Endpoint) -> None:
         """The endpoint is probed."""
-        if endpoint.asked is None:
-            endpoint.asked = OutstandingProbe(now)
+        if endpoint.outstanding_probe is None:
+            endpoint.outstanding_probe = OutstandingProbe(now)
             self._schedule_check(now + self.silent, endpoint)
 
-    def sent(self, now: float, endpoint: Endpoint) -> None:
+    def request_sent(self, now: float, endpoint: Endpoint) -> None:
         """A request was sent to the endpoint."""
         self._schedule_check(now + self.watch * self._random.uniform(0.9, 1.1), endpoint)
 
-    def heard(self, endpoint: Endpoint) -> bool:
+    def response_received(self, endpoint: Endpoint) -> bool:
         """Anything came from the endpoint; whether it was suspected until now."""
-        if endpoint.asked is not None:
+        if endpoint.outstanding_probe is not None:
             self._recent_unanswered.append(False)
-            endpoint.asked = None
-        endpoint.suspected = None
+            endpoint.outstanding_probe = None
+        endpoint.suspected_since = None
         was_suspected = endpoint in self.suspects
         self.suspects.discard(endpoint)
         return was_suspected
@@ -109,14 +109,14 @@
     def forget(self, endpoint: Endpoint) -> None:
         """The endpoint was removed."""
         self.suspects.discard(endpoint)
-        endpoint.asked = None
-        endpoint.suspected = None
+        endpoint.outstanding_probe = None
+        endpoint.suspected_since = None
 
-    def next_at(self) -> float:
+    def next_check_at(self) -> float:
         """When ``due`` should be called next, in s; infinite if there is nothing to check."""
         return self._checks[0][0] if self._checks else float("inf")
 
-    def due(self, now: float, there: Callable[[Endpoint], bool]) -> tuple[list[Endpoint], list[Endpoint]]:
+    def check(self, now: float, there: Callable[[Endpoint], bool]) -> tuple[list[Endpoint], list[Endpoint]]:
         """Whom to probe now, and who has just become unresponsive. ``there``: whether an endpoint still exists."""
         to_probe: list[Endpoint] = []
         newly_suspected: list[Endpoint] = []
@@ -124,19 +124,19 @@
             endpoint = heappop(self._checks)[2]
             if not there(endpoint):
                 continue
-            probe = endpoint.asked
+            probe = endpoint.outstanding_probe
             if probe is not None:
                 if now - probe.at >= self.silent - CLOCK_TOLERANCE_S:
                     if self._probe_timed_out(endpoint, probe):
                         newly_suspected.append(endpoint)
                     self._probe_again(now, endpoint, probe)
                     to_probe.append(endpoint)
-            elif endpoint.open and now - endpoint.heard >= self.watch * INTERVAL_TOLERANCE:
-                self.asked(now, endpoint)
+            elif endpoint.in_flight and now - endpoint.last_heard_at >= self.watch * INTERVAL_TOLERANCE:
+                self.probe_sent(now, endpoint)
                 to_probe.append(endpoint)
-            elif endpoint.open:
+            elif endpoint.in_flight:
                 jitter = self._random.uniform(0.9, 1.1)
-                self._schedule_check(endpoint.heard + self.watch * jitter, endpoint)
+                self._schedule_check(endpoint.last_heard_at + self.watch * jitter, endpoint)
         return to_probe, newly_suspected
 
     def _probe_timed_out(self, endpoint: Endpoint, probe: OutstandingProbe) -> bool:
@@ -147,12 +147,12 @@
         if self.panic:
             self.panics += 1
             return False
-        endpoint.suspected = probe.at
+        endpoint.suspected_since = probe.at
         self.suspects.add(endpoint)
         return True
 
     def _probe_again(self, now: float, endpoint: Endpoint, probe: OutstandingProbe) -> None:
         tries = probe.tries + 1
-        endpoint.asked = OutstandingProbe(now, tries)
+        endpoint.outstanding_probe = OutstandingProbe(now, tries)
         interval_s = min(MAX_PROBE_INTERVAL_S, self.silent * PROBE_BACKOFF**tries)
         self._schedule_check(now + interval_s * self._random.uniform(0.8, 1.2), endpoint)
--- a/lapishaven/net/connection.py
+++ b/lapishaven/net/connection.py
@@ -34,10 +34,10 @@
 
     def __init__(self, loop: Loop, sock: socket.socket, on_end: Callable[[ConnectionEnd], None]) -> None:
         self.loop, self.sock, self._ended_callback = loop, sock, on_end
-        self.ins, self.out = RingBuffer(RECEIVE_BUFFER_LIMIT), RingBuffer(SEND_BUFFER_LIMIT)
+        self.receive_buffer, self.send_buffer = RingBuffer(RECEIVE_BUFFER_LIMIT), RingBuffer(SEND_BUFFER_LIMIT)
         self.end: ConnectionEnd | None = None
         self.sent = 0  # bytes that the kernel has accepted so far
-        self.active = loop.now
+        self.last_active = loop.now
         self.closing: ConnectionEnd | None = None  # the reason, from the first call of ``close`` on
         self._peer_half_closed = False  # the peer sends nothing more
         self._discarding = False
@@ -54,27 +54,27 @@
     # ---- Reading
     def read(self, span: float | None = None) -> Generator[Wait, Any, bytes | ConnectionEnd | None]:
         """The bytes received, then the end of the input; ``None`` if nothing came within ``span`` seconds."""
-        if not self.ins.size and self._end_of_input() is None:
+        if not self.receive_buffer.size and self._end_of_input() is None:
             self._reader = Wait(span)
             self._update_interest()
             yield self._reader
             self._reader = None  # interest in EPOLLIN is dropped when input arrives without a reader
-        return self.ins.take() or self._end_of_input()
+        return self.receive_buffer.take() or self._end_of_input()
 
     def _end_of_input(self) -> ConnectionEnd | None:
         return self.end or self.closing or (ConnectionEnd.PEER_CLOSED if self._peer_half_closed else None)
 
-    def catch_up(self) -> bool:
+    def read_available(self) -> bool:
         """Read what has arrived since the loop last polled; whether there was anything."""
         before = self._bytes_received, self._peer_half_closed
-        if self.end is None and self.ins.free_bytes:
+        if self.end is None and self.receive_buffer.free_bytes:
             self._receive()
         return (self._bytes_received, self._peer_half_closed) != before
 
     def discard(self) -> None:
         """Read and discard all further input, so that the peer is never blocked in writing."""
         self._discarding = True
-        self.ins.take()
+        self.receive_buffer.take()
         self._update_interest()
 
     def _on_events(self, mask: int) -> None:
@@ -95,12 +95,12 @@
         if self._peer_half_closed:
             return
         if self._discarding:
-            self.ins.take()
-        if not self.ins.free_bytes:
+            self.receive_buffer.take()
+        if not self.receive_buffer.free_bytes:
             # Only after an error event is input read without a reader; the full buffer leaves no way to find its end.
             return self.abort(ConnectionEnd.RESET)
         try:
-            got = self.ins.receive(self.sock)
+            got = self.receive_buffer.receive(self.sock)
         except BlockingIOError:
             return
         except OSError:
@@ -108,11 +108,11 @@
         self._bytes_received += got
         self.loop.received += got
         if got:
-            self.active = self.loop.now
+            self.last_active = self.loop.now
         else:
             self._peer_half_closed = True
         if self._discarding:
-            self.ins.take()
+            self.receive_buffer.take()
         if self._half_closed and self._peer_half_closed:
             return self.abort(self.closing or ConnectionEnd.PEER_CLOSED)
         self._update_interest()
@@ -122,14 +122,14 @@
     def _update_interest(self) -> None:
         if self.end is not None:
             return
-        reads = self._discarding or self._reader is not None and self.out.size < SEND_HIGH_WATER_MARK
+        reads = self._discarding or self._reader is not None and self.send_buffer.size < SEND_HIGH_WATER_MARK
         wants = select.EPOLLIN if reads and not self._peer_half_closed else 0
-        wants |= select.EPOLLOUT if self.out.size else 0
+        wants |= select.EPOLLOUT if self.send_buffer.size else 0
         if wants != self._watched_events:
             self._watched_events = wants
             self.loop.watch(self.sock.fileno(), wants, self._on_events)
 
-    def left(self) -> bool:
+    def peer_has_closed(self) -> bool:
         """Whether the peer has already closed its side, after the bytes read so far."""
         if self.end is not None or self._peer_half_closed:
             return True
@@ -144,28 +144,28 @@
     @property
     def unsent(self) -> int:
         """Bytes that are queued and not yet sent."""
-        return self.out.size
+        return self.send_buffer.size
 
     def write(self, data: bytes) -> None:
         """Queue bytes to be sent at the end of the round. Nothing is queued after ``close``."""
         if self.end is not None or self.closing is not None:
             return
-        if not self.loop.make_unsent_room(len(data), self):
+        if not self.loop.reserve_unsent(len(data), self):
             return
         try:
-            self.out.write(data)
+            self.send_buffer.write(data)
         except RingBufferFullError:
             return self.evict()
         self.loop.unsent += len(data)
         self.loop.senders.add(self)
-        self.active = self.loop.now
+        self.last_active = self.loop.now
         self.loop.after(self.flush)
 
     def flush(self) -> None:
         """Send what the kernel accepts now."""
         try:
-            while self.end is None and self.out.size:
-                count = self.out.send(self.sock)
+            while self.end is None and self.send_buffer.size:
+                count = self.send_buffer.send(self.sock)
                 self.sent += count
                 self.loop.sent += count
                 self.loop.unsent -= count
@@ -173,7 +173,7 @@
             pass
         except OSError:
             return self.abort(ConnectionEnd.RESET)
-        if not self.out.size:
+        if not self.send_buffer.size:
             self.loop.senders.discard(self)
             if self.closing is not None and self.end is None and not self._half_closed:
                 return self._half_close(self.closing)
@@ -189,8 +189,8 @@
             return
         self.closing = end
         if not unsent:
-            self.loop.unsent -= self.out.size
-            self.out = RingBuffer(0)
+            self.loop.unsent -= self.send_buffer.size
+            self.send_buffer = RingBuffer(0)
         self.loop.after(self.flush)
         until = self.loop.now + MAX_LINGER_S
         self._bytes_at_linger_check = self.sent + self._bytes_received
@@ -217,7 +217,7 @@
         self._bytes_at_linger_check = moved
         self._linger_timer = self.loop.at(min(until, self.loop.now + LINGER_S), lambda: self._check_linger(until))
 
-    def lingers(self) -> bool:
+    def awaits_peer_close(self) -> bool:
         """Whether everything was sent and only the peer's close is awaited."""
         return self._half_closed and self.end is None
 
@@ -230,15 +230,15 @@
         if self.end is not None:
             return
         self.end = end
-        self.loop.unsent -= self.out.size
+        self.loop.unsent -= self.send_buffer.size
         self.loop.senders.discard(self)
         if self._linger_timer is not None:
             self._linger_timer.cancel()
         # Buffers are released here because references to an ended connection may live on. Bytes that were received
         # before the end stay available to the reader.
-        self.out = RingBuffer(0)
-        if self.closing is not None or not self.ins.size:
-            self.ins = RingBuffer(0)
+        self.send_buffer = RingBuffer(0)
+        if self.closing is not None or not self.receive_buffer.size:
+            self.receive_buffer = RingBuffer(0)
         self.loop.unwatch(self.sock.fileno())
         self.sock.close()
         self._ended_callback(end)
--- a/lapishaven/net/eviction.py
+++ b/lapishaven/net/eviction.py
@@ -36,7 +36,7 @@
         for conn, since in self._closing_since.items():
             if since > self._loop.now - CROSSING_S:
                 return False
-            if conn.lingers() and conn.closing is not None:
+            if conn.awaits_peer_close() and conn.closing is not None:
                 conn.abort(conn.closing)
                 return True
         return False
--- a/lapishaven/net/listener.py
+++ b/lapishaven/net/listener.py
@@ -16,13 +16,13 @@
     """How many client connections may be open: the descriptor limit less a reserve for the program itself."""
 
     def __init__(self, descriptors: int, reserve: int) -> None:
-        self.room = max(1, descriptors - reserve)
+        self.limit = max(1, descriptors - reserve)
         self.used = 0
 
     @property
     def full(self) -> bool:
         """Whether no further connection may be accepted."""
-        return self.used >= self.room
+        return self.used >= self.limit
 
 
 class Listener:
@@ -81,7 +81,7 @@
             self.loop.unwatch(self.sock.fileno())
             self._retry_timer = self.loop.at(self.loop.now + DESCRIPTOR_RETRY_S, self._resume)
 
-    def room_made(self) -> None:
+    def descriptor_freed(self) -> None:
         """Accept again at once, because a descriptor was freed."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
--- a/lapishaven/net/loop.py
+++ b/lapishaven/net/loop.py
@@ -218,7 +218,7 @@
                 self._guarded(done)
 
     # ---- Unsent bytes
-    def make_unsent_room(self, size: int, sender: Sender) -> bool:
+    def reserve_unsent(self, size: int, sender: Sender) -> bool:
         """Whether ``sender`` may queue ``size`` more bytes.
 
         At the limit of the process, connections with the most unsent bytes are evicted first.
--- a/lapishaven/proto/__init__.py
+++ b/lapishaven/proto/__init__.py
@@ -5,5 +5,5 @@
     """What came cannot be read any further; the text says why."""
 
 
-class TooLarge(ProtocolError):
+class TooLargeError(ProtocolError):
     """A part of a message is longer than its protocol allows."""
--- a/lapishaven/proto/catalog.py
+++ b/lapishaven/proto/catalog.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from lapishaven.proto import ProtocolError, TooLarge
+from lapishaven.proto import ProtocolError, TooLargeError
 
 
 class Client:
@@ -198,7 +198,7 @@
                 elif isinstance(event, h11.Data):
                     self._body += event.data
                     if len(self._body) > LIST_LIMIT:
-                        raise TooLarge(f"a list is longer than {LIST_LIMIT} bytes")
+                        raise TooLargeError(f"a list is longer than {LIST_LIMIT} bytes")
                 elif isinstance(event, h11.EndOfMessage):
                     if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
                         self._http.start_next_cycle()
--- a/lapishaven/proto/interpreter.py
+++ b/lapishaven/proto/interpreter.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from lapishaven.proto import ProtocolError, TooLarge
+from lapishaven.proto import ProtocolError, TooLargeError
 from lapishaven.proto.lines import Lines
 
 LINE_LIMIT = 16 * 1024
@@ -118,7 +118,7 @@
         if kind == "VALUE":
             size = int(words[5])
             if not 0 <= size <= RESULT_LIMIT:
-                raise TooLarge(f"a result of {size} bytes")
+                raise TooLargeError(f"a result of {size} bytes")
             self._value = Value(int(words[1]), words[2], words[3], float(words[4]) / 1000, b""), size
             return None
         if kind == "TOPS":
--- a/lapishaven/proto/jsonrpc.py
+++ b/lapishaven/proto/jsonrpc.py
@@ -9,50 +9,50 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lapishaven.proto import ProtocolError, TooLarge
+from lapishaven.proto import ProtocolError, TooLargeError
 from lapishaven.proto.lines import Lines
 
-BODY_LIMIT = 2048
-LINE_LIMIT = 8 * 1024  # a body of 2 KiB is 2.7 KiB in base64; the rest of a request is a few hundred bytes
-RESULT_LIMIT = 4096  # bytes of a result
-ANSWER_LIMIT = 16 * 1024  # a line of an answer; a result of 4 KiB is 5.5 KiB in base64
-ADVICE_LIMIT = 600.0  # s; advice to stay away past this is read as this
-LEFT_LIMIT = 3600.0  # s for which a caller may say that it waits; no class has a deadline near it
+MAX_BODY_BYTES = 2048
+MAX_REQUEST_LINE_BYTES = 8 * 1024  # a body of 2 KiB is 2.7 KiB in base64; the rest of a request is a few hundred bytes
+MAX_RESULT_BYTES = 4096  # bytes of a result
+MAX_RESPONSE_LINE_BYTES = 16 * 1024  # a line of an answer; a result of 4 KiB is 5.5 KiB in base64
+MAX_RETRY_AFTER_S = 600.0  # s; advice to stay away past this is read as this
+MAX_TIME_LEFT_S = 3600.0  # s for which a caller may say that it waits; no class has a deadline near it
 
 PARSE_ERROR, INVALID_REQUEST, NO_METHOD, INVALID_PARAMS = -32700, -32600, -32601, -32602
-REFUSED, FAILED = -32066, -32000
-KEY_LIMIT = 128  # characters of a key or a tenant's name
+REJECTED_CODE, FAILED_CODE = -32066, -32000
+MAX_NAME_LENGTH = 128  # characters of a key or a tenant's name
 
 
 @dataclass(frozen=True, slots=True)
-class Serve:
+class RunRequest:
     """A request to be run."""
 
     id: int
     method: str
-    call: str
+    attempt_id: str
     body: bytes
-    heap: float
-    recv: float | None = None  # Unix seconds
-    src: int = 0
-    rep: bool = False
-    crit: float = 0.0
-    row: int | None = None
-    key: str | None = None  # names the effect, the same for every try of it
-    left: float | None = None  # seconds for which the caller still waits, where callers pass their deadline on
-    tenant: str | None = None
+    memory_kb: float
+    received_at: float | None = None  # Unix seconds
+    caller_id: int = 0
+    is_retry: bool = False
+    rank: float = 0.0
+    subject: int | None = None
+    idempotency_key: str | None = None  # names the effect, the same for every try of it
+    time_left: float | None = None  # seconds for which the caller still waits, where callers pass their deadline on
+    tenant_name: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Forget:
+class CancelRequest:
     """The caller no longer waits for a request, named by its try or by its id on this connection."""
 
-    call: str | None
+    attempt_id: str | None
     id: int | None
 
 
 @dataclass(frozen=True, slots=True)
-class IsWell:
+class HealthCheck:
     """A health check."""
 
     id: int
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Malformed:
+class MalformedMessage:
     """A line that is no request; the error goes out under the id, where one could be read."""
 
     id: int | None
@@ -68,7 +68,7 @@
     text: str
 
 
-Message = Serve | Forget | IsWell | Malformed
+Message = RunRequest | CancelRequest | HealthCheck | MalformedMessage
 
 
 class _BadParams(ValueError):
@@ -95,12 +95,14 @@
 def _word(params: dict[str, Any], name: str) -> str | None:
     """An optional name of printable characters."""
     value = params.get(name)
-    if value is not None and (not isinstance(value, str) or not 0 < len(value) <= KEY_LIMIT or not value.isprintable()):
+    if value is not None and (
+        not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_LENGTH or not value.isprintable()
+    ):
         raise _BadParams(f"{name} is no name")
     return value
 
 
-def _serve(id: int, method: str, params: dict[str, Any]) -> Serve:
+def _serve(id: int, method: str, params: dict[str, Any]) -> RunRequest:
     call = params.get("call")
     if not isinstance(call, str) or len(call) != 16 or not set(call) <= set("0123456789abcdefABCDEF"):
         raise _BadParams("call is not 16 hex digits")
@@ -112,38 +114,38 @@
         subject = None if row is None else int(row, 16)
     except (binascii.Error, ValueError, TypeError):
         raise _BadParams("arg is not base64, or row no hex number") from None
-    if len(body) > BODY_LIMIT:
-        raise _BadParams(f"a body is longer than {BODY_LIMIT} bytes")
+    if len(body) > MAX_BODY_BYTES:
+        raise _BadParams(f"a body is longer than {MAX_BODY_BYTES} bytes")
     heap, crit = _number(params, "heap"), _number(params, "crit", 0.0)
     src = _number(params, "src", 0)
     if not 0 < heap < 2000 or not 0 <= crit < 1 or not 0 <= src < 1 << 32 or src != int(src):
         raise _BadParams("heap, crit or src is out of its range")
-    return Serve(
+    return RunRequest(
         id,
         method,
         call,
         body,
         float(heap),
-        recv=_number(params, "recv") / 1000 if params.get("recv") is not None else None,
-        src=int(src),
-        rep=bool(params.get("rep")),
-        crit=float(crit),
-        row=subject,
-        key=_word(params, "dedupe"),
-        left=_seconds(params, "ttl", LEFT_LIMIT),
-        tenant=_word(params, "org"),
+        received_at=_number(params, "recv") / 1000 if params.get("recv") is not None else None,
+        caller_id=int(src),
+        is_retry=bool(params.get("rep")),
+        rank=float(crit),
+        subject=subject,
+        idempotency_key=_word(params, "dedupe"),
+        time_left=_seconds(params, "ttl", MAX_TIME_LEFT_S),
+        tenant_name=_word(params, "org"),
     )
 
 
-class Server:
+class ServerParser:
     """One connection's input. Ids count upwards, so a used one is told by the highest seen."""
 
     def __init__(self) -> None:
-        self._lines = Lines(LINE_LIMIT)
+        self._lines = Lines(MAX_REQUEST_LINE_BYTES)
         self._highest = 0
 
     @property
-    def whole(self) -> bool:
+    def at_message_boundary(self) -> bool:
         """Whether no message has begun that is not whole yet."""
         return not self._lines.data
 
@@ -158,44 +160,46 @@
         try:
             data = json.loads(line)
         except (ValueError, RecursionError):
-            return Malformed(None, PARSE_ERROR, "not JSON")
+            return MalformedMessage(None, PARSE_ERROR, "not JSON")
         if not isinstance(data, dict) or not isinstance(data.get("method"), str):
-            return Malformed(None, INVALID_REQUEST, "not a request")
+            return MalformedMessage(None, INVALID_REQUEST, "not a request")
         id, method, params = data.get("id"), data["method"], data.get("params", {})
         if not isinstance(params, dict):
-            return Malformed(None, INVALID_PARAMS, "params is not an object")
+            return MalformedMessage(None, INVALID_PARAMS, "params is not an object")
         if method == "forget":
             call, target = params.get("call"), params.get("id", id)
-            return Forget(call if isinstance(call, str) else None, target if isinstance(target, int) else None)
+            return CancelRequest(call if isinstance(call, str) else None, target if isinstance(target, int) else None)
         if isinstance(id, bool) or not isinstance(id, int) or id <= self._highest:
-            return Malformed(None, INVALID_REQUEST, "id is no number, or was used before")
+            return MalformedMessage(None, INVALID_REQUEST, "id is no number, or was used before")
         self._highest = id
         if method == "isWell":
-            return IsWell(id, params.get("e2e") is True)
+            return HealthCheck(id, params.get("e2e") is True)
         try:
             return _serve(id, method, params)
         except (_BadParams, OverflowError) as error:
-            return Malformed(id, INVALID_PARAMS, str(error))
+            return MalformedMessage(id, INVALID_PARAMS, str(error))
 
 
 def _line(data: dict[str, Any]) -> bytes:
     return json.dumps({"jsonrpc": "2.0", **data}, separators=(",", ":")).encode() + b"\n"
 
 
-def result(id: int, body: bytes) -> bytes:
+def encode_result(id: int, body: bytes) -> bytes:
     """A result goes out as it came from the run."""
     return _line({"id": id, "result": {"arg": base64.b64encode(body).decode()}})
 
 
-def well(id: int, up: bool) -> bytes:
+def encode_health(id: int, up: bool) -> bytes:
     return _line({"id": id, "result": {"up": up}})
 
 
-def error(id: int | None, code: int, text: str, pushback: float | None = None, stop: bool = False) -> bytes:
+def encode_error(
+    id: int | None, code: int, text: str, retry_after: float | None = None, no_retry_elsewhere: bool = False
+) -> bytes:
     data: dict[str, Any] = {}
-    if pushback:
-        data["pushback"] = max(1, round(pushback * 1000))
-    if stop:
+    if retry_after:
+        data["pushback"] = max(1, round(retry_after * 1000))
+    if no_retry_elsewhere:
         data["stop"] = 1
     body: dict[str, Any] = {"code": code, "message": text}
     if data:
@@ -203,11 +207,11 @@
     return _line({"id": id, "error": body})
 
 
-DRAINING = _line({"method": "draining"})
+DRAINING_NOTICE = _line({"method": "draining"})
 
 
 # ---- The caller's side
-def request(
+def encode_request(
     id: int,
     method: str,
     call: str,
@@ -232,33 +236,33 @@
     return _line({"id": id, "method": method, "params": params})
 
 
-def forget(call: str) -> bytes:
+def encode_cancel(call: str) -> bytes:
     """The notice that nobody waits for this try any more."""
     return _line({"method": "forget", "params": {"call": call}})
 
 
-def is_well(id: int, deep: bool = False) -> bytes:
+def encode_health_check(id: int, deep: bool = False) -> bytes:
     return _line({"id": id, "method": "isWell", "params": {"e2e": True} if deep else {}})
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class ResultResponse:
     """Served: what the run made, and whether it said ``up``, as answers to checks do."""
 
     id: int
     body: bytes
-    up: bool | None = None
+    healthy: bool | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Error:
+class ErrorResponse:
     """An error; ``pushback`` is in seconds."""
 
     id: int | None
     code: int
     text: str
-    pushback: float | None = None
-    stop: bool = False
+    retry_after: float | None = None
+    no_retry_elsewhere: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -266,17 +270,17 @@
     """No new request may be sent on this connection."""
 
 
-Reply = Result | Error | Draining
+Reply = ResultResponse | ErrorResponse | Draining
 
 
-class Client:
+class ClientParser:
     """A caller's end of one connection: answers in, typed. Anything else raises ``ProtocolError``."""
 
     def __init__(self) -> None:
-        self._lines = Lines(ANSWER_LIMIT)
+        self._lines = Lines(MAX_RESPONSE_LINE_BYTES)
 
     @property
-    def whole(self) -> bool:
+    def at_message_boundary(self) -> bool:
         """Whether no answer has begun that is not whole yet."""
         return not self._lines.data
 
@@ -307,13 +311,13 @@
             body = base64.b64decode(arg, validate=True)
         except (binascii.Error, ValueError, TypeError):
             raise ProtocolError("a result is not base64") from None
-        if len(body) > RESULT_LIMIT:
-            raise TooLarge(f"a result is longer than {RESULT_LIMIT} bytes")
+        if len(body) > MAX_RESULT_BYTES:
+            raise TooLargeError(f"a result is longer than {MAX_RESULT_BYTES} bytes")
         if "arg" not in result and up is None:
             raise ProtocolError("a result holds nothing")
-        return Result(id, body, up if isinstance(up, bool) else None)
+        return ResultResponse(id, body, up if isinstance(up, bool) else None)
 
-    def _error(self, id: Any, error: Any) -> Error:
+    def _error(self, id: Any, error: Any) -> ErrorResponse:
         if isinstance(id, bool) or not (id is None or isinstance(id, int)) or not isinstance(error, dict):
             raise ProtocolError("an error is not an object, or its id no number")
         code, data = error.get("code"), error.get("data")
@@ -322,21 +326,21 @@
         data = data if isinstance(data, dict) else {}
         wait = data.get("pushback")
         told = isinstance(wait, int | float) and not isinstance(wait, bool) and wait > 0
-        advice = min(float(wait or 0) / 1000, ADVICE_LIMIT) if told else None
-        return Error(id, code, str(error.get("message", ""))[:200], advice, data.get("stop") == 1)
+        advice = min(float(wait or 0) / 1000, MAX_RETRY_AFTER_S) if told else None
+        return ErrorResponse(id, code, str(error.get("message", ""))[:200], advice, data.get("stop") == 1)
 
 
 __all__ = [
-    "Client",
+    "ClientParser",
     "Draining",
-    "Error",
-    "Forget",
-    "IsWell",
-    "Malformed",
+    "ErrorResponse",
+    "CancelRequest",
+    "HealthCheck",
+    "MalformedMessage",
     "Message",
     "Reply",
-    "Result",
-    "Serve",
-    "Server",
-    "TooLarge",
+    "ResultResponse",
+    "RunRequest",
+    "ServerParser",
+    "TooLargeError",
 ]
--- a/lapishaven/proto/lines.py
+++ b/lapishaven/proto/lines.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lapishaven.proto import TooLarge
+from lapishaven.proto import TooLargeError
 
 
 class Lines:
@@ -20,7 +20,7 @@
         at = self.data.find(b"\n", 0, self.limit + 1)
         if at < 0:
             if len(self.data) > self.limit:
-                raise TooLarge(f"a line is longer than {self.limit} bytes")
+                raise TooLargeError(f"a line is longer than {self.limit} bytes")
             return None
         line = bytes(self.data[:at])
         del self.data[: at + 1]
--- a/lapishaven/proto/uwsgi.py
+++ b/lapishaven/proto/uwsgi.py
@@ -8,20 +8,20 @@
 
 import h11
 
-from lapishaven.proto import ProtocolError, TooLarge
+from lapishaven.proto import ProtocolError, TooLargeError
 
-HEAD = Struct("<BHB")  # modifier1, size of the variables, modifier2
-LENGTH = Struct("<H")
-VARS_LIMIT = 16 * 1024
-BODY_LIMIT = 2048  # as on the platform's wire
-RESPONSE_LIMIT = 64 * 1024
+PACKET_HEADER = Struct("<BHB")  # modifier1, size of the variables, modifier2
+STRING_LENGTH = Struct("<H")
+MAX_VARIABLES_BYTES = 16 * 1024
+MAX_BODY_BYTES = 2048  # as on the platform's wire
+MAX_RESPONSE_BYTES = 64 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
     """One whole request: its variables and its body."""
 
-    vars: dict[str, str]
+    variables: dict[str, str]
     body: bytes
 
 
@@ -31,7 +31,7 @@
     while at < len(block):
         if at + 2 > len(block):
             raise ProtocolError("a variable's length is cut short")
-        (size,) = LENGTH.unpack_from(block, at)
+        (size,) = STRING_LENGTH.unpack_from(block, at)
         at += 2 + size
         if at > len(block):
             raise ProtocolError("a variable reaches past its packet")
@@ -43,7 +43,7 @@
     return found
 
 
-class Server:
+class RequestParser:
     """One connection's input: a single request, whose sizes are checked as soon as they are read."""
 
     def __init__(self) -> None:
@@ -66,28 +66,28 @@
         return Request(self._vars, bytes(self._data[: self._length]))
 
     def _read_vars(self) -> bool:
-        if len(self._data) < HEAD.size:
+        if len(self._data) < PACKET_HEADER.size:
             return False
-        modifier1, size, modifier2 = HEAD.unpack_from(self._data)
+        modifier1, size, modifier2 = PACKET_HEADER.unpack_from(self._data)
         if modifier1 or modifier2:
             raise ProtocolError(f"modifiers {modifier1} and {modifier2} are not served here")
-        if size > VARS_LIMIT:
-            raise TooLarge(f"the variables are longer than {VARS_LIMIT} bytes")
-        if len(self._data) < HEAD.size + size:
+        if size > MAX_VARIABLES_BYTES:
+            raise TooLargeError(f"the variables are longer than {MAX_VARIABLES_BYTES} bytes")
+        if len(self._data) < PACKET_HEADER.size + size:
             return False
-        self._vars = _variables(bytes(self._data[HEAD.size : HEAD.size + size]))
-        del self._data[: HEAD.size + size]
+        self._vars = _variables(bytes(self._data[PACKET_HEADER.size : PACKET_HEADER.size + size]))
+        del self._data[: PACKET_HEADER.size + size]
         length = self._vars.get("CONTENT_LENGTH", "") or "0"
         if not (length.isascii() and length.isdigit()):
             raise ProtocolError("CONTENT_LENGTH is not a number")
         # By its digits first: a number of thousands of digits would not even convert.
-        if len(length) > 9 or int(length) > BODY_LIMIT:
-            raise TooLarge(f"a body is longer than {BODY_LIMIT} bytes")
+        if len(length) > 9 or int(length) > MAX_BODY_BYTES:
+            raise TooLargeError(f"a body is longer than {MAX_BODY_BYTES} bytes")
         self._length = int(length)
         return True
 
 
-def response(status: HTTPStatus, body: bytes, kind: str, headers: tuple[tuple[str, str], ...] = ()) -> bytes:
+def encode_response(status: HTTPStatus, body: bytes, kind: str, headers: tuple[tuple[str, str], ...] = ()) -> bytes:
     """A whole HTTP response; the connection is closed after it."""
     lines = [f"HTTP/1.1 {status.value} {status.phrase}", f"Content-Type: {kind}"]
     lines += [f"Content-Length: {len(body)}", "Connection: close"]
@@ -95,13 +95,13 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + body
 
 
-def packet(variables: dict[str, str], body: bytes = b"") -> bytes:
+def encode_request(variables: dict[str, str], body: bytes = b"") -> bytes:
     """A request as a client sends it."""
     block = bytearray()
     for name, value in {**variables, "CONTENT_LENGTH": str(len(body))}.items():
         for word in (name.encode("latin-1"), value.encode("latin-1")):
-            block += LENGTH.pack(len(word)) + word
-    return HEAD.pack(0, len(block), 0) + bytes(block) + body
+            block += STRING_LENGTH.pack(len(word)) + word
+    return PACKET_HEADER.pack(0, len(block), 0) + bytes(block) + body
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,7 +111,7 @@
     body: bytes
 
 
-class Client:
+class ResponseParser:
     """Reads the HTTP response to one request; h11 does the HTTP."""
 
     def __init__(self) -> None:
@@ -131,8 +131,8 @@
                     self._head = event
                 elif isinstance(event, h11.Data):
                     self._body += event.data
-                    if len(self._body) > RESPONSE_LIMIT:
-                        raise TooLarge(f"a response is longer than {RESPONSE_LIMIT} bytes")
+                    if len(self._body) > MAX_RESPONSE_BYTES:
+                        raise TooLargeError(f"a response is longer than {MAX_RESPONSE_BYTES} bytes")
                 elif isinstance(event, h11.EndOfMessage) and self._head is not None:
                     headers = {name.decode(): value.decode("latin-1") for name, value in self._head.headers}
                     return Response(self._head.status_code, headers, bytes(self._body))
--- a/lapishaven/attempt_reporting.py
+++ b/lapishaven/server/attempt_reporting.py
@@ -10,7 +10,7 @@
 from lapishaven.core.outcome_metrics import OUTCOME_LABELS
 from lapishaven.core.ports import FleetMember
 from lapishaven.core.requests import AnswerKind, Submission
-from lapishaven.running_config import RunningConfig
+from lapishaven.server.running_config import RunningConfig
 
 if TYPE_CHECKING:
     from lapishaven.frontends.load_endpoint import LoadEndpoint
--- a/lapishaven/broker_host.py
+++ b/lapishaven/server/broker_host.py
@@ -14,12 +14,12 @@
 from lapishaven.core.ports import AttemptRecorder, DurableResultStore, FleetMember, ModuleListener
 from lapishaven.counters import Counters
 from lapishaven.net.loop import Loop
-from lapishaven.running_config import RunningConfig
+from lapishaven.server.running_config import RunningConfig
 
 if TYPE_CHECKING:
     from lapishaven.frontends.load_endpoint import LoadEndpoint
     from lapishaven.pools import Pools
-    from lapishaven.server_assembly import Backends
+    from lapishaven.server.assembly import Backends
 
 BYTES_PER_MB = 1024 * 1024
 
@@ -65,7 +65,7 @@
         self._started = started
 
     # ---- What the backends report
-    def up(self, cold: bool, up_for: float) -> None:
+    def backend_up(self, cold: bool, up_for: float) -> None:
         """The backend is up since ``up_for`` seconds, and slow at first if it is ``cold``."""
         if self.broker is not None:
             return
@@ -78,14 +78,14 @@
             remaining_span = settings.slow_start_span - up_for if cold else 0.0
             self._load_endpoint.start_reporting(initial_share, remaining_span)
 
-    def finished(self, handle: str, outcome: Outcome, spent: float, result: bytes) -> None:
+    def run_finished(self, handle: str, outcome: Outcome, spent: float, result: bytes) -> None:
         """A run ended after ``spent`` seconds."""
         if self._load_endpoint is not None:
             self._load_endpoint.run_ended(handle, outcome)
         if self.broker is not None:
             self.broker.run_finished(handle, outcome, spent, result)
 
-    def gauges(self, values: dict[str, float]) -> None:
+    def load_sampled(self, values: dict[str, float]) -> None:
         """The gauges by name that were requested."""
         if self.broker is not None:
             self.broker.load_sampled(values)
--- a/lapishaven/catalog_reporter.py
+++ b/lapishaven/server/catalog_reporter.py
@@ -80,7 +80,7 @@
 
     def _has_usable_connection(self) -> bool:
         """Whether a report can be sent on the connection, which the registry may have closed since the last one."""
-        if self._conn is None or self._conn.closing is not None or self._conn.left():
+        if self._conn is None or self._conn.closing is not None or self._conn.peer_has_closed():
             return False
         return self._http is not None and self._http.reusable
 
--- a/lapishaven/client_connections.py
+++ b/lapishaven/server/client_connections.py
@@ -53,14 +53,14 @@
         """
         if self._evictions.free():
             return True
-        wanted = max(1, self._budget.room // EVICTION_PART) - len(self._evictions)
+        wanted = max(1, self._budget.limit // EVICTION_PART) - len(self._evictions)
         for session in list(self.sessions):
             if wanted <= 0:
                 break
-            was_used = session.since is None and session.conn.active > self.sessions[session]
+            was_used = session.since is None and session.conn.last_active > self.sessions[session]
             del self.sessions[session]
-            self.sessions[session] = session.conn.active
-            is_evictable = not was_used and not session.conn.out.size
+            self.sessions[session] = session.conn.last_active
+            is_evictable = not was_used and not session.conn.send_buffer.size
             if is_evictable and self._close_at_rest(session, ConnectionEnd.EVICTED):
                 self._evictions.add(session.conn)
                 wanted -= 1
@@ -72,7 +72,7 @@
         What its peer has not read yet is still sent, if it reads at all. Returns whether it was closed.
         """
         conn = session.conn
-        if session.busy or conn.closing is not None or conn.end is not None or conn.catch_up():
+        if session.busy or conn.closing is not None or conn.end is not None or conn.read_available():
             return False
         session.leave(end)
         return True
@@ -87,7 +87,7 @@
                 # Silent or half-open: it is of no use, and other callers may need its descriptor.
                 if session.since <= silent_since:
                     self._close_at_rest(session, ConnectionEnd.TIMED_OUT)
-            elif session.conn.active < idle_since:
+            elif session.conn.last_active < idle_since:
                 self._close_at_rest(session, ConnectionEnd.IDLE)
         self._loop.at(self._loop.now + SWEEP_INTERVAL_S, self.sweep)
 
@@ -100,6 +100,6 @@
     def leave(self) -> None:
         """Close all, each once what is open there is answered; what the kernel's buffers hold by now is read first."""
         for session in list(self.sessions):
-            session.conn.catch_up()
+            session.conn.read_available()
         for session in list(self.sessions):
             session.leave(ConnectionEnd.DRAINED)
--- a/lapishaven/config_reload.py
+++ b/lapishaven/server/config_reload.py
@@ -6,16 +6,16 @@
 from dataclasses import replace
 
 from lapishaven.admission import Settings
-from lapishaven.broker_host import BrokerHost
-from lapishaven.catalog_reporter import CatalogReporter
 from lapishaven.config import ConfigError, ConfigFiles, NodeConfig, keep_class_numbers
 from lapishaven.core.contracts import Contracts
 from lapishaven.core.ports import FleetMember
 from lapishaven.counters import Counters
-from lapishaven.graceful_shutdown import GracefulShutdown
 from lapishaven.net.loop import Loop
-from lapishaven.running_config import RunningConfig
-from lapishaven.server_assembly import INTERPRETER, UWSGI, Backends
+from lapishaven.server.assembly import INTERPRETER, UWSGI, Backends
+from lapishaven.server.broker_host import BrokerHost
+from lapishaven.server.catalog_reporter import CatalogReporter
+from lapishaven.server.graceful_shutdown import GracefulShutdown
+from lapishaven.server.running_config import RunningConfig
 
 RESTART_ONLY = ("name", "listen", "descriptors", "memory_mb")  # fields of ``Config`` that a reload does not change
 
--- a/lapishaven/controller_listener.py
+++ b/lapishaven/server/controller_listener.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from lapishaven.catalog_reporter import CatalogReporter
-from lapishaven.client_connections import ClientConnections
 from lapishaven.core.ports import FleetMember
-from lapishaven.running_config import RunningConfig
+from lapishaven.server.catalog_reporter import CatalogReporter
+from lapishaven.server.client_connections import ClientConnections
+from lapishaven.server.running_config import RunningConfig
 
 DEFAULT_IDLE_TIMEOUT_S = 15.0  # for unused connections, where the settings name no time
 
--- a/lapishaven/counter_report.py
+++ b/lapishaven/server/counter_report.py
@@ -5,11 +5,11 @@
 from collections import Counter
 from collections.abc import Callable
 
-from lapishaven.broker_host import BrokerHost
 from lapishaven.core.ports import FleetMember
 from lapishaven.counters import Counters
 from lapishaven.net.loop import Loop
-from lapishaven.server_assembly import Backends
+from lapishaven.server.assembly import Backends
+from lapishaven.server.broker_host import BrokerHost
 
 
 class CounterReport:
--- a/lapishaven/graceful_shutdown.py
+++ b/lapishaven/server/graceful_shutdown.py
@@ -11,11 +11,11 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from lapishaven.client_connections import ClientConnections
 from lapishaven.core.broker import Broker
 from lapishaven.core.drain_state import FINAL_ANSWER_MARGIN_S
 from lapishaven.net.listener import DESCRIPTOR_RETRY_S, Listener
 from lapishaven.net.loop import Loop
+from lapishaven.server.client_connections import ClientConnections
 
 EXIT_MARGIN_S = 0.03  # before the kill the process ends, even if connections are still open
 NEVER_UP_LIMIT_S = 1.0  # for the end of a server whose backend never came up, as its callers have nothing open
--- a/lapishaven/server.py
+++ b/lapishaven/server/server.py
@@ -13,28 +13,28 @@
 
 from lapishaven.admin import AdminServer
 from lapishaven.attempt_log import AttemptLog
-from lapishaven.attempt_reporting import AttemptReporting
-from lapishaven.broker_host import BYTES_PER_MB, BrokerHost
-from lapishaven.catalog_reporter import CatalogReporter
-from lapishaven.client_connections import ClientConnections
 from lapishaven.config import ConfigFiles, NodeConfig, UwsgiFrontendConfig
-from lapishaven.config_reload import ConfigReload
 from lapishaven.connection_end import ConnectionEnd
-from lapishaven.controller_listener import DEFAULT_IDLE_TIMEOUT_S, ControllerListener
 from lapishaven.core.broker import Broker
 from lapishaven.core.ports import DurableResultStore, FleetMember
-from lapishaven.counter_report import CounterReport
 from lapishaven.counters import Counters
 from lapishaven.frontends import Session, platform, uwsgi
-from lapishaven.graceful_shutdown import GracefulShutdown
 from lapishaven.net.connection import Dial, connect
 from lapishaven.net.listener import Listener
 from lapishaven.net.loop import Loop
-from lapishaven.part_supervisor import PartSupervisor
-from lapishaven.running_config import RunningConfig
-from lapishaven.server_assembly import build_backends, build_load_endpoint, descriptor_budget
-from lapishaven.server_status import ServerStatus
-from lapishaven.signals import SignalDispatcher, Signals
+from lapishaven.server.assembly import build_backends, build_load_endpoint, descriptor_budget
+from lapishaven.server.attempt_reporting import AttemptReporting
+from lapishaven.server.broker_host import BYTES_PER_MB, BrokerHost
+from lapishaven.server.catalog_reporter import CatalogReporter
+from lapishaven.server.client_connections import ClientConnections
+from lapishaven.server.config_reload import ConfigReload
+from lapishaven.server.controller_listener import DEFAULT_IDLE_TIMEOUT_S, ControllerListener
+from lapishaven.server.counter_report import CounterReport
+from lapishaven.server.graceful_shutdown import GracefulShutdown
+from lapishaven.server.part_supervisor import PartSupervisor
+from lapishaven.server.running_config import RunningConfig
+from lapishaven.server.signals import SignalDispatcher, Signals
+from lapishaven.server.status import ServerStatus
 
 UNSENT_PART = 8  # one part in so many of the memory is for answers that callers do not read
 INHERITED_SOCKET_DELAY_S = 2.0  # at most for which a new process leaves an inherited socket to the old one
@@ -198,18 +198,18 @@
         """Whether the notice to shut down has come."""
         return self.shutdown.requested
 
-    def check(self, deep: bool, told: Callable[[bool], None]) -> None:
+    def health_check(self, deep: bool, told: Callable[[bool], None]) -> None:
         """Answer a health check through ``told``; a deep one asks the backend too, if the server itself is healthy."""
         if not self.listener.healthy or not deep:
             told(self.listener.healthy)
         else:
             self.backends.primary.health_check(told)
 
-    def ended(self, session: Session, end: ConnectionEnd) -> None:
+    def connection_ended(self, session: Session, end: ConnectionEnd) -> None:
         """A caller's connection has ended and its descriptor is free."""
         self.callers.ended(session, end)
         for listener in self.listeners:
-            listener.room_made()
+            listener.descriptor_freed()
 
     # ---- Running
     def turn(self, now: float) -> None:
--- a/lapishaven/server_status.py
+++ b/lapishaven/server/status.py
@@ -5,12 +5,12 @@
 from typing import Any
 
 from lapishaven.admin.metrics import render
-from lapishaven.broker_host import BrokerHost
 from lapishaven.core.ports import FleetMember
 from lapishaven.counters import Counters
-from lapishaven.graceful_shutdown import GracefulShutdown
-from lapishaven.running_config import RunningConfig
-from lapishaven.server_assembly import Backends
+from lapishaven.server.assembly import Backends
+from lapishaven.server.broker_host import BrokerHost
+from lapishaven.server.graceful_shutdown import GracefulShutdown
+from lapishaven.server.running_config import RunningConfig
 
 
 class ServerStatus:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -316,7 +316,7 @@
         elif name == "up":
             body = b"done " + rest[0].encode() if rest else b""
             more = (("Retry-After", "1"),) if what == "503" else ()
-            self.up[-1].sock.sendall(uwsgi.response(HTTPStatus(int(what)), body, "text/plain", more))
+            self.up[-1].sock.sendall(uwsgi.encode_response(HTTPStatus(int(what)), body, "text/plain", more))
         elif name == "vm":
             if what == "BANNER":
                 self.vm.tell(f"BANNER {rest[0]} 500")
@@ -337,7 +337,7 @@
             variables |= {"HTTP_X_RETRY": "1"} if "retry" in options else {}
             variables |= {"HTTP_X_REQUEST_START": options["start"]} if "start" in options else {}
             variables |= {"HTTP_X_TEAM": "team", "HTTP_X_SERVICE": options["by"]} if "by" in options else {}
-            return uwsgi.packet(variables, name.encode())
+            return uwsgi.encode_request(variables, name.encode())
         params: dict[str, Any] = {}
         method, id = what, 0
         if what == "forget":
@@ -372,9 +372,9 @@
             return
         peer = self.up[-1] if name == "up" else self.peers[name]
         if name == "up" and what != "closed":
-            request = uwsgi.Server().feed(bytes(peer.data))
+            request = uwsgi.RequestParser().feed(bytes(peer.data))
             assert request is not None
-            got = request.vars["PATH_INFO"].rpartition("/")[2], request.body.decode()
+            got = request.variables["PATH_INFO"].rpartition("/")[2], request.body.decode()
             self.assertEqual(got, (what, *rest), self.line)
         elif what == "nothing":
             self.assertEqual((bytes(peer.data), peer.closed), (b"", False))
--- a/tests/test_catalog_crossings.py
+++ b/tests/test_catalog_crossings.py
@@ -10,10 +10,10 @@
 from scenario import Peer
 from wire import wait_for
 
-from lapishaven.catalog_reporter import REPORT_INTERVAL_S, RESPONSE_TIMEOUT_S, RETRY_DELAY_S, CatalogReporter
 from lapishaven.connection_end import ConnectionEnd
 from lapishaven.counters import Counters
 from lapishaven.net.loop import Loop, Wait
+from lapishaven.server.catalog_reporter import REPORT_INTERVAL_S, RESPONSE_TIMEOUT_S, RETRY_DELAY_S, CatalogReporter
 
 OLD, NEW = ("127.0.0.1", 1), ("127.0.0.1", 2)
 DONE = b"HTTP/1.1 204 No Content\r\n\r\n"
--- a/tests/test_client_driver.py
+++ b/tests/test_client_driver.py
@@ -91,7 +91,7 @@
 
 async def echo(at: Scripted, message: dict[str, Any]) -> None:
     if "id" in message:
-        at.say(jsonrpc.result(message["id"], b"done"))
+        at.say(jsonrpc.encode_result(message["id"], b"done"))
 
 
 # A malformed response must not be taken for a result, nor hold a call until its deadline.
@@ -101,7 +101,7 @@
         "half": b'{"jsonrpc":"2.0","id":1,"result":{"ar',
         "garbage": b"\x00\xff{]\n",
         "oversized": b'{"id":1,"result":{"arg":"' + b"A" * 20_000,
-        "unasked": jsonrpc.result(77, b"x"),
+        "unasked": jsonrpc.encode_result(77, b"x"),
         "not base64": b'{"jsonrpc":"2.0","id":1,"result":{"arg":"***"}}\n',
         "reset": b"",
     }
@@ -125,7 +125,7 @@
 # A second response must not end another call, nor the connection.
 def test_a_second_response_to_one_request_is_ignored() -> None:
     async def twice(at: Scripted, message: dict[str, Any]) -> None:
-        at.say(jsonrpc.result(message["id"], b"done") + jsonrpc.error(message["id"], -32000, "again"))
+        at.say(jsonrpc.encode_result(message["id"], b"done") + jsonrpc.encode_error(message["id"], -32000, "again"))
 
     async def test(client: Client, log: list[dict[str, Any]]) -> Any:
         return [await client.call("approve-commit", b"a") for _ in range(3)], client.policy.counts["dial"]
@@ -138,7 +138,7 @@
     async def strict(at: Scripted, message: dict[str, Any]) -> None:
         stamp = message["params"].get("recv")
         if stamp is not None and abs(stamp / 1000 - time.time()) > 60:
-            at.say(jsonrpc.error(message["id"], jsonrpc.INVALID_PARAMS, "recv is out of its range"))
+            at.say(jsonrpc.encode_error(message["id"], jsonrpc.INVALID_PARAMS, "recv is out of its range"))
         else:
             await echo(at, message)
 
@@ -217,7 +217,7 @@
 def test_typed_errors_and_bad_arguments() -> None:
     async def refuse(at: Scripted, message: dict[str, Any]) -> None:
         if message["method"] == "fuzzy-match":
-            at.say(jsonrpc.error(message["id"], jsonrpc.REFUSED, "load", 1.5, True))
+            at.say(jsonrpc.encode_error(message["id"], jsonrpc.REJECTED_CODE, "load", 1.5, True))
 
     async def test(client: Client, log: list[dict[str, Any]]) -> None:
         with pytest.raises(RefusedError) as refused:
@@ -244,7 +244,7 @@
 # Threads must not receive each other's responses, and the client's thread must end with it.
 def test_the_blocking_client_is_shared_by_threads() -> None:
     async def back(at: Scripted, message: dict[str, Any]) -> None:
-        at.say(jsonrpc.result(message["id"], base64.b64decode(message["params"]["arg"])))
+        at.say(jsonrpc.encode_result(message["id"], base64.b64decode(message["params"]["arg"])))
 
     loop, ready = asyncio.new_event_loop(), threading.Event()
     found: dict[str, str] = {}
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -242,14 +242,14 @@
     world.go(2.0)
     assert world.probes[-1] is stopped and len(world.probes) == 2
     world.policy.health_checked(world.now, stopped, True)
-    while not stopped.open:
+    while not stopped.in_flight:
         world.call()
         world.go(0.05)
         for attempt in [a for a in world.sent if a.endpoint is not stopped and a.id in a.connection.in_flight]:
             world.reply(attempt)
     for _ in range(6):
         world.call()
-        assert stopped.open == 1
+        assert stopped.in_flight == 1
     world.serve_all()
     assert stopped.health.state is EjectionState.HEALTHY
 
--- a/tests/test_client_silence.py
+++ b/tests/test_client_silence.py
@@ -47,7 +47,7 @@
     there.serve_all()
     there.call()
     there.go(0.5)
-    assert there.policy.endpoints[silenced].suspected is None
+    assert there.policy.endpoints[silenced].suspected_since is None
 
 
 def test_a_server_that_closes_idle_connections_is_dialled_for_each_call_and_none_is_rejected() -> None:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -14,13 +14,13 @@
 
 from lapishaven.admission import Outcome
 from lapishaven.backends.uwsgi import UwsgiBackend
-from lapishaven.client_connections import MESSAGE_TIMEOUT_S
 from lapishaven.connection_end import ConnectionEnd
 from lapishaven.counters import Counters
 from lapishaven.frontends import platform
 from lapishaven.net.connection import LINGER_S, MAX_LINGER_S, Connection
 from lapishaven.net.loop import Loop, Wait
 from lapishaven.proto import jsonrpc
+from lapishaven.server.client_connections import MESSAGE_TIMEOUT_S
 
 
 class AtRest(Tcp):
@@ -48,7 +48,7 @@
         self.serve(caller, "t1", 1)
         self.server.callers.sessions[self.of(caller)] = self.now  # was let off once already
         self.send(caller, self.message("t1", "2", "fuzzy-match"))
-        self.server.budget.room = self.server.budget.used
+        self.server.budget.limit = self.server.budget.used
         self.server.callers.make_room()
         self.until(lambda: "t1.2" in self.vm.handles, "its run")
         self.vm.end("OK", "t1.2")
@@ -73,7 +73,7 @@
         self.rest()
         self.server.callers.sweep()
         self.round()
-        self.assertTrue(session.conn.lingers())
+        self.assertTrue(session.conn.awaits_peer_close())
         for n in range(2, 5):
             caller.sock.sendall(self.message("t1", str(n), "approve-commit"))
         self.until(lambda: session.conn._bytes_received > 500, "the crossing requests")
@@ -104,7 +104,7 @@
                     self.until(lambda conn=conn: not buffered(conn.sock), "its lines read")
                 self.send(caller, rest) if rest else None
                 self.until(lambda conn=conn: not buffered(conn.sock), "the rest read")
-                self.assertGreater(conn.out.size, 0)
+                self.assertGreater(conn.send_buffer.size, 0)
                 sent = conn.sent
                 self.wait((MESSAGE_TIMEOUT_S if rest else self.server.callers.idle) + LINGER_S + 0.2)
                 while conn.end is None and conn.sent != sent:
@@ -186,13 +186,13 @@
         caller = self.connect(SO_RCVBUF=2048)
         conn = self.of(caller).conn
         conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
-        whole = b"".join(jsonrpc.result(n, bytes(4096)) for n in range(1, 6))
+        whole = b"".join(jsonrpc.encode_result(n, bytes(4096)) for n in range(1, 6))
         conn.write(whole)
         conn.close(ConnectionEnd.FINISHED)
         self.round()
-        self.assertGreater(conn.out.size, 0)
+        self.assertGreater(conn.send_buffer.size, 0)
         got, began = b"", self.now
-        while conn.out.size:
+        while conn.send_buffer.size:
             sent = conn.sent
             # Time passes only once the bytes that were read have made room for others.
             while conn.sent == sent:
@@ -211,8 +211,8 @@
         conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
         conn.write(bytes(60_000))
         self.round()
-        self.server.loop.unsent_limit = conn.out.size + 10
-        other.write(jsonrpc.well(1, True))
+        self.server.loop.unsent_limit = conn.send_buffer.size + 10
+        other.write(jsonrpc.encode_health(1, True))
         self.answered(innocent, "well")
         self.assertEqual((conn.end, other.end), (ConnectionEnd.EVICTED, None))
         self.assertEqual(self.server.loop.unsent, 0)
@@ -325,7 +325,7 @@
             expect vm APPLY c1.1
         """)
         with (
-            mock.patch.object(self.server.core, "finished", side_effect=RuntimeError("planted")),
+            mock.patch.object(self.server.core, "run_finished", side_effect=RuntimeError("planted")),
             mock.patch("traceback.print_exc"),
         ):
             self.play("send vm ERROR c1.1")
@@ -366,9 +366,9 @@
     ended: list[Outcome] = []
 
     class Listener:
-        def up(self, cold: bool, up_for: float) -> None: ...
-        def gauges(self, values: dict[str, float]) -> None: ...
-        def finished(self, handle: str, outcome: Outcome, spent: float, result: bytes) -> None:
+        def backend_up(self, cold: bool, up_for: float) -> None: ...
+        def load_sampled(self, values: dict[str, float]) -> None: ...
+        def run_finished(self, handle: str, outcome: Outcome, spent: float, result: bytes) -> None:
             ended.append(outcome)
 
     def dial(loop: Loop, address: tuple[str, int], span: float) -> Generator[Wait, None, socket.socket]:
@@ -417,4 +417,4 @@
 def test_lines_in_these_tests_are_what_the_protocol_says() -> None:
     """Guards the helpers: a line that the server could not read would make every test here pass for nothing."""
     line = World.message(AtRest(), "t1", "1", "fuzzy-match")
-    assert isinstance(next(iter(jsonrpc.Server().feed(line))), jsonrpc.Serve) and json.loads(line)["id"] == 1
+    assert isinstance(next(iter(jsonrpc.ServerParser().feed(line))), jsonrpc.RunRequest) and json.loads(line)["id"] == 1
--- a/tests/test_connection_manager.py
+++ b/tests/test_connection_manager.py
@@ -22,7 +22,7 @@
     next_dial_at: float = float("-inf")
     dial_failures: int = 0
     lost_at: float | None = None
-    suspected: float | None = None
+    suspected_since: float | None = None
     closed_idle_connection: bool = False
     ejected: bool = False
     refusing: bool = False
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -16,11 +16,11 @@
 from scenario import Peer, Vm, World, configuration
 from wire import Caller, Tcp, wait_for
 
-from lapishaven.client_connections import EVICTION_PART
 from lapishaven.core.drain_state import FINAL_ANSWER_MARGIN_S
-from lapishaven.graceful_shutdown import EXIT_MARGIN_S
 from lapishaven.net.listener import MAX_ACCEPTS_PER_WAKEUP
-from lapishaven.signals import ReceivedSignal, Signals
+from lapishaven.server.client_connections import EVICTION_PART
+from lapishaven.server.graceful_shutdown import EXIT_MARGIN_S
+from lapishaven.server.signals import ReceivedSignal, Signals
 
 STOP = 3.2  # s from the notice to the kill in these configurations
 GRACE = 2.0
@@ -40,7 +40,7 @@
 
     # Guards against requests in the listening queue that are reset as the doors close: the kernel accepted them.
     def test_all_that_wait_at_the_door_are_served_before_it_shuts(self) -> None:
-        self.server.budget.room = 4 * MAX_ACCEPTS_PER_WAKEUP
+        self.server.budget.limit = 4 * MAX_ACCEPTS_PER_WAKEUP
         many = 2 * MAX_ACCEPTS_PER_WAKEUP + 20
         self.server.drain()
         self.wait(GRACE - 0.05)
@@ -63,7 +63,7 @@
 
     # Guards against a door that shuts on callers as there was no descriptor for them in that moment.
     def test_with_no_descriptor_at_the_end_of_the_grace_the_door_waits_for_one(self) -> None:
-        self.server.budget.room = EVICTION_PART
+        self.server.budget.limit = EVICTION_PART
         busy = [self.connect() for _ in range(EVICTION_PART)]
         for n, caller in enumerate(busy, 1):
             self.send(caller, self.message(f"t{n}", "1", "fuzzy-match"))
@@ -145,9 +145,9 @@
         self.server.drain()
         conn.write(bytes(30_000))
         self.wait(STOP - FINAL_ANSWER_MARGIN_S + 0.02)
-        self.assertGreater(conn.out.size, 0)
+        self.assertGreater(conn.send_buffer.size, 0)
         got = 0
-        while conn.end is None and not conn.lingers():
+        while conn.end is None and not conn.awaits_peer_close():
             got += len(caller.sock.recv(1024))
             self.round()
         while more := caller.sock.recv(65536):
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -73,7 +73,7 @@
         self.keeper = DurableResults(self.base, 900.0, wall=lambda: 1000.0)
         self.server.core.result_store = self.keeper
         self.server.core.broker = None
-        self.server.core.up(False, 1.0)
+        self.server.core.backend_up(False, 1.0)
 
     def durable(self) -> None:
         while self.base.commit():
@@ -177,8 +177,8 @@
     try:
         with socket.create_connection(address, 5.0) as sock:
             variables = {"REQUEST_METHOD": "POST", "PATH_INFO": "/match/approve-commit", "HTTP_X_REQUEST_ID": key}
-            sock.sendall(uwsgi.packet(variables, body))
-            machine = uwsgi.Client()
+            sock.sendall(uwsgi.encode_request(variables, body))
+            machine = uwsgi.ResponseParser()
             while data := sock.recv(65536):
                 found = machine.feed(data)
                 if found is not None:
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 from scenario import World
 
-from lapishaven.client_connections import EVICTION_PART
 from lapishaven.core.idempotency_keys import IdempotencyKeyTable
 from lapishaven.net.ring_buffer import RingBuffer, RingBufferFullError
 from lapishaven.proto import ProtocolError, catalog, interpreter, jsonrpc, uwsgi
+from lapishaven.server.client_connections import EVICTION_PART
 
 LINES = (
     b'{"jsonrpc":"2.0","id":1,"method":"m","params":{"call":"9b1f03aa5c7e2d41","heap":24.5,"arg":"AAH/"}}\n'
@@ -24,8 +24,8 @@
 NOTICES = (
     b"BANNER COLD 12\r\nVALUE 1 ab OK 200 4\r\n\r\n\n\r\r\nTOPS t 0.5 3 0.1 9\r\n" b"ERROR APPLY ab\r\nTRACE 2 a b\r\n"
 )
-PACKET = uwsgi.packet({"PATH_INFO": "/match/m", "HTTP_X_REQUEST_ID": "k"}, b"\x00\xff")
-PAGE = uwsgi.response(uwsgi.HTTPStatus.OK, b"done", "text/plain")
+PACKET = uwsgi.encode_request({"PATH_INFO": "/match/m", "HTTP_X_REQUEST_ID": "k"}, b"\x00\xff")
+PAGE = uwsgi.encode_response(uwsgi.HTTPStatus.OK, b"done", "text/plain")
 
 
 def reporter() -> catalog.Client:
@@ -35,10 +35,10 @@
 
 
 MACHINES: list[tuple[Callable[[], Any], bytes, int]] = [
-    (jsonrpc.Server, LINES, 3),
+    (jsonrpc.ServerParser, LINES, 3),
     (interpreter.Client, NOTICES, 5),
-    (uwsgi.Server, PACKET, 1),
-    (uwsgi.Client, PAGE, 1),
+    (uwsgi.RequestParser, PACKET, 1),
+    (uwsgi.ResponseParser, PAGE, 1),
     (reporter, b"HTTP/1.1 204 No Content\r\n\r\n", 1),
 ]
 
@@ -145,7 +145,7 @@
     # Guards against death by too many: callers beyond the descriptors push out who is idle, never who waits.
     def test_a_crowd_stays_within_the_budget_and_the_busy_are_served(self) -> None:
         self.play("send c1 1 fuzzy-match\nexpect vm CONNECT 0\nexpect vm APPLY c1.1")
-        room = self.server.budget.room
+        room = self.server.budget.limit
         many = [socket.create_connection(self.server.listeners[0].address) for _ in range(room + 40)]
         for _ in range(4000):
             self.now += 0.001
--- a/tests/test_ownership_serve.py
+++ b/tests/test_ownership_serve.py
@@ -254,7 +254,7 @@
 
             async def load() -> None:
                 for n in range(1, 6000):
-                    writer.write(jsonrpc.request(n, "fuzzy-match", f"{n:016x}", b"x", 30.0, recv=time.time()))
+                    writer.write(jsonrpc.encode_request(n, "fuzzy-match", f"{n:016x}", b"x", 30.0, recv=time.time()))
                     await asyncio.sleep(0.01)
 
             answers = asyncio.create_task(reader.read(1 << 30))
--- a/tests/test_platform_keys.py
+++ b/tests/test_platform_keys.py
@@ -202,10 +202,14 @@
 def test_fields_out_of_their_range_are_errors() -> None:
     def told(extra: bytes) -> jsonrpc.Message:
         line = b'{"jsonrpc":"2.0","id":1,"method":"m","params":{"call":"0123456789abcdef","heap":1,%s}}\n' % extra
-        return next(iter(jsonrpc.Server().feed(line)))
+        return next(iter(jsonrpc.ServerParser().feed(line)))
 
     good = told(b'"dedupe":"k","ttl":250,"org":"a"')
-    assert isinstance(good, jsonrpc.Serve) and (good.key, good.left, good.tenant) == ("k", 0.25, "a")
+    assert isinstance(good, jsonrpc.RunRequest) and (good.idempotency_key, good.time_left, good.tenant_name) == (
+        "k",
+        0.25,
+        "a",
+    )
     for bad in (
         b'"dedupe":7',
         b'"dedupe":""',
@@ -216,7 +220,7 @@
         b'"ttl":1e300',
         b'"org":[]',
     ):
-        assert isinstance(told(bad), jsonrpc.Malformed), bad
+        assert isinstance(told(bad), jsonrpc.MalformedMessage), bad
 
 
 def test_a_claim_may_have_a_life_of_its_own() -> None:
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -481,7 +481,7 @@
         table: dict[str, Any] = {"pool": [{"name": "all", "classes": names, "share": 1.0}]}
         self.server.running.pools = parse_pools(table, names, 6)
         self.server.core.broker = None
-        self.server.core.up(False, 1.0)
+        self.server.core.backend_up(False, 1.0)
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -31,7 +31,7 @@
         while line := await reader.readline():
             if b"approve-commit" in line:
                 break
-            writer.write(jsonrpc.result(int(re.findall(rb'"id":(\d+)', line)[0]), b"match"))
+            writer.write(jsonrpc.encode_result(int(re.findall(rb'"id":(\d+)', line)[0]), b"match"))
         writer.close()
 
     async def host() -> None:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -9,8 +9,8 @@
 
 from lapishaven import config
 from lapishaven.backends.unconfirmed_commands import Command, UnconfirmedAtEnd, UnconfirmedCommands
-from lapishaven.client_connections import EVICTION_PART
 from lapishaven.net.loop import Loop
+from lapishaven.server.client_connections import EVICTION_PART
 
 
 class Platform(World):
@@ -427,7 +427,7 @@
             send c2 raw {"id":1
             send c3 raw {"id":1
         """)
-        self.server.budget.room = EVICTION_PART  # so that one at a time is closed
+        self.server.budget.limit = EVICTION_PART  # so that one at a time is closed
         self.assertTrue(self.server.callers.make_room())
         self.play(r"""
             expect c2 closed         # though it spoke last, and c1 came first
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -17,8 +17,8 @@
 from lapishaven.ledger.command import audit
 from lapishaven.ledger.database import LedgerDatabase
 from lapishaven.ownership.coordinators.sqlite import SqliteCoordinator
-from lapishaven.ownership.duties.budgets import PLAN
-from lapishaven.ownership.fence import Act
+from lapishaven.ownership.duties.budgets import DUTY_SCHEMA
+from lapishaven.ownership.fence import EffectRequest
 from lapishaven.ownership.fenced_store import FencedStore
 from lapishaven.storage.files import DirectoryFiles
 from lapishaven.storage.store import Store
@@ -126,20 +126,20 @@
     """Guards the tables of the SQLite coordinator."""
     path = copy_of("coordinator.db", tmp_path)
     coordinator = SqliteCoordinator(path)
-    view = coordinator.look()
+    view = coordinator.read_state()
     coordinator.close()
     assert view.revision == 10
-    assert [(seen.session, seen.card.name, seen.card.start) for seen in view.members] == [
+    assert [(seen.session, seen.record.name, seen.record.incarnation) for seen in view.members] == [
         (2, "one", "start-1"),
         (3, "two", "start-2"),
     ]
-    assert [(seen.card.standing.value, seen.card.weight) for seen in view.members] == [
+    assert [(seen.record.state.value, seen.record.weight) for seen in view.members] == [
         ("serving", 1.0),
         ("leaving", 0.25),
     ]
     owners = {shard: (owned.session, owned.token) for shard, owned in view.owners.items()}
     assert owners == {("budgets", 0): (2, 5), ("budgets", 1): (3, 8)}
-    assert view.marks == {("budgets", 0): 5}
+    assert view.effect_counts == {("budgets", 0): 5}
     assert tables_of(path) == {
         "meta": [(1, 10)],
         "session": [
@@ -175,14 +175,14 @@
         "budget_grant": [("gold", "member-1", 4.0, 48.0, 2)],
         "budget_round": [("gold", 2)],
     }
-    store = FencedStore(path, {"budgets": PLAN})
+    store = FencedStore(path, {"budgets": DUTY_SCHEMA})
     detail = {"contract": "gold", "round": 2, "grants": {"member-1": (4.0, 48.0)}}
-    repeat = store.admit(Act(("budgets", 3), 57, 1, 1), "grant", detail)
-    stale = store.admit(Act(("budgets", 3), 41, 2, 1), "grant", detail)
+    repeat = store.admit(EffectRequest(("budgets", 3), 57, 1, 1), "grant", detail)
+    stale = store.admit(EffectRequest(("budgets", 3), 41, 2, 1), "grant", detail)
     read = {name: store.read(f"select * from {name}") for name in expected}
     store.close()
-    assert (repeat.verdict.value, repeat.token, repeat.held, repeat.answer) == ("repeat", 57, 2, {"grants": 1})
-    assert (stale.verdict.value, stale.token, stale.held, stale.answer) == ("stale", 57, 2, None)
+    assert (repeat.verdict.value, repeat.token, repeat.effect_count, repeat.answer) == ("repeat", 57, 2, {"grants": 1})
+    assert (stale.verdict.value, stale.token, stale.effect_count, stale.answer) == ("stale", 57, 2, None)
     assert read == expected and tables_of(path) == expected
     assert schema_version_of(path) == 1
 
