--- a/lapishaven/admin/server.py
+++ b/lapishaven/admin/server.py
@@ -75,7 +75,7 @@
 
     def _serve(self, conn: Connection) -> Generator[Wait, Any, None]:
         """Read one request and answer it."""
-        calls = http.Calls()
+        calls = http.RequestParser()
         read_until = self._loop.now + REQUEST_TIMEOUT_S
         while (time_left := read_until - self._loop.now) > 0:
             data = yield from conn.read(time_left)
@@ -83,7 +83,7 @@
                 return conn.close(data)
             try:
                 call = calls.feed(data) if data is not None else None
-            except http.BadCall as error:
+            except http.BadRequestError as error:
                 conn.write(calls.response(error.status, f"{error}\n".encode()))
                 return conn.close(ConnectionEnd.PROTOCOL_ERROR)
             if call is not None:
@@ -91,7 +91,7 @@
                 return conn.close(ConnectionEnd.FINISHED)
         conn.close(ConnectionEnd.TIMED_OUT)
 
-    def _answer(self, calls: http.Calls, method: str, path: str) -> bytes:
+    def _answer(self, calls: http.RequestParser, method: str, path: str) -> bytes:
         """The response to one request."""
         if path == "/v1/spread" and method == "GET" and (state := self._host.spread_state()) is not None:
             return calls.response(200, json.dumps(state).encode() + b"\n", "application/json")
--- a/lapishaven/backends/interpreter.py
+++ b/lapishaven/backends/interpreter.py
@@ -70,11 +70,11 @@
     def start(self, handle: str, cls: str, body: bytes, once: bool) -> None:
         """Start a run, on the next link if there is none now."""
         self._running.add(handle)
-        self._send(Command(handle, proto.apply(handle, cls, body), starts=True, once=once))
+        self._send(Command(handle, proto.encode_start(handle, cls, body), starts=True, once=once))
 
     def pause(self, handle: str) -> None:
         """Stop a run; one whose start was never sent ends as unreachable."""
-        stop = Command(handle, proto.pause(handle))
+        stop = Command(handle, proto.encode_pause(handle))
         if any(command.handle == handle and command.starts for command in self._waiting):
             # Its start was never sent, so there is nothing to stop.
             self._waiting = [command for command in self._waiting if command.handle != handle]
@@ -93,7 +93,7 @@
     def resume(self, handle: str) -> None:
         """Let a run that was stopped go on."""
         self._running.add(handle)
-        self._send(Command(handle, proto.resume(handle)))
+        self._send(Command(handle, proto.encode_resume(handle)))
 
     def request_load_sample(self) -> None:
         """Request a load sample, on the next link if there is none now."""
@@ -113,7 +113,7 @@
 
     def _ask_health(self, tag: str) -> None:
         if self._ready and not self._moving and self._conn is not None:
-            question = proto.smoke(tag)
+            question = proto.encode_health_check(tag)
             self._unconfirmed.add_question(tag, len(question))
             self._conn.write(question)
 
@@ -130,7 +130,7 @@
         assert self._conn is not None
         self._tag_count += 1
         tag = f"t{self._tag_count}"
-        question = proto.top(tag)
+        question = proto.encode_read_gauges(tag)
         self._unconfirmed.add_question(tag, len(question))
         self._conn.write(question)
         if then is not None:
@@ -162,14 +162,14 @@
     def _open_link(self, sock: socket.socket) -> Connection:
         """Make a link of a socket, and have the notices after the last one that was read sent on it."""
         conn = self._conn = Connection(self.loop, sock, self._ended)
-        hello = proto.connect(self._last_notice)
+        hello = proto.encode_connect(self._last_notice)
         self._unconfirmed.add_question("", len(hello))
         conn.write(hello)
         return conn
 
     def _read(self, conn: Connection) -> Generator[Wait, Any, None]:
         """Process what comes on a link until it ends."""
-        machine = proto.Client()
+        machine = proto.NoticeParser()
         while True:
             data = yield from conn.read()
             if isinstance(data, ConnectionEnd):
@@ -215,7 +215,7 @@
         for handle, resumes in self._probes.items():
             self._uncertain.append(Command(handle, b"", once=True))
             if not resumes:
-                self._uncertain.append(Command(handle, proto.pause(handle)))
+                self._uncertain.append(Command(handle, proto.encode_pause(handle)))
         self._probes.clear()
 
     # ---- Uncertain commands
@@ -235,7 +235,7 @@
         if command.once and command.handle not in self._probes:
             # Never sent twice, as it might end in between and run again. Stopping it shows whether it runs.
             self._probes[command.handle] = True
-            self._send(Command(command.handle, proto.pause(command.handle), once=True))
+            self._send(Command(command.handle, proto.encode_pause(command.handle), once=True))
         elif command.once:
             return
         elif command.handle in self._probes:
@@ -261,18 +261,18 @@
 
     # ---- Notices
     def _process(self, message: proto.Message) -> None:
-        if isinstance(message, proto.Value):
+        if isinstance(message, proto.RunEnded):
             self._process_value(message)
-        elif isinstance(message, proto.Tops):
+        elif isinstance(message, proto.GaugeReadings):
             self._process_sample(message)
-        elif isinstance(message, proto.Smoked):
-            self._health_checks.settle(message.tag, message.good)
-        elif isinstance(message, proto.Rejected):
+        elif isinstance(message, proto.HealthChecked):
+            self._health_checks.settle(message.tag, message.healthy)
+        elif isinstance(message, proto.CommandRejected):
             self._process_rejection(message)
         elif isinstance(message, proto.Banner):
             self._process_banner(message)
 
-    def _process_value(self, message: proto.Value) -> None:
+    def _process_value(self, message: proto.RunEnded) -> None:
         # Remarks have numbers too, but none of them may stand for the end of a run.
         if message.number <= self._last_notice:
             self.counters.add("interpreter", "notices seen before")
@@ -280,7 +280,7 @@
         self._last_notice = message.number
         self._run_ended(message)
 
-    def _process_sample(self, message: proto.Tops) -> None:
+    def _process_sample(self, message: proto.GaugeReadings) -> None:
         self._unconfirmed.answered(self.loop.now, message.tag)
         self._sample_requested = False
         self._listener.load_sampled(dict(zip(self._gauge_names, message.values, strict=False)))
@@ -288,18 +288,18 @@
         if then is not None:
             then()
 
-    def _process_rejection(self, message: proto.Rejected) -> None:
+    def _process_rejection(self, message: proto.CommandRejected) -> None:
         self.counters.add("interpreter", f"rejected {message.command}")
         if message.command == "APPLY":
             # It was not carried out, so nothing of it ran, unless it had been sent before as well.
-            outcome = Outcome.OBSOLETE if message.handle in self._resent else Outcome.UNREACHABLE
-            self._forget(message.handle)
-            self._listener.run_finished(message.handle, outcome, 0.0, b"")
+            outcome = Outcome.OBSOLETE if message.attempt_id in self._resent else Outcome.UNREACHABLE
+            self._forget(message.attempt_id)
+            self._listener.run_finished(message.attempt_id, outcome, 0.0, b"")
 
     def _process_banner(self, message: proto.Banner) -> None:
         """The interpreter is up on this link: send what waits for it."""
         self._ready = True
-        self._listener.backend_up(message.cold, message.up_for)
+        self._listener.backend_up(message.slow_start, message.uptime)
         waiting = self._waiting
         self._waiting = []
         for command in waiting:
@@ -311,14 +311,14 @@
         elif self._sample_requested:
             self._fence(None)
 
-    def _run_ended(self, message: proto.Value) -> None:
-        outcome = OUTCOMES.get(message.end, Outcome.ERROR)
-        resumes = outcome is Outcome.CANCELLED and self._should_resume(message.handle)
-        self._forget(message.handle)
+    def _run_ended(self, message: proto.RunEnded) -> None:
+        outcome = OUTCOMES.get(message.outcome, Outcome.ERROR)
+        resumes = outcome is Outcome.CANCELLED and self._should_resume(message.attempt_id)
+        self._forget(message.attempt_id)
         if resumes:
-            self.resume(message.handle)
+            self.resume(message.attempt_id)
             return
-        self._listener.run_finished(message.handle, outcome, message.spent, message.result)
+        self._listener.run_finished(message.attempt_id, outcome, message.elapsed, message.result)
 
     def _should_resume(self, handle: str) -> bool:
         """Whether a run was stopped just to see whether it runs; the report may come over the next link."""
--- a/lapishaven/client/endpoint_list_watcher.py
+++ b/lapishaven/client/endpoint_list_watcher.py
@@ -13,7 +13,7 @@
 from lapishaven.client.policy import Policy
 from lapishaven.client.settings import Settings, split_address
 from lapishaven.proto import ProtocolError
-from lapishaven.proto.catalog import LIST_LIMIT, Reader
+from lapishaven.proto.catalog import MAX_LIST_BYTES, ListClient
 
 POLL_JITTER = 0.1  # of the time between two polls
 RECEIVE_SIZE = 65536  # bytes
@@ -41,7 +41,7 @@
         self._settings: Settings = policy.settings
         self._rules = policy.settings.catalog_rules
         self._sock: socket.socket | None = None
-        self._reader: Reader | None = None
+        self._reader: ListClient | None = None
         self._file_saved_at = float("-inf")
 
     # ---- Polls
@@ -70,7 +70,7 @@
         sock, reader = await self._connection(address)
         membership = self._policy.membership
         since = self._rules.deltas and not membership.needs_full_list
-        await self._loop.sock_sendall(sock, reader.ask(membership.version_tag, since))
+        await self._loop.sock_sendall(sock, reader.encode_request(membership.version_tag, since))
         done = False
         while not done:
             done, listing = reader.feed(await self._loop.sock_recv(sock, RECEIVE_SIZE))
@@ -80,14 +80,14 @@
             if verdict in APPLIED_VERDICTS:
                 self._save()
 
-    async def _connection(self, address: tuple[str, int]) -> tuple[socket.socket, Reader]:
+    async def _connection(self, address: tuple[str, int]) -> tuple[socket.socket, ListClient]:
         """The kept connection, or a new one where the last response ended it."""
         if self._sock is not None and self._reader is not None and self._reader.reusable:
             return self._sock, self._reader
         self._disconnect()
         host, port = address
         self._sock = await connect(self._loop, self._sockets, address, self._rules.timeout_s)
-        self._reader = Reader(f"{host}:{port}")
+        self._reader = ListClient(f"{host}:{port}")
         return self._sock, self._reader
 
     # ---- The last good list over a restart
@@ -101,7 +101,7 @@
             return
         try:
             with open(self._rules.file, "rb") as file:
-                data = file.read(LIST_LIMIT + 1)
+                data = file.read(MAX_LIST_BYTES + 1)
             self._policy.restore_endpoints(self._loop.time(), data)
             self._run_policy()
         except FileNotFoundError:
--- a/lapishaven/lab/baselines.py
+++ b/lapishaven/lab/baselines.py
@@ -15,7 +15,7 @@
 from lapishaven.client.outcomes import Expired, Failed, Outcome, Refused, Served
 from lapishaven.client.settings import Settings, split_address
 from lapishaven.proto import ProtocolError, jsonrpc
-from lapishaven.proto.catalog import Listed, Listing, Reader
+from lapishaven.proto.catalog import ListClient, Listed, Listing
 
 POLL = 1.0  # s between two polls of the endpoint list
 DIAL_LIMIT = 1.0  # s for one dial
@@ -89,8 +89,8 @@
         while True:
             try:
                 reader, writer = await asyncio.open_connection(host, port)
-                machine = Reader(host)
-                writer.write(machine.ask(None))
+                machine = ListClient(host)
+                writer.write(machine.encode_request(None))
                 while not (found := machine.feed(await reader.read(65536)))[0]:
                     pass
                 writer.close()
--- a/lapishaven/lab/interpreter.py
+++ b/lapishaven/lab/interpreter.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from lapishaven.proto import ProtocolError
-from lapishaven.proto.lines import Lines
+from lapishaven.proto.lines import LineBuffer
 
 KEPT = 4000  # notices retained
 LINE_LIMIT = 16 * 1024
@@ -205,7 +205,7 @@
         if not self.up:
             writer.transport.abort()
             return
-        lines, body = Lines(LINE_LIMIT), None
+        lines, body = LineBuffer(LINE_LIMIT), None
         try:
             while data := await reader.read(65536):
                 lines.feed(data)
--- a/lapishaven/proto/catalog.py
+++ b/lapishaven/proto/catalog.py
@@ -1,9 +1,13 @@
-"""The catalog's HTTP: reports and reads of the list, one at a time over a connection that is kept."""
+"""The HTTP of the catalog, the platform's service registry: health reports and the endpoint list.
+
+Requests are sent one at a time on a persistent connection. h11 does the HTTP.
+"""
 
 from __future__ import annotations
 
 import json
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 
 import h11
@@ -11,8 +15,8 @@
 from lapishaven.proto import ProtocolError, TooLargeError
 
 
-class Client:
-    """Builds reports and reads their answers; h11 does the HTTP."""
+class ReportClient:
+    """Encodes health reports and parses their responses."""
 
     def __init__(self, host: str, name: str) -> None:
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=16 * 1024)
@@ -28,7 +32,7 @@
         return b"".join(self._http.send(part) or b"" for part in parts)
 
     def feed(self, data: bytes) -> int | None:
-        """The status of the report's answer once it is whole."""
+        """The status code of the response once it is complete. Raises ``ProtocolError``."""
         try:
             self._http.receive_data(data)
             while True:
@@ -48,16 +52,17 @@
 
     @property
     def reusable(self) -> bool:
+        """Whether another request may be sent on the connection."""
         return self._http.our_state is h11.IDLE
 
 
-LIST_LIMIT = 4 * 1024 * 1024  # bytes of a list; some 40,000 servers
+MAX_LIST_BYTES = 4 * 1024 * 1024  # some 40,000 servers
 LIST_PATH = "/catalog/list"
 
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """One server on the list; ``passing`` is its last report, and one that does not pass takes no work."""
+    """One server on the endpoint list. ``passing``: whether it last reported itself as healthy."""
 
     name: str
     host: str
@@ -67,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """The list at one version. Versions count up within an epoch, which is new with the catalog's start."""
+    """The endpoint list at one version. Versions count up within an epoch; each start of the catalog begins one."""
 
     epoch: str
     version: int
@@ -76,8 +81,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """What changed from version ``since`` to ``version`` of one epoch: rows that joined or changed, names that
-    left. A catalog that keeps its history answers ``?since=EPOCH.VERSION`` with this instead of the whole list."""
+    """The changes from version ``since`` to ``version`` of one epoch.
+
+    A catalog that keeps its history answers ``?since=EPOCH.VERSION`` with this instead of the complete list.
+    """
 
     epoch: str
     version: int
@@ -171,17 +178,20 @@
     return Delta(new.epoch, new.version, old.version, joined, left, changed)
 
 
-class Reader:
-    """Asks for the list and reads the answers: a ``Listing``, or ``None`` where nothing has changed."""
+class ListClient:
+    """Encodes requests for the endpoint list and parses their responses."""
 
     def __init__(self, host: str) -> None:
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=16 * 1024)
         self._host = host
         self._status, self._body = 0, bytearray()
 
-    def ask(self, known: str | None, since: bool = False) -> bytes:
-        """The bytes of one question; ``known`` is the tag of the list that is held, ``EPOCH.VERSION``; with
-        ``since`` what changed after it is asked for, which a catalog without the history answers in whole."""
+    def encode_request(self, known: str | None, since: bool = False) -> bytes:
+        """The bytes of one request.
+
+        ``known`` is the tag ``EPOCH.VERSION`` of the list that the client has; an unchanged list is not sent again.
+        With ``since`` only the changes after it are requested; a catalog without history responds with the whole list.
+        """
         headers = [("Host", self._host)] + ([("If-None-Match", f'"{known}"')] if known else [])
         self._status, self._body = 0, bytearray()
         target = f"{LIST_PATH}?since={known}" if since and known else LIST_PATH
@@ -189,30 +199,37 @@
         return b"".join(self._http.send(part) or b"" for part in parts)
 
     def feed(self, data: bytes) -> tuple[bool, Listing | Delta | None]:
-        """Whether the answer is whole, and the list or the delta if it brought one."""
+        """Whether the response is complete, and the list or the changes if it brought any. Raises ``ProtocolError``."""
         try:
             self._http.receive_data(data)
             while (event := self._http.next_event()) is not h11.NEED_DATA and event is not h11.PAUSED:
                 if isinstance(event, h11.Response):
                     self._status = event.status_code
                 elif isinstance(event, h11.Data):
-                    self._body += event.data
-                    if len(self._body) > LIST_LIMIT:
-                        raise TooLargeError(f"a list is longer than {LIST_LIMIT} bytes")
+                    self._append_body(event.data)
                 elif isinstance(event, h11.EndOfMessage):
-                    if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
-                        self._http.start_next_cycle()
-                    if self._status == 304:
-                        return True, None
-                    if self._status != 200:
-                        raise ProtocolError(f"the catalog answered {self._status}")
-                    return True, answer(bytes(self._body))
+                    return True, self._complete_response()
                 elif isinstance(event, h11.ConnectionClosed):
                     raise ProtocolError("the catalog closed the connection")
         except h11.RemoteProtocolError as error:
             raise ProtocolError(str(error)) from None
         return False, None
 
+    def _append_body(self, data: bytes) -> None:
+        self._body += data
+        if len(self._body) > MAX_LIST_BYTES:
+            raise TooLargeError(f"a list is longer than {MAX_LIST_BYTES} bytes")
+
+    def _complete_response(self) -> Listing | Delta | None:
+        if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
+            self._http.start_next_cycle()
+        if self._status == HTTPStatus.NOT_MODIFIED:
+            return None
+        if self._status != HTTPStatus.OK:
+            raise ProtocolError(f"the catalog answered {self._status}")
+        return answer(bytes(self._body))
+
     @property
     def reusable(self) -> bool:
+        """Whether another request may be sent on the connection."""
         return self._http.our_state is h11.IDLE
--- a/lapishaven/proto/jsonrpc.py
+++ b/lapishaven/proto/jsonrpc.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from lapishaven.proto import ProtocolError, TooLargeError
-from lapishaven.proto.lines import Lines
+from lapishaven.proto.lines import LineBuffer
 
 MAX_BODY_BYTES = 2048
 MAX_REQUEST_LINE_BYTES = 8 * 1024  # a body of 2 KiB is 2.7 KiB in base64; the rest of a request is a few hundred bytes
@@ -71,14 +71,14 @@
 Message = RunRequest | CancelRequest | HealthCheck | MalformedMessage
 
 
-class _BadParams(ValueError):
+class _InvalidParamsError(ValueError):
     pass
 
 
 def _number(params: dict[str, Any], name: str, default: float | None = None) -> float:
     value = params.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or value != value:
-        raise _BadParams(f"{name} is not a number")
+        raise _InvalidParamsError(f"{name} is not a number")
     return float(value)
 
 
@@ -88,7 +88,7 @@
         return None
     span = _number(params, name) / 1000
     if not 0 <= span <= limit:
-        raise _BadParams(f"{name} is out of its range")
+        raise _InvalidParamsError(f"{name} is out of its range")
     return span
 
 
@@ -98,28 +98,28 @@
     if value is not None and (
         not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_LENGTH or not value.isprintable()
     ):
-        raise _BadParams(f"{name} is no name")
+        raise _InvalidParamsError(f"{name} is no name")
     return value
 
 
 def _serve(id: int, method: str, params: dict[str, Any]) -> RunRequest:
     call = params.get("call")
     if not isinstance(call, str) or len(call) != 16 or not set(call) <= set("0123456789abcdefABCDEF"):
-        raise _BadParams("call is not 16 hex digits")
+        raise _InvalidParamsError("call is not 16 hex digits")
     arg, row = params.get("arg", ""), params.get("row")
     if not isinstance(arg, str):
-        raise _BadParams("arg is not a string")
+        raise _InvalidParamsError("arg is not a string")
     try:
         body = base64.b64decode(arg, validate=True)
         subject = None if row is None else int(row, 16)
     except (binascii.Error, ValueError, TypeError):
-        raise _BadParams("arg is not base64, or row no hex number") from None
+        raise _InvalidParamsError("arg is not base64, or row no hex number") from None
     if len(body) > MAX_BODY_BYTES:
-        raise _BadParams(f"a body is longer than {MAX_BODY_BYTES} bytes")
+        raise _InvalidParamsError(f"a body is longer than {MAX_BODY_BYTES} bytes")
     heap, crit = _number(params, "heap"), _number(params, "crit", 0.0)
     src = _number(params, "src", 0)
     if not 0 < heap < 2000 or not 0 <= crit < 1 or not 0 <= src < 1 << 32 or src != int(src):
-        raise _BadParams("heap, crit or src is out of its range")
+        raise _InvalidParamsError("heap, crit or src is out of its range")
     return RunRequest(
         id,
         method,
@@ -141,7 +141,7 @@
     """One connection's input. Ids count upwards, so a used one is told by the highest seen."""
 
     def __init__(self) -> None:
-        self._lines = Lines(MAX_REQUEST_LINE_BYTES)
+        self._lines = LineBuffer(MAX_REQUEST_LINE_BYTES)
         self._highest = 0
 
     @property
@@ -176,7 +176,7 @@
             return HealthCheck(id, params.get("e2e") is True)
         try:
             return _serve(id, method, params)
-        except (_BadParams, OverflowError) as error:
+        except (_InvalidParamsError, OverflowError) as error:
             return MalformedMessage(id, INVALID_PARAMS, str(error))
 
 
@@ -277,7 +277,7 @@
     """A caller's end of one connection: answers in, typed. Anything else raises ``ProtocolError``."""
 
     def __init__(self) -> None:
-        self._lines = Lines(MAX_RESPONSE_LINE_BYTES)
+        self._lines = LineBuffer(MAX_RESPONSE_LINE_BYTES)
 
     @property
     def at_message_boundary(self) -> bool:
--- a/lapishaven/proto/uwsgi.py
+++ b/lapishaven/proto/uwsgi.py
@@ -106,6 +106,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
+    """A complete HTTP response; header names are in lower case."""
+
     status: int
     headers: dict[str, str]
     body: bytes
--- a/lapishaven/server/catalog_reporter.py
+++ b/lapishaven/server/catalog_reporter.py
@@ -33,7 +33,7 @@
         self._dial = dial
         self._pause: Wait | None = None  # the wait between two reports
         self._conn: Connection | None = None
-        self._http: proto.Client | None = None
+        self._http: proto.ReportClient | None = None
         self._awaits_response = False
         self._stopped = False
 
@@ -99,7 +99,7 @@
             sock.close()
             return False
         self._conn = Connection(self._loop, sock, lambda end: self._counters.add("ends", f"catalog {end.value}"))
-        self._http = proto.Client(f"{address[0]}:{address[1]}", self._name)
+        self._http = proto.ReportClient(f"{address[0]}:{address[1]}", self._name)
         return True
 
     def _report(self, passing: bool) -> Generator[Wait, Any, bool]:
@@ -112,7 +112,7 @@
         finally:
             self._awaits_response = False
 
-    def _read_response(self, conn: Connection, http: proto.Client) -> Generator[Wait, Any, bool]:
+    def _read_response(self, conn: Connection, http: proto.ReportClient) -> Generator[Wait, Any, bool]:
         """Whether the response accepts the report; closes the connection if there is none in time, or a bad one."""
         read_until = self._loop.now + RESPONSE_TIMEOUT_S
         while True:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -35,7 +35,7 @@
 from lapishaven.core.contracts import Contract
 from lapishaven.net.loop import Loop
 from lapishaven.proto import uwsgi
-from lapishaven.proto.lines import Lines
+from lapishaven.proto.lines import LineBuffer
 from lapishaven.server import Server, ServerOptions
 
 CLASSES = [("fuzzy-match", 1.5, 5.6, "free", 1.0), ("approve-commit", 1.1, 3.8, "single_shot", 3.0)]
@@ -130,7 +130,7 @@
 
     def __init__(self) -> None:
         self.link: Peer | None = None
-        self.lines, self.need = Lines(65536), 0
+        self.lines, self.need = LineBuffer(65536), 0
         self.banner: str | None = "WARM"
         self.log: list[str] = []
         self.handles: dict[str, str] = {}  # label -> handle, from the bodies
@@ -140,7 +140,7 @@
 
     def dialled(self) -> socket.socket:
         ours, theirs = socket.socketpair()
-        self.link, self.lines, self._pending = Peer(ours), Lines(65536), ""
+        self.link, self.lines, self._pending = Peer(ours), LineBuffer(65536), ""
         return theirs
 
     def pump(self) -> bool:
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -28,15 +28,15 @@
 PAGE = uwsgi.encode_response(uwsgi.HTTPStatus.OK, b"done", "text/plain")
 
 
-def reporter() -> catalog.Client:
-    client = catalog.Client("host", "n1")
+def reporter() -> catalog.ReportClient:
+    client = catalog.ReportClient("host", "n1")
     client.report(True)
     return client
 
 
 MACHINES: list[tuple[Callable[[], Any], bytes, int]] = [
     (jsonrpc.ServerParser, LINES, 3),
-    (interpreter.Client, NOTICES, 5),
+    (interpreter.NoticeParser, NOTICES, 5),
     (uwsgi.RequestParser, PACKET, 1),
     (uwsgi.ResponseParser, PAGE, 1),
     (reporter, b"HTTP/1.1 204 No Content\r\n\r\n", 1),
