--- a/lapishaven/cli/record.py
+++ b/lapishaven/cli/record.py
@@ -65,6 +65,8 @@
 
 
 class Rows(str, Enum):
+    """The tables that can be exported."""
+
     EFFECT = "effect"
     LEDGER = "ledger"
 
--- a/lapishaven/cli/serve.py
+++ b/lapishaven/cli/serve.py
@@ -1,4 +1,4 @@
-"""The server's own commands: serve, and a check of its files."""
+"""The server's own commands: ``serve`` and ``check-config``. A mistake in a file is one plain line and exit code 2."""
 
 from __future__ import annotations
 
@@ -10,65 +10,74 @@
 from lapishaven.cli.common import fail
 
 if TYPE_CHECKING:
+    from lapishaven.attempt_log import AttemptLog
     from lapishaven.core.ports import DurableResultStore
+    from lapishaven.counters import Counters
     from lapishaven.idempotency import DurableResults
     from lapishaven.ledger.recorder import Recorder
     from lapishaven.ownership.participant import Participant
 
-File = Annotated[str | None, typer.Option("--config", help="Configuration file; else NODE_CONFIG names it.")]
+BYTES_PER_MB = 1024 * 1024
+LEDGER_SETTINGS_SUFFIX = (
+    ".toml"  # ``--record`` takes a settings file of the ledger, or the SQLite file of an attempt log
+)
 
-Uwsgi = Annotated[str | None, typer.Option("--uwsgi", help="File that turns uwsgi on; else it is off.")]
-Terms = Annotated[str | None, typer.Option("--contracts", help="File of contracts and budgets; else none are checked.")]
-Record = Annotated[
+ConfigFile = Annotated[str | None, typer.Option("--config", help="Configuration file; else NODE_CONFIG names it.")]
+UwsgiFile = Annotated[str | None, typer.Option("--uwsgi", help="File that turns uwsgi on; else it is off.")]
+ContractsFile = Annotated[
+    str | None, typer.Option("--contracts", help="File of contracts and budgets; else none are checked.")
+]
+RecordFile = Annotated[
     str | None,
     typer.Option("--record", help="Settings of the store of record (.toml), or a SQLite file written behind."),
 ]
-
-
 PoolsFile = Annotated[
     str | None, typer.Option("--pools", help="File of pools by class; else the module decides without them.")
 ]
-
-
 SpreadFile = Annotated[
     str | None, typer.Option("--spread", help="File of processes that attempts are spread over; else off.")
 ]
+StorageFile = Annotated[
+    str | None, typer.Option("--storage", help="File that has keyed results kept over restarts; else they are not.")
+]
+OwnershipFile = Annotated[
+    str | None, typer.Option("--ownership", help="File that has it share the fleet's duties; else off.")
+]
 
 
-def _load(
-    path: str | None, uwsgi: str | None, terms: str | None, pools: str | None, spread: str | None = None
+def _load_files(
+    path: str | None, uwsgi: str | None, contracts: str | None, pools: str | None, spread: str | None = None
 ) -> config.ConfigFiles:
     try:
-        return config.load_files(path, uwsgi, terms, pools, spread)
+        return config.load_files(path, uwsgi, contracts, pools, spread)
     except config.ConfigError as error:
         fail(str(error))
 
 
-Kept = Annotated[
-    str | None, typer.Option("--storage", help="File that has keyed results kept over restarts; else they are not.")
-]
-
-
-def _keeper(path: str) -> DurableResults:
-    """The keyed results of earlier lives, from the store that the file names."""
+def _load_storage_rules(path: str) -> config.StorageRules:
     try:
-        rules = config.load_storage_rules(path)
+        return config.load_storage_rules(path)
     except config.ConfigError as error:
         fail(str(error))
+
+
+def _open_result_store(path: str) -> DurableResults:
+    """The results that earlier processes stored, from the embedded store that the file names."""
+    rules = _load_storage_rules(path)
     try:
         from lapishaven.idempotency import DurableResults
         from lapishaven.storage import Limits, Store, StoreError
     except ImportError:
         fail("keeping results needs lapishaven[storage]")
     try:
-        store = Store.open(rules.directory, Limits(total_bytes=int(rules.max_size_mb * 1024 * 1024)))
+        store = Store.open(rules.directory, Limits(total_bytes=int(rules.max_size_mb * BYTES_PER_MB)))
     except (StoreError, OSError) as error:
         fail(f"cannot open {rules.directory}: {error}")
     return DurableResults(store, rules.result_ttl, rules.max_results)
 
 
-def _recorder(path: str, name: str) -> Recorder:
-    """The store of record that the file names, for this start of the server."""
+def _open_ledger(path: str, server_name: str) -> Recorder:
+    """The ledger that the file names, for this start of the server."""
     import os
     import time
 
@@ -77,18 +86,27 @@
     from lapishaven.ledger.settings import LedgerSettingsError, load_settings
 
     try:
-        rules = load_settings(path)
-        start = f"{name}:{os.getpid()}:{time.time_ns()}"
-        return Recorder(LedgerDatabase(rules.file), start, rules.meters, rules.default_meter, rules.backpressure)
+        settings = load_settings(path)
+        incarnation = f"{server_name}:{os.getpid()}:{time.time_ns()}"
+        database = LedgerDatabase(settings.file)
+        return Recorder(database, incarnation, settings.meters, settings.default_meter, settings.backpressure)
     except (LedgerSettingsError, LedgerError) as error:
         fail(str(error))
 
 
-Owned = Annotated[str | None, typer.Option("--ownership", help="File that has it share the fleet's duties; else off.")]
+def _open_attempt_log(path: str, counters: Counters) -> AttemptLog:
+    import sqlite3
 
+    from lapishaven.attempt_log import SqliteAttemptLog
 
-def _part(path: str, loaded: config.ConfigFiles) -> Participant:
-    """This server's part in the fleet's duties."""
+    try:
+        return SqliteAttemptLog(path, lambda: counters.add("store", "dropped"))
+    except sqlite3.Error as error:
+        fail(f"cannot open {path}: {error}")
+
+
+def _join_fleet(path: str, files: config.ConfigFiles) -> Participant:
+    """This server as a member that shares the fleet's duties."""
     try:
         from lapishaven.ownership.participant import Participant
     except ImportError:
@@ -96,20 +114,20 @@
     from lapishaven.ownership.settings import OwnershipError, load
 
     try:
-        classes = [spec.name for spec in loaded.config.settings.classes]
-        return Participant(load(path), loaded.config.name, loaded.contracts, classes)
+        class_names = [request_class.name for request_class in files.config.settings.classes]
+        return Participant(load(path), files.config.name, files.contracts, class_names)
     except OwnershipError as error:
         fail(str(error))
 
 
 def serve(
-    path: File = None,
-    uwsgi: Uwsgi = None,
-    contracts: Terms = None,
-    record: Record = None,
+    path: ConfigFile = None,
+    uwsgi: UwsgiFile = None,
+    contracts: ContractsFile = None,
+    record: RecordFile = None,
     pools: PoolsFile = None,
-    kept: Kept = None,
-    ownership: Owned = None,
+    storage: StorageFile = None,
+    ownership: OwnershipFile = None,
     spread: SpreadFile = None,
 ) -> None:
     """Serve until SIGTERM; SIGHUP reads the files again, SIGUSR1 prints the counters."""
@@ -118,33 +136,28 @@
     from lapishaven.server.signals import Signals
 
     signals = Signals()  # before the first caller can connect
-    loaded, counters, store = _load(path, uwsgi, contracts, pools, spread), Counters(), None
-    keeper: DurableResultStore | None = None
-    if record is not None and record.endswith(".toml"):
-        if kept is not None:
+    files = _load_files(path, uwsgi, contracts, pools, spread)
+    counters = Counters()
+    attempt_log: AttemptLog | None = None
+    result_store: DurableResultStore | None = None
+    if record is not None and record.endswith(LEDGER_SETTINGS_SUFFIX):
+        if storage is not None:
             fail("--storage and --record both keep results: only one may")
-        keeper = _recorder(record, loaded.config.name)
+        result_store = _open_ledger(record, files.config.name)
     elif record is not None:
-        import sqlite3
-
-        from lapishaven.attempt_log import SqliteAttemptLog
-
-        try:
-            store = SqliteAttemptLog(record, lambda: counters.add("store", "dropped"))
-        except sqlite3.Error as error:
-            fail(f"cannot open {record}: {error}")
-    if kept is not None:
-        keeper = _keeper(kept)
-    fleet = _part(ownership, loaded) if ownership is not None else None
+        attempt_log = _open_attempt_log(record, counters)
+    if storage is not None:
+        result_store = _open_result_store(storage)
+    fleet = _join_fleet(ownership, files) if ownership is not None else None
+    options = ServerOptions(
+        counters=counters,
+        read_files=lambda: config.load_files(path, uwsgi, contracts, pools, spread),
+        attempt_log=attempt_log,
+        result_store=result_store,
+        fleet=fleet,
+    )
     try:
-        options = ServerOptions(
-            counters=counters,
-            read_files=lambda: config.load_files(path, uwsgi, contracts, pools, spread),
-            attempt_log=store,
-            result_store=keeper,
-            fleet=fleet,
-        )
-        server = Server(loaded, options)
+        server = Server(files, options)
     except OSError as error:
         fail(f"cannot listen: {error.strerror or error}")
     if fleet is not None:
@@ -153,57 +166,79 @@
 
 
 def check_config(
-    path: File = None,
-    uwsgi: Uwsgi = None,
-    contracts: Terms = None,
+    path: ConfigFile = None,
+    uwsgi: UwsgiFile = None,
+    contracts: ContractsFile = None,
     pools: PoolsFile = None,
-    kept: Kept = None,
-    ownership: Owned = None,
+    storage: StorageFile = None,
+    ownership: OwnershipFile = None,
     spread: SpreadFile = None,
-    record: Record = None,
+    record: RecordFile = None,
 ) -> None:
     """Check the files and say what they hold."""
-    loaded = _load(path, uwsgi, contracts, pools, spread)
-    name, (host, port), specs = loaded.config.name, loaded.config.listen, loaded.config.settings.classes
-    print(f"{name}: listens on {host}:{port}")
-    print("classes " + ", ".join(f"{c.name} ({c.idempotency.value}, {c.deadline:g} s)" for c in specs))
-    front, backend = loaded.front, loaded.backend
-    print(f"uwsgi front {front.listen if front else 'off'}, backend {backend.address if backend else 'off'}")
-    print(f"control address {'{}:{}'.format(*loaded.config.control) if loaded.config.control else 'off'}")
-    print(f"contracts {'off' if loaded.contracts is None else len(loaded.contracts)}")
-    if loaded.spread is not None:
-        rules_ = loaded.spread.rules
-        print(
-            f"spread over {len(loaded.spread.addresses)} processes, {rules_.probes_per_choice} questions a choice, "
-            f"silent after {rules_.probe_timeout_s:g} s, {loaded.spread.attempts} attempts at once"
-        )
-    if kept is not None:
-        try:
-            rules = config.load_storage_rules(kept)
-        except config.ConfigError as error:
-            fail(str(error))
+    files = _load_files(path, uwsgi, contracts, pools, spread)
+    _print_node(files)
+    _print_load_balancing(files)
+    if storage is not None:
+        rules = _load_storage_rules(storage)
         print(f"keyed results in {rules.directory}, for {rules.result_ttl:g} s, up to {rules.max_results}")
-    if record is not None and record.endswith(".toml"):
-        from lapishaven.ledger.settings import LedgerSettingsError
-        from lapishaven.ledger.settings import load_settings as load_record
-
-        try:
-            kept_in = load_record(record)
-        except LedgerSettingsError as error:
-            fail(str(error))
-        limits = f"up to {kept_in.backpressure.max_waiting} entries waiting, meters for {len(kept_in.meters)}"
-        print(f"record in {kept_in.file}, {limits}")
+    if record is not None and record.endswith(LEDGER_SETTINGS_SUFFIX):
+        _print_ledger(record)
     if ownership is not None:
-        from lapishaven.ownership.settings import OwnershipError
-        from lapishaven.ownership.settings import load as load_ownership
-
-        try:
-            owned = load_ownership(ownership)
-        except OwnershipError as error:
-            fail(str(error))
-        print(f"ownership by {owned.coordinator}, lease {owned.rules.ttl:g} s, effects in {owned.receiver}")
-    if loaded.pools is not None:
-        for pool in loaded.pools.pools:
-            print(f"pool {pool.name}: {pool.share:.0%}, up to {pool.ceiling:.0%}, {', '.join(pool.classes)}")
-        if (reserve := loaded.pools.reserve) is not None:
-            print(f"reserve: {reserve.share:.0%} on top, for pool {reserve.pool}")
+        _print_ownership(ownership)
+    _print_pools(files)
+
+
+def _print_node(files: config.ConfigFiles) -> None:
+    node = files.config
+    host, port = node.listen
+    print(f"{node.name}: listens on {host}:{port}")
+    classes = [f"{each.name} ({each.idempotency.value}, {each.deadline:g} s)" for each in node.settings.classes]
+    print("classes " + ", ".join(classes))
+    front = files.front.listen if files.front else "off"
+    backend = files.backend.address if files.backend else "off"
+    print(f"uwsgi front {front}, backend {backend}")
+    control = "{}:{}".format(*node.control) if node.control else "off"
+    print(f"control address {control}")
+    print(f"contracts {'off' if files.contracts is None else len(files.contracts)}")
+
+
+def _print_load_balancing(files: config.ConfigFiles) -> None:
+    if files.spread is None:
+        return
+    rules = files.spread.rules
+    print(
+        f"spread over {len(files.spread.addresses)} processes, {rules.probes_per_choice} questions a choice, "
+        f"silent after {rules.probe_timeout_s:g} s, {files.spread.attempts} attempts at once"
+    )
+
+
+def _print_ledger(path: str) -> None:
+    from lapishaven.ledger.settings import LedgerSettingsError, load_settings
+
+    try:
+        settings = load_settings(path)
+    except LedgerSettingsError as error:
+        fail(str(error))
+    limits = f"up to {settings.backpressure.max_waiting} entries waiting, meters for {len(settings.meters)}"
+    print(f"record in {settings.file}, {limits}")
+
+
+def _print_ownership(path: str) -> None:
+    from lapishaven.ownership.settings import OwnershipError, load
+
+    try:
+        settings = load(path)
+    except OwnershipError as error:
+        fail(str(error))
+    print(f"ownership by {settings.coordinator}, lease {settings.rules.ttl:g} s, effects in {settings.receiver}")
+
+
+def _print_pools(files: config.ConfigFiles) -> None:
+    if files.pools is None:
+        return
+    for pool in files.pools.pools:
+        print(f"pool {pool.name}: {pool.share:.0%}, up to {pool.ceiling:.0%}, {', '.join(pool.classes)}")
+    reserve = files.pools.reserve
+    if reserve is not None:
+        print(f"reserve: {reserve.share:.0%} on top, for pool {reserve.pool}")
