--- /dev/null
+++ b/lapishaven/storage/pending_writes.py
@@ -0,0 +1,54 @@
+"""Everything that is accepted and not yet durable: the memtable, the queue of batches, and the next sequence."""
+
+from __future__ import annotations
+
+import threading
+from concurrent.futures import Future
+
+from lapishaven.storage.commit_queue import CommitQueue, PendingBatch
+from lapishaven.storage.format import PUT, TOMBSTONE, Record
+from lapishaven.storage.memtable import Memtable
+
+
+class PendingWrites:
+    """Numbers records, and keeps them until they are durable or their write has failed.
+
+    ``lock`` is the store's; callers hold it, but for ``oldest_sequence``, which takes it. ``available`` is notified of
+    every batch.
+    """
+
+    def __init__(self, lock: threading.RLock) -> None:
+        self.memtable = Memtable()
+        self.queue = CommitQueue()
+        self.available = threading.Condition(lock)
+        self.sequence = 0  # of the newest record
+        self._lock = lock
+
+    def next_record(self, key: bytes, value: bytes | None, expiry: float) -> Record:
+        """The record of a put, or of a delete where ``value`` is ``None``, with the next sequence."""
+        self.sequence += 1
+        kind = TOMBSTONE if value is None else PUT
+        return Record(kind, self.sequence, key, value or b"", expiry)
+
+    def add_changes(self, records: list[Record], size: int) -> Future[int]:
+        """Queue new records of ``size`` bytes as one batch, and make them visible to reads."""
+        for record in records:
+            self.memtable.put(record)
+        return self._enqueue(records, size, is_copy=False)
+
+    def add_copies(self, records: list[Record]) -> Future[int]:
+        """Queue records that compaction writes again with their sequences."""
+        return self._enqueue(list(records), sum(record.size for record in records), is_copy=True)
+
+    def _enqueue(self, records: list[Record], size: int, is_copy: bool) -> Future[int]:
+        future: Future[int] = Future()
+        self.queue.add(PendingBatch(records, future, size, is_copy))
+        self.available.notify()
+        return future
+
+    def oldest_sequence(self) -> int:
+        """The sequence up to which every record is written."""
+        with self._lock:
+            queued = self.queue.first_sequences()
+            unwritten = [record.sequence for record in self.memtable.records()]
+            return min([self.sequence + 1, *queued, *unwritten]) - 1
--- a/lapishaven/storage/store.py
+++ b/lapishaven/storage/store.py
@@ -16,21 +16,20 @@
 import numpy as np
 
 from lapishaven.storage import format as fmt
-from lapishaven.storage.commit_queue import CommitQueue, PendingBatch
 from lapishaven.storage.compaction import Compaction
 from lapishaven.storage.disk_reserve import RESERVE_FILE, DiskReserve
-from lapishaven.storage.errors import Damage, StoreError, StoreFullError, StoreWriteError
+from lapishaven.storage.errors import Damage, StoreError, StoreFullError
 from lapishaven.storage.files import DirectoryFiles, FileSystem
 from lapishaven.storage.format import PUT, TOMBSTONE, Record
-from lapishaven.storage.index import ABSENT, Index, digest, make_place, split_place
-from lapishaven.storage.memtable import Memtable
+from lapishaven.storage.group_commit import GroupCommitter
+from lapishaven.storage.index import ABSENT, Index, digest, split_place
+from lapishaven.storage.pending_writes import PendingWrites
 from lapishaven.storage.record_reader import RecordReader
 from lapishaven.storage.recovery import Recovery
 from lapishaven.storage.segment_writer import SegmentWriter
-from lapishaven.storage.segments import Limits, Segment, SegmentTable, Stats
+from lapishaven.storage.segments import Limits, SegmentTable, Stats
 from lapishaven.storage.snapshot import copy_segments, open_empty_directory
 from lapishaven.storage.wall_clock import MonotonicWallClock
-from lapishaven.storage.wheel import TimingWheel
 
 Change = tuple[bytes, bytes | None, float]  # key, value (None: delete), expiry in Unix seconds (0: never)
 
@@ -39,7 +38,6 @@
 PENDING_RETRY_S = 0.1  # for a put that is rejected because too much waits to be written
 SLICE_BYTES = 1 << 20  # of records that one slice of compaction copies
 MAX_SEGMENT_NUMBER = 1 << 24  # of a place in the index
-EXPIRY_SLACK_S = 1  # the index rounds expiry times
 
 
 class Store:
@@ -69,14 +67,10 @@
         self.stats = Stats()
         self.damage: list[Damage] = []
         self.segments = SegmentTable()
-        self.lock = threading.RLock()  # guards index, segments, memtable, queue and sequence
+        self.lock = threading.RLock()  # guards index, segments and pending writes
         self._clock = MonotonicWallClock(clock)
-        self._memtable = Memtable()
-        self._queue = CommitQueue()
-        self._work_available = threading.Condition(self.lock)
-        self._commit_lock = threading.Lock()  # one group commit at a time
+        self._pending = PendingWrites(self.lock)
         self._closed = False
-        self._sequence = 0
         self._reader = RecordReader(files, self.segments, self.damage)
         files.lock()
         try:
@@ -93,9 +87,18 @@
             self._clock,
             reserve,
             self.stats,
-            self._oldest_pending,
+            self._pending.oldest_sequence,
+        )
+        self._committer = GroupCommitter(
+            self._pending,
+            self._writer,
+            self.index,
+            self.segments,
+            self.lock,
+            self._clock,
+            self.stats,
+            self.limits.group_bytes,
         )
-        self._expiries = TimingWheel(self.now())
         self._compaction = Compaction(
             files,
             self.segments,
@@ -141,7 +144,7 @@
         return RESERVE_FILE in names
 
     def _load_index(self, rows: np.ndarray) -> None:
-        self._sequence = int(rows["seq"].max(initial=0))
+        self._pending.sequence = int(rows["seq"].max(initial=0))
         self.index.load(rows)
         for place, _ in self.index.places():
             self.segments[split_place(place)[0]].live_count += 1
@@ -168,31 +171,18 @@
         future.
         """
         _check_changes(changes)
-        future: Future[int] = Future()
         with self.lock:
             if self._closed:
                 raise StoreError("the store is closed")
             size = sum(fmt.RECORD_HEADER.size + len(key) + len(value or b"") for key, value, _ in changes)
             if any(value is not None for _, value, _ in changes):
                 self._check_capacity(size)
-            records = [self._next_record(*change) for change in changes]
-            for record in records:
-                self._memtable.put(record)
-            self._enqueue(PendingBatch(records, future, size))
-        return future
-
-    def _next_record(self, key: bytes, value: bytes | None, expiry: float) -> Record:
-        self._sequence += 1
-        kind = TOMBSTONE if value is None else PUT
-        return Record(kind, self._sequence, key, value or b"", expiry)
-
-    def _enqueue(self, batch: PendingBatch) -> None:
-        self._queue.add(batch)
-        self._work_available.notify()
+            records = [self._pending.next_record(*change) for change in changes]
+            return self._pending.add_changes(records, size)
 
     def _check_capacity(self, size: int) -> None:
         """Raise ``StoreFullError`` if ``size`` more bytes may not be put."""
-        pending = self._queue.pending_bytes
+        pending = self._pending.queue.pending_bytes
         if pending + size > self.limits.pending_bytes:
             self.stats.rejected += 1
             raise StoreFullError(f"{pending} bytes wait to be written", PENDING_RETRY_S)
@@ -204,7 +194,7 @@
     def seconds_to_expiry(self) -> float | None:
         """Seconds until the next record expires; ``None`` if none will soon."""
         with self.lock:
-            return self._expiries.seconds_to_next()
+            return self._committer.seconds_to_expiry()
 
     @property
     def disk_bytes(self) -> int:
@@ -214,103 +204,24 @@
     def sync(self) -> int:
         """Wait until everything put so far is durable; gives its sequence. Raises as the futures would."""
         with self.lock:
-            last = self._queue.last_future()
-            sequence = self._sequence
+            last = self._pending.queue.last_future()
+            sequence = self._pending.sequence
         if self._thread is None:
             self.commit()
         elif last is None:
-            with self._commit_lock:  # a group commit that is in progress
-                pass
+            self._committer.wait_for_current()
         return last.result() if last is not None else sequence
 
-    # ---- Group commit
     def commit(self) -> bool:
         """Write and sync one group; whether there was one. The store's thread calls it; without one, the caller."""
-        with self._commit_lock:
-            with self.lock:
-                group = self._queue.take_group(self.limits.group_bytes)
-            if not group:
-                return False
-            self._commit_group(group)
-            return True
-
-    def _commit_group(self, group: list[PendingBatch]) -> None:
-        records = [record for batch in group for record in batch.records]
-        wall_time = self.now()
-        try:
-            segment, start, end = self._writer.write_frame(records, wall_time)
-        except Exception as error:  # any error fails the futures, and the thread goes on
-            self._fail_group(group, records, error)
-            return
-        with self.lock:
-            segment.size = end
-            offset = start + fmt.FRAME_HEADER.size
-            for record in records:
-                self._index_record(segment, offset, record)
-                offset += record.size
-            self.stats.commits += 1
-            self.stats.records += len(records)
-            for key_digest in self._expiries.expire(wall_time):
-                self._expire(key_digest, wall_time)
-        for batch in group:
-            batch.future.set_result(batch.records[-1].sequence)
-
-    def _fail_group(self, group: list[PendingBatch], records: list[Record], error: Exception) -> None:
-        """Undo a group that was not written, and fail its futures."""
-        text = getattr(error, "strerror", None) or error
-        failure = error if isinstance(error, StoreError) else StoreWriteError(f"a write failed: {text}")
-        self.stats.failed += len(group)
-        with self.lock:
-            for record in records:
-                self._memtable.discard(record)
-        for batch in group:
-            batch.future.set_exception(failure)
-
-    def _index_record(self, segment: Segment, offset: int, record: Record) -> None:
-        """Point the index to a durable record, unless it knows of a newer one of its key."""
-        key_digest = digest(record.key)
-        is_put = record.kind == PUT
-        previous = self.index.get(key_digest)
-        segment.record_count += 1
-        segment.tombstone_count += not is_put
-        place = make_place(segment.number, offset) if is_put else ABSENT
-        if self.index.put(key_digest, place, record.sequence, record.expiry):
-            if previous is not None:
-                self._count_dead(previous.place)
-            segment.live_count += is_put
-            if record.expiry:
-                self._expiries.add(record.expiry, key_digest)
-        self._memtable.discard(record)
-
-    def _count_dead(self, place: int) -> None:
-        """The record at a place is not the newest of its key any more."""
-        if place == ABSENT:
-            return
-        segment = self.segments.get(split_place(place)[0])
-        if segment is not None:
-            segment.live_count -= 1
-
-    def _expire(self, key_digest: int, wall_time: float) -> None:
-        entry = self.index.get(key_digest)
-        if entry is None or entry.place == ABSENT:
-            return
-        if 0 < entry.expiry <= wall_time - EXPIRY_SLACK_S:
-            self._count_dead(entry.place)
-            self.index.put(key_digest, ABSENT, entry.sequence, entry.expiry)
-
-    def _oldest_pending(self) -> int:
-        """The sequence up to which every record is written."""
-        with self.lock:
-            queued = self._queue.first_sequences()
-            unwritten = [record.sequence for record in self._memtable.records()]
-            return min([self._sequence + 1, *queued, *unwritten]) - 1
+        return self._committer.commit()
 
     # ---- Reading
     def get(self, key: bytes) -> bytes | None:
         """The value, or ``None``. Records that are not yet durable are visible. Raises ``OSError``."""
         key_digest = digest(key)
         with self.lock:
-            record = self._memtable.get(key_digest)
+            record = self._pending.memtable.get(key_digest)
             if record is None:
                 record = self._read_durable(key_digest, key)
             if record is None or record.kind == TOMBSTONE:
@@ -331,7 +242,7 @@
         """Every key, value and expiry at the time of the call, while writes go on."""
         with self.lock:
             places = [place for place, _ in self.index.places()]
-            unwritten = self._memtable.records()
+            unwritten = self._pending.memtable.records()
             pinned = self.segments.pin_all()
             now = self.now()
         try:
@@ -373,11 +284,8 @@
 
     def _write_copies(self, records: list[Record]) -> Future[int]:
         """Write records again with their sequences."""
-        future: Future[int] = Future()
-        size = sum(record.size for record in records)
         with self.lock:
-            self._enqueue(PendingBatch(list(records), future, size, is_copy=True))
-        return future
+            return self._pending.add_copies(records)
 
     # ---- Snapshots and the end
     def snapshot(self, path: str) -> int:
@@ -400,10 +308,10 @@
     def _run(self) -> None:
         """The store's thread."""
         while True:
-            with self._work_available:
-                while not len(self._queue) and not self._closed:
-                    self._work_available.wait(IDLE_WAIT_S)
-                if self._closed and not len(self._queue):
+            with self._pending.available:
+                while not len(self._pending.queue) and not self._closed:
+                    self._pending.available.wait(IDLE_WAIT_S)
+                if self._closed and not len(self._pending.queue):
                     return
             self.commit()
             with suppress(OSError):  # a segment that cannot be read stays as it is
@@ -411,11 +319,11 @@
 
     def close(self) -> None:
         """Write what is queued, seal the last segment and release the lock; further calls do nothing."""
-        with self._work_available:
+        with self._pending.available:
             if self._closed:
                 return
             self._closed = True
-            self._work_available.notify()
+            self._pending.available.notify()
         if self._thread is not None:
             self._thread.join()
         while self.commit():
