--- a/lapishaven/cli/serve.py
+++ b/lapishaven/cli/serve.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import TYPE_CHECKING, Annotated
 
 import typer
@@ -105,6 +106,27 @@
         fail(f"cannot open {path}: {error}")
 
 
+@dataclass(slots=True)
+class Stores:
+    """The stores that the options turn on."""
+
+    attempt_log: AttemptLog | None = None
+    result_store: DurableResultStore | None = None
+
+
+def _open_stores(record: str | None, storage: str | None, server_name: str, counters: Counters) -> Stores:
+    stores = Stores()
+    if record is not None and record.endswith(LEDGER_SETTINGS_SUFFIX):
+        if storage is not None:
+            fail("--storage and --record both keep results: only one may")
+        stores.result_store = _open_ledger(record, server_name)
+    elif record is not None:
+        stores.attempt_log = _open_attempt_log(record, counters)
+    if storage is not None:
+        stores.result_store = _open_result_store(storage)
+    return stores
+
+
 def _join_fleet(path: str, files: config.ConfigFiles) -> Participant:
     """This server as a member that shares the fleet's duties."""
     try:
@@ -138,22 +160,13 @@
     signals = Signals()  # before the first caller can connect
     files = _load_files(path, uwsgi, contracts, pools, spread)
     counters = Counters()
-    attempt_log: AttemptLog | None = None
-    result_store: DurableResultStore | None = None
-    if record is not None and record.endswith(LEDGER_SETTINGS_SUFFIX):
-        if storage is not None:
-            fail("--storage and --record both keep results: only one may")
-        result_store = _open_ledger(record, files.config.name)
-    elif record is not None:
-        attempt_log = _open_attempt_log(record, counters)
-    if storage is not None:
-        result_store = _open_result_store(storage)
+    stores = _open_stores(record, storage, files.config.name, counters)
     fleet = _join_fleet(ownership, files) if ownership is not None else None
     options = ServerOptions(
         counters=counters,
         read_files=lambda: config.load_files(path, uwsgi, contracts, pools, spread),
-        attempt_log=attempt_log,
-        result_store=result_store,
+        attempt_log=stores.attempt_log,
+        result_store=stores.result_store,
         fleet=fleet,
     )
     try:
