--- a/lapishaven/backends/__init__.py
+++ b/lapishaven/backends/__init__.py
@@ -14,13 +14,13 @@
     """Receives a backend's reports, on the loop's thread."""
 
     def backend_up(self, cold: bool, up_for: float) -> None:
-        """The backend can run requests, since ``up_for`` seconds; it is slow at first if it is ``cold``."""
+        """The backend has been able to run requests for ``up_for`` seconds; it is slow at first if it is ``cold``."""
 
-    def run_finished(self, handle: str, outcome: Outcome, spent: float, result: bytes) -> None:
-        """The run of attempt ``handle`` ended after ``spent`` seconds; the result is empty unless that was well."""
+    def run_finished(self, attempt_id: str, outcome: Outcome, elapsed: float, result: bytes) -> None:
+        """The run of an attempt ended after ``elapsed`` seconds; ``result`` is empty unless the outcome is ``OK``."""
 
-    def load_sampled(self, values: dict[str, float]) -> None:
-        """The gauges by name that were requested."""
+    def load_sampled(self, gauges: dict[str, float]) -> None:
+        """The load sample that was requested: gauges by name."""
 
 
 class BackendDriver(Backend, Protocol):
@@ -32,11 +32,11 @@
     def change_address(self, address: tuple[str, int]) -> None:
         """Use this address from now on."""
 
-    def health_check(self, told: Callable[[bool], None]) -> None:
-        """Check whether the backend can run requests; ``told`` is called once, later."""
+    def health_check(self, callback: Callable[[bool], None]) -> None:
+        """Check whether the backend can run requests; ``callback`` is called once, later."""
 
     def failed(self) -> None:
         """``run`` has ended by a fault of this program: release its connection, as it is started again."""
 
     def close(self) -> None:
-        """End for good."""
+        """Release the connection and start no further one."""
--- a/lapishaven/backends/balanced_run.py
+++ b/lapishaven/backends/balanced_run.py
@@ -1,4 +1,4 @@
-"""A run that the core asked for, whichever endpoint has it."""
+"""The state of one run over all its attempts at endpoints."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 @dataclass(slots=True, eq=False)
 class BalancedRun:
-    """Times are in s of the event loop's clock.
+    """A run that the core has asked for. Times are seconds of the event loop's clock.
 
     Attributes:
-        handle: the core's name for it.
+        handle: its attempt id in the core.
         class_name: class of the request.
         body: of the request.
         at_most_once: whether the request is not idempotent, so that it must not be sent where it may have run before.
         started_at: when the core asked for it.
         deadline: when it fails if no endpoint has answered.
         connection: to its endpoint, once there is one.
-        endpoint: that it was last sent to.
+        endpoint: the endpoint that it was last sent to; empty before.
         sent_at: when that was.
-        attempt_number: grows with each attempt and at the end, which tells the events of earlier attempts apart.
-        excluded: endpoints that had it.
+        attempt_number: grows with each attempt and at the end, so that late events of earlier attempts are recognized.
+        excluded: endpoints that it was sent to and is not sent to again.
         cancelled: whether the core no longer wants it.
     """
 
--- a/lapishaven/backends/endpoint_prober.py
+++ b/lapishaven/backends/endpoint_prober.py
@@ -16,10 +16,12 @@
 
 
 class EndpointProber:
-    """Parameters:
-    addresses: host and port by endpoint.
-    choice_completed: is called with a choice when the last of its probes is answered.
-    endpoint_suspected: is called with the name of each suspected endpoint at each check.
+    """Sends probes, passes their answers to the balancer, and reports suspected endpoints.
+
+    Parameters:
+        addresses: host and port by endpoint.
+        choice_completed: is called with a choice when the last of its probes is answered.
+        endpoint_suspected: is called with the name of each suspected endpoint at each check.
     """
 
     def __init__(
@@ -63,7 +65,7 @@
             self._loop.at(when, self._check)
 
     def _check(self) -> None:
-        """Probe endpoints that nothing was heard of, and report the suspected ones."""
+        """Probe endpoints that have not been heard from, and report the suspected ones."""
         now = self._loop.now
         if now < self._check_at:
             return
--- a/lapishaven/backends/interpreter.py
+++ b/lapishaven/backends/interpreter.py
@@ -101,13 +101,13 @@
         if self._ready and not self._moving:
             self._fence(None)
 
-    def health_check(self, told: Callable[[bool], None]) -> None:
-        """A deep health check; ``told`` is called once. One that meets a break is sent again on the next link."""
-        if self._health_checks.join(told):
+    def health_check(self, callback: Callable[[bool], None]) -> None:
+        """A deep health check; ``callback`` is called once. One that meets a break is sent again on the next link."""
+        if self._health_checks.join(callback):
             return
         self._tag_count += 1
         tag = f"s{self._tag_count}"
-        self._health_checks.add(tag, told)
+        self._health_checks.add(tag, callback)
         self.loop.at(self.loop.now + HEALTH_CHECK_TIMEOUT_S, lambda: self._health_checks.settle(tag, False))
         self._ask_health(tag)
 
@@ -160,7 +160,7 @@
                 failures = 0
 
     def _open_link(self, sock: socket.socket) -> Connection:
-        """Make a link of a socket, and have the notices after the last one that was read sent on it."""
+        """Set up a link on a socket; the interpreter is asked for all notices after the last one that was read."""
         conn = self._conn = Connection(self.loop, sock, self._ended)
         hello = proto.connect(self._last_notice)
         self._unconfirmed.add_question("", len(hello))
@@ -169,7 +169,7 @@
 
     def _read(self, conn: Connection) -> Generator[Wait, Any, None]:
         """Process what comes on a link until it ends."""
-        machine = proto.Client()
+        parser = proto.Client()
         while True:
             data = yield from conn.read()
             if isinstance(data, ConnectionEnd):
@@ -179,7 +179,7 @@
             if conn.end is not None:
                 return  # all notices that were not read on it come again on the next link
             try:
-                for message in machine.feed(data or b""):
+                for message in parser.feed(data or b""):
                     self._process(message)
             except ProtocolError:
                 conn.abort(ConnectionEnd.PROTOCOL_ERROR)
@@ -273,7 +273,7 @@
             self._process_banner(message)
 
     def _process_value(self, message: proto.Value) -> None:
-        # Remarks have numbers too, but none of them may stand for the end of a run.
+        # Other notices (remarks) are numbered too; only ends of runs advance the number, so that none is skipped.
         if message.number <= self._last_notice:
             self.counters.add("interpreter", "notices seen before")
             return
@@ -338,7 +338,7 @@
             self._conn.abort(ConnectionEnd.FAULT)
 
     def close(self) -> None:
-        """End for good."""
+        """Break the link and dial no further one."""
         self._stopped = True
         if self._redial_pause is not None:
             self._redial_pause.wake()
--- a/lapishaven/backends/load_balanced.py
+++ b/lapishaven/backends/load_balanced.py
@@ -15,7 +15,7 @@
 from lapishaven.backends import BackendListener
 from lapishaven.backends.balanced_run import BalancedRun
 from lapishaven.backends.run_dispatcher import RunDispatcher
-from lapishaven.backends.uwsgi import DIAL, POOL
+from lapishaven.backends.uwsgi import DIAL_TIMEOUT_S, SAMPLE_DELAY_S
 from lapishaven.connection_end import ConnectionEnd
 from lapishaven.counters import Counters
 from lapishaven.load_balancing import LoadBalancer
@@ -30,11 +30,11 @@
     Parameters:
         loop: the event loop.
         settings: endpoints and limits.
-        cores: of all endpoints, by which their use is estimated.
-        spans: deadline in s by class.
+        cores: number of cores of all endpoints together, from which their utilization is estimated.
+        deadlines: seconds by class.
         listener: is notified of results.
         counters: for operators.
-        random: makes this balancer choose unlike others with the same view.
+        random: seeded differently in each server, so that servers with the same view choose differently.
         dial: opens connections.
     """
 
@@ -43,7 +43,7 @@
         loop: Loop,
         settings: BalancingSettings,
         cores: int,
-        spans: dict[str, float],
+        deadlines: dict[str, float],
         listener: BackendListener,
         counters: Counters,
         random: Random,
@@ -52,7 +52,7 @@
         self.loop = loop
         self.settings = settings
         self.cores = cores
-        self.spans = spans
+        self.deadlines = deadlines
         self.listener = listener
         self.counters = counters
         self._dial = dial
@@ -75,14 +75,14 @@
         self.balancer.set_endpoints(f"{host}:{port}" for host, port in addresses)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """The one address of a reload without a list: it is the only endpoint then."""
+        """Make this the only endpoint: a reload named one address and no list."""
         self.set_addresses((address,))
 
     # ---- The core's port
     def start(self, handle: str, cls: str, body: bytes, once: bool) -> None:
         """Run a request; ``once``: it is not idempotent."""
         now = self.loop.now
-        self._dispatcher.dispatch(BalancedRun(handle, cls, body, once, now, now + self.spans[cls]))
+        self._dispatcher.dispatch(BalancedRun(handle, cls, body, once, now, now + self.deadlines[cls]))
 
     def pause(self, handle: str) -> None:
         """Cancel a run."""
@@ -107,22 +107,22 @@
             "on_cores": float(in_flight),
             "links": float(in_flight),
         }
-        self.loop.at(self.loop.now + POOL, lambda: self.listener.load_sampled(values))
+        self.loop.at(self.loop.now + SAMPLE_DELAY_S, lambda: self.listener.load_sampled(values))
 
-    def health_check(self, told: Callable[[bool], None]) -> None:
+    def health_check(self, callback: Callable[[bool], None]) -> None:
         """Find out whether any endpoint can be reached."""
-        self.loop.spawn(self._dial_any(told))
+        self.loop.spawn(self._dial_any(callback))
 
-    def _dial_any(self, told: Callable[[bool], None]) -> Generator[Wait, Any, None]:
+    def _dial_any(self, callback: Callable[[bool], None]) -> Generator[Wait, Any, None]:
         choice = self.balancer.begin_choice(self.loop.now, first=False)
         name = self.balancer.finish_choice(self.loop.now, choice)
         sock: Any = ConnectionEnd.UNREACHED
         if name is not None:
-            sock = yield from self._dial(self.loop, self._addresses[name], DIAL)
+            sock = yield from self._dial(self.loop, self._addresses[name], DIAL_TIMEOUT_S)
         reached = not isinstance(sock, ConnectionEnd)
         if reached:
             sock.close()
-        told(reached)
+        callback(reached)
 
     # ---- For operators, and the end
     def state(self) -> dict[str, Any]:
--- a/lapishaven/backends/pending_health_checks.py
+++ b/lapishaven/backends/pending_health_checks.py
@@ -19,18 +19,18 @@
         """The tags of the outstanding questions."""
         return list(self._callbacks)
 
-    def join(self, told: Callable[[bool], None]) -> bool:
-        """Have ``told`` wait for the outstanding question; returns false if there is none."""
+    def join(self, callback: Callable[[bool], None]) -> bool:
+        """Have ``callback`` wait for the outstanding question; returns false if there is none."""
         for callbacks in self._callbacks.values():
-            callbacks.append(told)
+            callbacks.append(callback)
             return True
         return False
 
-    def add(self, tag: str, told: Callable[[bool], None]) -> None:
-        """Have ``told`` wait for a new question."""
-        self._callbacks[tag] = [told]
+    def add(self, tag: str, callback: Callable[[bool], None]) -> None:
+        """Have ``callback`` wait for a new question."""
+        self._callbacks[tag] = [callback]
 
     def settle(self, tag: str, healthy: bool) -> None:
         """Call all that wait for a question; does nothing the second time."""
-        for told in self._callbacks.pop(tag, ()):
-            told(healthy)
+        for callback in self._callbacks.pop(tag, ()):
+            callback(healthy)
--- a/lapishaven/backends/run_dispatcher.py
+++ b/lapishaven/backends/run_dispatcher.py
@@ -8,7 +8,7 @@
 from lapishaven.admission import Outcome
 from lapishaven.backends.balanced_run import BalancedRun
 from lapishaven.backends.endpoint_prober import EndpointProber
-from lapishaven.backends.uwsgi import DIAL, read_response
+from lapishaven.backends.uwsgi import DIAL_TIMEOUT_S, read_response
 from lapishaven.connection_end import ConnectionEnd, outcome_of
 from lapishaven.core.outcome_metrics import OUTCOME_LABELS
 from lapishaven.counters import Counters
@@ -20,29 +20,31 @@
 from lapishaven.proto import uwsgi as proto
 
 MAX_ATTEMPTS = 4  # of one run, at all endpoints
-MIN_TIME_FOR_RETRY_S = 0.05  # before a run's deadline
-MAX_RETRY_AFTER_S = 60.0
-# Other outcomes are failures.
+MIN_TIME_FOR_RETRY_S = 0.05  # left until a run's deadline; with less it is not retried
+MAX_RETRY_AFTER_S = 60.0  # that an endpoint's answer can ask for; longer ones are cut to it
+# What the balancer is told of an attempt; outcomes that are not listed count as failures.
 ATTEMPT_OUTCOMES = {
     Outcome.OK: AttemptOutcome.SERVED,
     Outcome.OVERLOADED: AttemptOutcome.REJECTED,
     Outcome.UNREACHABLE: AttemptOutcome.UNREACHABLE,
     Outcome.CANCELLED: AttemptOutcome.ABANDONED,
 }
-NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE)
-Finished = Callable[[str, Outcome, float, bytes], None]  # handle, outcome, s that it took, result
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE)  # outcomes that prove that the attempt did nothing
+Finished = Callable[[str, Outcome, float, bytes], None]  # attempt id, outcome, seconds that it took, result
 
 
 class RunDispatcher:
-    """Parameters:
-    balancer: chooses endpoints.
-    addresses: host and port by endpoint.
-    settings: path of requests, and limits.
-    finished: is called with the end of each run.
-    dial: opens connections.
+    """Holds the runs in flight and the attempts of each.
+
+    Parameters:
+        balancer: chooses endpoints.
+        addresses: host and port by endpoint.
+        settings: path of requests, and limits.
+        finished: is called with the end of each run.
+        dial: opens connections.
 
     Attributes:
-        runs: in flight, by handle.
+        runs: in flight, by attempt id.
     """
 
     def __init__(
@@ -113,7 +115,7 @@
 
     # ---- One attempt
     def _attempt(self, run: BalancedRun, number: int) -> Generator[Wait, Any, None]:
-        timeout_s = min(DIAL, run.deadline - self.loop.now)
+        timeout_s = min(DIAL_TIMEOUT_S, run.deadline - self.loop.now)
         sock = yield from self._dial(self.loop, self._addresses[run.endpoint], timeout_s)
         if run.attempt_number != number:  # given up meanwhile
             if not isinstance(sock, ConnectionEnd):
@@ -174,7 +176,7 @@
 
     # ---- Retries
     def _may_retry(self, run: BalancedRun) -> bool:
-        """Whether the run may go to another endpoint; if so the retry budget has paid for it."""
+        """Whether the run may go to another endpoint; if so, this has charged the retry budget for it."""
         now = self.loop.now
         if run.cancelled or run.attempt_number >= MAX_ATTEMPTS or now + MIN_TIME_FOR_RETRY_S > run.deadline:
             return False
@@ -218,7 +220,7 @@
 
 
 def _retry_after_s(response: proto.Response | None) -> float:
-    """For how long the endpoint asks to be left alone; the header in milliseconds goes before ``Retry-After``."""
+    """Seconds for which the endpoint asks for no requests; the header in milliseconds precedes ``Retry-After``."""
     if response is None:
         return 0.0
     milliseconds = response.headers.get("x-pushback-ms", "")
--- a/lapishaven/backends/unconfirmed_commands.py
+++ b/lapishaven/backends/unconfirmed_commands.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-LOSS_WINDOW_S = 0.1  # before a break; a command written then may be lost even if a later one was answered
+LOSS_WINDOW_S = 0.1  # before a break; a command written in it counts as uncertain even if a later one was answered
 
 
 @dataclass(slots=True)
@@ -50,7 +50,7 @@
         self._question_ends[tag] = self._written
 
     def answered(self, now: float, tag: str) -> None:
-        """The question was answered: drop what is confirmed by it, but for commands written just now."""
+        """A question was answered: drop the commands that this confirms, except those within ``LOSS_WINDOW_S``."""
         self._proven = max(self._proven, self._question_ends.get(tag, 0))
         self._question_ends = {tag: end for tag, end in self._question_ends.items() if end > self._proven}
         while self._commands and self._is_confirmed(now, self._commands[0]):
--- a/lapishaven/backends/uwsgi.py
+++ b/lapishaven/backends/uwsgi.py
@@ -14,8 +14,8 @@
 from lapishaven.proto import ProtocolError, TooLargeError
 from lapishaven.proto import uwsgi as proto
 
-DIAL = 1.0  # s for a connection to be established
-POOL = 0.005  # s after which the gauges that were requested are delivered
+DIAL_TIMEOUT_S = 1.0  # for a connection to be established
+SAMPLE_DELAY_S = 0.005  # from the request for a load sample to its delivery; the core cannot take it within the call
 HTTP_OK = 200
 HTTP_SERVICE_UNAVAILABLE = 503
 
@@ -29,22 +29,22 @@
         address: tuple[str, int],
         path: str,
         cores: int,
-        spans: dict[str, float],
+        deadlines: dict[str, float],
         listener: BackendListener,
         counters: Counters,
         dial: Dial = connect,
     ) -> None:
-        """``path`` is the URL path above the classes, ``cores`` the server's, ``spans`` the deadlines by class (s)."""
+        """``path`` is the URL path above the classes, ``cores`` the server's, ``deadlines`` seconds by class."""
         self.loop = loop
         self.address = address
         self.counters = counters
         self._path = path
         self._cores = cores
-        self._deadlines = spans
+        self._deadlines = deadlines
         self._listener = listener
         self._dial = dial
-        self._running: dict[str, Connection | None] = {}  # by handle; None while its connection is dialled
-        self._cancelled: set[str] = set()  # handles that were paused while their connections were dialled
+        self._running: dict[str, Connection | None] = {}  # by attempt id; None while its connection is dialled
+        self._cancelled: set[str] = set()  # attempt ids that were paused while their connections were dialled
 
     def run(self) -> Generator[Wait, Any, None]:
         """Report that the backend is up, at once, as there is no connection to hold."""
@@ -57,69 +57,69 @@
         """Send new attempts there; those in flight have connections of their own and go on."""
         self.address = address
 
-    def start(self, handle: str, cls: str, body: bytes, once: bool) -> None:
+    def start(self, attempt_id: str, cls: str, body: bytes, once: bool) -> None:
         """Send an attempt on a connection of its own; it is never sent twice."""
-        self._running[handle] = None
-        self.loop.spawn(self._attempt(handle, cls, body), lambda error: self._attempt_failed(handle))
+        self._running[attempt_id] = None
+        self.loop.spawn(self._attempt(attempt_id, cls, body), lambda error: self._attempt_failed(attempt_id))
 
-    def _attempt_failed(self, handle: str) -> None:
+    def _attempt_failed(self, attempt_id: str) -> None:
         """The attempt's coroutine has ended by a fault of this program."""
-        conn = self._running.get(handle)
+        conn = self._running.get(attempt_id)
         if conn is not None:
             conn.abort(ConnectionEnd.FAULT)
-        self._end(handle, outcome_of(ConnectionEnd.FAULT), 0.0)
+        self._end(attempt_id, outcome_of(ConnectionEnd.FAULT), 0.0)
 
-    def pause(self, handle: str) -> None:
+    def pause(self, attempt_id: str) -> None:
         """Close the attempt's connection, which ends the attempt as cancelled."""
-        conn = self._running.get(handle)
+        conn = self._running.get(attempt_id)
         if conn is not None:
             conn.close(ConnectionEnd.ABANDONED, unsent=False)
-        elif handle in self._running:
-            self._cancelled.add(handle)
+        elif attempt_id in self._running:
+            self._cancelled.add(attempt_id)
 
-    def resume(self, handle: str) -> None:
+    def resume(self, attempt_id: str) -> None:
         """End the attempt as cancelled, unless it has ended: no attempt is ever paused, so none can go on."""
-        self._end(handle, Outcome.CANCELLED, 0.0)
+        self._end(attempt_id, Outcome.CANCELLED, 0.0)
 
     def request_load_sample(self) -> None:
         """Deliver what this side can see: each attempt in flight is taken to need one core of the server."""
         in_flight = len(self._running)
         core_use = min(1.0, in_flight / self._cores)
         values = {"core_use": core_use, "on_cores": float(in_flight), "links": float(in_flight)}
-        self.loop.at(self.loop.now + POOL, lambda: self._listener.load_sampled(values))
+        self.loop.at(self.loop.now + SAMPLE_DELAY_S, lambda: self._listener.load_sampled(values))
 
-    def health_check(self, told: Callable[[bool], None]) -> None:
+    def health_check(self, callback: Callable[[bool], None]) -> None:
         """Check whether the server accepts a connection."""
-        self.loop.spawn(self._dial_only(told))
+        self.loop.spawn(self._dial_only(callback))
 
-    def _dial_only(self, told: Callable[[bool], None]) -> Generator[Wait, Any, None]:
-        sock = yield from self._dial(self.loop, self.address, DIAL)
+    def _dial_only(self, callback: Callable[[bool], None]) -> Generator[Wait, Any, None]:
+        sock = yield from self._dial(self.loop, self.address, DIAL_TIMEOUT_S)
         if not isinstance(sock, ConnectionEnd):
             sock.close()
-        told(not isinstance(sock, ConnectionEnd))
+        callback(not isinstance(sock, ConnectionEnd))
 
     # ---- One attempt
-    def _attempt(self, handle: str, cls: str, body: bytes) -> Generator[Wait, Any, None]:
+    def _attempt(self, attempt_id: str, cls: str, body: bytes) -> Generator[Wait, Any, None]:
         started_at = self.loop.now
-        sock = yield from self._dial(self.loop, self.address, DIAL)
+        sock = yield from self._dial(self.loop, self.address, DIAL_TIMEOUT_S)
         if isinstance(sock, ConnectionEnd):
             # Whether refused or timed out, nothing was sent, so it never ran.
-            return self._end(handle, outcome_of(ConnectionEnd.UNREACHED), self.loop.now - started_at)
+            return self._end(attempt_id, outcome_of(ConnectionEnd.UNREACHED), self.loop.now - started_at)
         conn = Connection(self.loop, sock, lambda end: self.counters.add("ends", f"uwsgi backend {end.value}"))
-        self._running[handle] = conn
-        if handle in self._cancelled:
+        self._running[attempt_id] = conn
+        if attempt_id in self._cancelled:
             conn.close(ConnectionEnd.ABANDONED, unsent=False)
-        variables = {"REQUEST_METHOD": "POST", "PATH_INFO": self._path + cls, "HTTP_X_REQUEST_ID": handle}
+        variables = {"REQUEST_METHOD": "POST", "PATH_INFO": self._path + cls, "HTTP_X_REQUEST_ID": attempt_id}
         conn.write(proto.encode_request(variables, body))
         outcome, result, _ = yield from read_response(self.loop, conn, started_at + self._deadlines[cls])
-        self._end(handle, outcome, self.loop.now - started_at, result)
+        self._end(attempt_id, outcome, self.loop.now - started_at, result)
 
-    def _end(self, handle: str, outcome: Outcome, spent: float, result: bytes = b"") -> None:
+    def _end(self, attempt_id: str, outcome: Outcome, elapsed: float, result: bytes = b"") -> None:
         """Report the end of an attempt, the first time."""
-        if handle in self._running:
-            del self._running[handle]
-            self._cancelled.discard(handle)
-            self._listener.run_finished(handle, outcome, spent, result)
+        if attempt_id in self._running:
+            del self._running[attempt_id]
+            self._cancelled.discard(attempt_id)
+            self._listener.run_finished(attempt_id, outcome, elapsed, result)
 
     def failed(self) -> None:
         """Do nothing: there is no connection to release."""
@@ -135,14 +135,14 @@
     loop: Loop, conn: Connection, until: float
 ) -> Generator[Wait, Any, tuple[Outcome, bytes, proto.Response | None]]:
     """How the attempt that was sent on a connection ended by the time ``until``, its result, and any response."""
-    machine = proto.ResponseParser()
+    parser = proto.ResponseParser()
     while True:
         data = yield from conn.read(max(0.0, until - loop.now))
         if data is None:
             conn.close(ConnectionEnd.TIMED_OUT, unsent=False)
             return outcome_of(ConnectionEnd.TIMED_OUT), b"", None
         try:
-            response = machine.feed(b"" if isinstance(data, ConnectionEnd) else data)
+            response = parser.feed(b"" if isinstance(data, ConnectionEnd) else data)
         except ProtocolError as error:
             if isinstance(data, ConnectionEnd):
                 return outcome_of(data), b"", None
