--- a/lapishaven/frontends/__init__.py
+++ b/lapishaven/frontends/__init__.py
@@ -17,9 +17,9 @@
 def age(now: float, stated: float | None) -> float | None:
     """Seconds since the time that a request states; 0 if it states none, ``None`` if that time is out of range.
 
-    Guards the controller's measure of how late requests are read: one that said to have come in 1970 would tell it that
-    everything waits beyond its latency objective, and take the server off the endpoint list. A clock that is a little
-    ahead gives a negative age, which the core takes as 0.
+    The bound protects the controller's measure of how late requests are read: a request that stated a time in 1970
+    would make it look as if everything waited past its latency objective, and the server would be taken off the
+    endpoint list. A clock that is a little ahead gives a negative age, which the core counts as 0.
     """
     span = now - stated if stated is not None else 0.0
     return span if abs(span) <= MAX_CLOCK_DIFFERENCE_S else None
@@ -29,7 +29,11 @@
     """One connection of a frontend."""
 
     conn: Connection
-    since: float | None  # when the rest of a message began to be awaited, the first from the start; None: not awaited
+    awaiting_since: float | None
+    """When the wait for the rest of a message began, on the loop's clock; ``None`` while no message is incomplete.
+
+    For the first message the wait begins with the connection.
+    """
 
     @property
     def busy(self) -> bool:
@@ -41,7 +45,7 @@
     def drain(self) -> None:
         """Tell the peer that nothing new is to be sent here, where its protocol has a message for that."""
 
-    def leave(self, end: ConnectionEnd) -> None:
+    def close_gracefully(self, end: ConnectionEnd) -> None:
         """Process nothing more, and close once all that is open is answered."""
 
 
@@ -67,8 +71,8 @@
     def draining(self) -> bool:
         """Whether the notice to shut down has come."""
 
-    def health_check(self, deep: bool, told: Callable[[bool], None]) -> None:
-        """Answer a health check through ``told``, at once or later; a deep one asks the backend too."""
+    def health_check(self, deep: bool, callback: Callable[[bool], None]) -> None:
+        """Answer a health check through ``callback``, at once or later; a deep one asks the backend too."""
 
     def connection_ended(self, session: Session, end: ConnectionEnd) -> None:
         """The session's connection has ended and its descriptor is free."""
--- a/lapishaven/frontends/platform.py
+++ b/lapishaven/frontends/platform.py
@@ -34,7 +34,7 @@
         self.host = host
         self.conn = Connection(host.loop, sock, self._ended)
         self.open: dict[int, Request | None] = {}  # by the id on this connection; None: a check, or not entered yet
-        self.since: float | None = host.loop.now  # when the rest of a message began to be awaited
+        self.awaiting_since: float | None = host.loop.now  # when the rest of a message began to be awaited
         self._ids_by_call: dict[str, int] = {}  # ids on this connection by the caller's name of the attempt
         self._feeding = False  # whether messages that were read are still to be processed
         self._closing_as: ConnectionEnd | None = None  # how it ends once nothing is open
@@ -49,24 +49,24 @@
     # ---- Input
     def run(self) -> Generator[Wait, Any, None]:
         """Read and serve until the input ends."""
-        machine = jsonrpc.ServerParser()
+        parser = jsonrpc.ServerParser()
         while True:
             data = yield from self.conn.read()
             if isinstance(data, ConnectionEnd):
                 self._input_ended(data)
                 return
-            if not (yield from self._feed(machine, data or b"")):
+            if not (yield from self._feed(parser, data or b"")):
                 return
-            self._note_partial_message(machine)
+            self._note_partial_message(parser)
             if self._closing_as is not None:
-                self.leave(self._closing_as)
+                self.close_gracefully(self._closing_as)
                 return
 
-    def _feed(self, machine: jsonrpc.ServerParser, data: bytes) -> Generator[Wait, Any, bool]:
+    def _feed(self, parser: jsonrpc.ServerParser, data: bytes) -> Generator[Wait, Any, bool]:
         """Process the messages that some bytes complete; returns false if the connection ended before one of them."""
         self._feeding = True
         try:
-            for count, message in enumerate(machine.feed(data), 1):
+            for count, message in enumerate(parser.feed(data), 1):
                 if count % MESSAGES_PER_ROUND == 0:
                     yield self.host.loop.next_round()
                 if self.conn.end is not None:
@@ -79,12 +79,12 @@
             self._feeding = False
         return True
 
-    def _note_partial_message(self, machine: jsonrpc.ServerParser) -> None:
+    def _note_partial_message(self, parser: jsonrpc.ServerParser) -> None:
         """Note since when the rest of a message is awaited."""
-        if machine.at_message_boundary:
-            self.since = None
-        elif self.since is None:
-            self.since = self.host.loop.now
+        if parser.at_message_boundary:
+            self.awaiting_since = None
+        elif self.awaiting_since is None:
+            self.awaiting_since = self.host.loop.now
 
     def _input_ended(self, end: ConnectionEnd) -> None:
         """The peer sends no more; it may still wait for its answers, or have gone.
@@ -95,7 +95,7 @@
         if self.open and end is ConnectionEnd.PEER_CLOSED:
             self.host.counters.add("platform", "half-closed with requests open")
             self.conn.write(jsonrpc.DRAINING_NOTICE)
-        self.leave(end)
+        self.close_gracefully(end)
 
     def _process(self, message: jsonrpc.Message) -> None:
         if isinstance(message, jsonrpc.RunRequest):
@@ -208,7 +208,7 @@
         """Tell the caller that nothing new is to be sent here."""
         self.conn.write(jsonrpc.DRAINING_NOTICE)
 
-    def leave(self, end: ConnectionEnd) -> None:
+    def close_gracefully(self, end: ConnectionEnd) -> None:
         """Process nothing more, and close once all that is open is answered."""
         self._closing_as = end
         if self._feeding:
--- a/lapishaven/frontends/uwsgi.py
+++ b/lapishaven/frontends/uwsgi.py
@@ -140,15 +140,17 @@
         sock: socket.socket,
         front: UwsgiFrontendConfig,
         random: Random,
-        word: Callable[[], str] | None = None,
+        load_report: Callable[[], str] | None = None,
     ) -> None:
         """Attempt ids are drawn from ``random``; ``word`` gives the load report for each answer, if there is one."""
         self.host = host
         self.front = front
         self.conn = Connection(host.loop, sock, self._ended)
-        self.since: float | None = host.loop.now  # when the request began to be awaited; None once it is complete
+        self.awaiting_since: float | None = (
+            host.loop.now
+        )  # when the request began to be awaited; None once it is complete
         self._random = random
-        self._load_word = word
+        self._load_report = load_report
         self._request: Request | None = None
         self._open = False  # whether the request is in the core and not answered
         self._closing_as: ConnectionEnd | None = None  # how it ends once the request is answered
@@ -161,7 +163,7 @@
     # ---- Input
     def run(self) -> Generator[Wait, Any, None]:
         """Read the request and serve it, until the input ends."""
-        machine = proto.RequestParser()
+        parser = proto.RequestParser()
         excess_bytes = 0
         while True:
             data = yield from self.conn.read()
@@ -170,27 +172,27 @@
                 return
             if data is None:
                 continue
-            if machine.done:
+            if parser.done:
                 excess_bytes += len(data)
                 if excess_bytes > MAX_EXCESS_BYTES:
                     self._give_up(ConnectionEnd.PROTOCOL_ERROR)
                     return
                 continue
-            self._feed(machine, data)
+            self._feed(parser, data)
 
-    def _feed(self, machine: proto.RequestParser, data: bytes) -> None:
+    def _feed(self, parser: proto.RequestParser, data: bytes) -> None:
         """Submit the request if some bytes complete it, or answer with the error that they show."""
         try:
-            request = machine.feed(data)
+            request = parser.feed(data)
             if request is not None:
                 self._submit(request)
         except (ProtocolError, LookupError) as error:
-            machine.done = True
-            self.since = None
+            parser.done = True
+            self.awaiting_since = None
             self._answer_error(ERRORS[type(error)], str(error))
 
     def _submit(self, request: proto.Request) -> None:
-        self.since = None
+        self.awaiting_since = None
         broker = self.host.broker
         if self.conn.peer_has_closed():
             # The client gave up while this process was stopped or the packet was queued: nobody wants it run.
@@ -212,7 +214,7 @@
         self._open = False
         status = STATUS[answer.kind]
         self.host.counters.add("uwsgi", f"status {status.value}")
-        headers: Headers = (("X-Load", self._load_word()),) if self._load_word is not None else ()
+        headers: Headers = (("X-Load", self._load_report()),) if self._load_report is not None else ()
         if answer.kind is AnswerKind.SERVED:
             response = proto.encode_response(status, answer.body, "application/octet-stream", headers)
         else:
@@ -237,7 +239,7 @@
     def drain(self) -> None:
         """Do nothing: a uwsgi connection carries one request and is closed after its answer."""
 
-    def leave(self, end: ConnectionEnd) -> None:
+    def close_gracefully(self, end: ConnectionEnd) -> None:
         """Close once the request is answered, at once where there is none."""
         self._closing_as = end
         if not self._open:
--- a/lapishaven/pools/capacity.py
+++ b/lapishaven/pools/capacity.py
@@ -15,7 +15,7 @@
 from lapishaven.pools.work_estimate import WorkEstimates
 
 MIN_SPEED = 0.02  # the speed never counts as less, so that times stay finite
-MAX_SPEED = 4.0
+MAX_SPEED = 4.0  # the speed never counts as more
 MIN_SPEED_CHANGE = 0.25  # part of the speed by which it must differ to count as another
 USUAL_SPEED = (0.75, 1.33)  # between which the speed counts as the usual one
 
@@ -110,7 +110,7 @@
         return attained
 
     def sample(self, now: float) -> bool:
-        """Weigh the evidence at a load sample; whether the instance was found to have changed its speed."""
+        """Evaluate the runs since the last load sample; return whether the speed has changed."""
         self._advance(now)
         spent = self._spent
         done = self._done
@@ -137,7 +137,7 @@
             self._spent += elapsed * min(self._active, self._cores)
 
     def _adopt_speed(self, now: float) -> bool:
-        """Take over the speed of the short window, if it really is another one; whether it is."""
+        """Adopt the speed measured in the detector's window if it differs enough; return whether it does."""
         if self._work.adopt_changed_classes(now):
             return False
         measured = self._detector.measured_speed()
--- a/lapishaven/pools/pools.py
+++ b/lapishaven/pools/pools.py
@@ -1,4 +1,7 @@
-"""The pools of one instance, as ``AdmissionPools``: has a pool capacity, what runs next, what is preempted. Pure."""
+"""The pools of one instance, as ``AdmissionPools``: whether a pool has capacity, what runs next, what is preempted.
+
+Pure.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 OBJECTIVE_MARGIN = 0.9  # part of the time to its latency objective that a request may be predicted to take
 INITIAL_OBJECTIVE_SHARE = 0.2  # of a class's latency objective: the work of its runs until one was seen
-MIN_RETRY_AFTER_S = 0.05
+MIN_RETRY_AFTER_S = 0.05  # the least Retry-After of a rejection, however soon there is capacity
 DEFAULT_RETRY_AFTER_S = 1.0  # where callers follow no Retry-After
 SLOW_SPEED = 0.6  # of the usual one, under which an instance counts as slow
 MIN_REMAINING_WORK = 0.1  # part of a run's work that counts as left when it is preempted
@@ -61,7 +64,7 @@
             pool = self.pools[self._reserved]
             pool.ceiling = min(pool.ceiling, rules.reserve.ceiling)
 
-    def renew(self, now: float, rules: PoolSettings) -> None:
+    def reconfigure(self, now: float, rules: PoolSettings) -> None:
         """Take over reloaded rules.
 
         What is queued keeps its place. What runs counts for the new pool of its class, which may so be over its
@@ -93,7 +96,7 @@
         return max(1, round(self.rules.reserve.share * self.settings.cores))
 
     def can_start(self, pool_index: int) -> bool:
-        """Whether a pool may start one more run now: it borrows what others leave, up to its ceiling."""
+        """Whether a pool may start one more run now; it may borrow what other pools do not use, up to its ceiling."""
         pool = self.pools[pool_index]
         limit = self.run_limit.limit
         running = len(self.running)
--- a/lapishaven/pools/preemption.py
+++ b/lapishaven/pools/preemption.py
@@ -7,7 +7,7 @@
 from lapishaven.admission import Idempotency, RequestClass
 from lapishaven.pools.pool import Pool, PoolRun
 
-MIN_SHARE_RUNS = 1e-9  # so that a ratio stays finite
+MIN_SHARE_RUNS = 1e-9  # the least divisor, so that a ratio stays finite
 
 
 def is_short(pool: Pool, has_queue: bool, can_start: bool, limit: float) -> bool:
@@ -16,7 +16,10 @@
 
 
 def has_waited(pool: Pool, now: float, preempt_after_s: float) -> bool:
-    """Whether a pool that is short has been so for long enough; note the time if it has just become so."""
+    """Whether a pool that is short has been so for ``preempt_after_s`` seconds.
+
+    Starts the wait if the pool has just become short, and anew each time that it has passed.
+    """
     if pool.short_since is None:
         pool.short_since = now
         return False
--- a/lapishaven/pools/run_limit.py
+++ b/lapishaven/pools/run_limit.py
@@ -4,8 +4,8 @@
 
 IDLE_UTILIZATION = 0.8  # CPU utilization under which cores are idle although the limit is reached: runs wait
 SAFE_SHARE = 0.8  # of the concurrency at which the instance collapses
-INCREASE = 1.0  # runs at a load sample
-DECREASE = 0.5  # runs at a load sample
+INCREASE = 1.0  # runs by which the limit grows at a load sample
+DECREASE = 0.5  # runs by which it shrinks at a load sample
 
 
 class RunLimit:
--- a/lapishaven/pools/speed_detector.py
+++ b/lapishaven/pools/speed_detector.py
@@ -29,7 +29,7 @@
             window.popleft()
 
     def is_alarmed(self, expected: float, done: float, mean_run: float) -> bool:
-        """Weigh the work ``done`` against the work ``expected``; whether the evidence of a change suffices."""
+        """Add ``done`` against ``expected`` work to the evidence; return whether it proves a change of speed."""
         self._slower = max(0.0, self._slower + (expected * (1 - DRIFT) - done) / mean_run)
         self._faster = max(0.0, self._faster + (done - expected * (1 + DRIFT)) / mean_run)
         return self._slower >= ALARM_RUNS or self._faster >= ALARM_RUNS
--- a/lapishaven/pools/work_estimate.py
+++ b/lapishaven/pools/work_estimate.py
@@ -9,7 +9,7 @@
 RATIO_VALID_S = 1.0  # since a class's latest run, in which its ratio says something
 MIN_WORK_S = 1e-6  # so that a ratio stays finite
 USUAL_RATIO = (0.8, 1.25)  # between which a class's runs take as long as usual
-CHANGED_RATIO = (0.7, 1.4)  # outside which a class's runs have another work
+CHANGED_RATIO = (0.7, 1.4)  # outside which the work of a class's runs has changed
 
 
 class WorkEstimates:
@@ -52,7 +52,7 @@
             self._work[class_index] += WORK_SMOOTHING * (work - self._work[class_index])
 
     def adopt_changed_classes(self, now: float) -> bool:
-        """Whether single classes have changed and not the instance; their work is another from now on.
+        """Adopt the new work of classes that have changed while the instance has not; return whether there are any.
 
         That is so if the runs of some classes take as long as usual while those of others do not.
         """
--- a/lapishaven/server/attempt_reporting.py
+++ b/lapishaven/server/attempt_reporting.py
@@ -25,7 +25,7 @@
 
 
 class AttemptReporting:
-    """The core's attempt recorder: notifies the fleet member, the load endpoint and the attempt log, where they are."""
+    """The core's attempt recorder: notifies the fleet member, the load endpoint and the attempt log, if configured."""
 
     def __init__(
         self,
--- a/lapishaven/server/broker_host.py
+++ b/lapishaven/server/broker_host.py
@@ -66,7 +66,7 @@
 
     # ---- What the backends report
     def backend_up(self, cold: bool, up_for: float) -> None:
-        """The backend is up since ``up_for`` seconds, and slow at first if it is ``cold``."""
+        """The backend has been up for ``up_for`` seconds, and is slow at first if it is ``cold``."""
         if self.broker is not None:
             return
         settings = replace(self._running.config.settings, slow_start=cold)
@@ -78,17 +78,17 @@
             remaining_span = settings.slow_start_span - up_for if cold else 0.0
             self._load_endpoint.start_reporting(initial_share, remaining_span)
 
-    def run_finished(self, handle: str, outcome: Outcome, spent: float, result: bytes) -> None:
+    def run_finished(self, attempt_id: str, outcome: Outcome, elapsed: float, result: bytes) -> None:
         """A run ended after ``spent`` seconds."""
         if self._load_endpoint is not None:
-            self._load_endpoint.run_ended(handle, outcome)
+            self._load_endpoint.run_ended(attempt_id, outcome)
         if self.broker is not None:
-            self.broker.run_finished(handle, outcome, spent, result)
+            self.broker.run_finished(attempt_id, outcome, elapsed, result)
 
-    def load_sampled(self, values: dict[str, float]) -> None:
+    def load_sampled(self, gauges: dict[str, float]) -> None:
         """The gauges by name that were requested."""
         if self.broker is not None:
-            self.broker.load_sampled(values)
+            self.broker.load_sampled(gauges)
 
     # ---- Building
     def _build_broker(self, settings: Settings) -> Broker:
--- a/lapishaven/server/catalog_reporter.py
+++ b/lapishaven/server/catalog_reporter.py
@@ -19,7 +19,7 @@
 
 
 class CatalogReporter:
-    """Holds one connection to the registry and reports on it, once ``tell`` has said what."""
+    """Holds one connection to the registry and reports on it, once ``set_passing`` has said what."""
 
     def __init__(
         self, loop: Loop, address: tuple[str, int], name: str, counters: Counters, dial: Dial = connect
@@ -31,19 +31,19 @@
         self._name = name
         self._counters = counters
         self._dial = dial
-        self._pause: Wait | None = None  # the wait between two reports
+        self._report_pause: Wait | None = None  # the wait between two reports
         self._conn: Connection | None = None
         self._http: proto.Client | None = None
         self._awaits_response = False
         self._stopped = False
 
-    def tell(self, passing: bool) -> None:
+    def set_passing(self, passing: bool) -> None:
         """Report this from now on, at once if it is a change."""
         if passing == self.passing:
             return
         self.passing = passing
-        if self._pause is not None:
-            self._pause.wake()
+        if self._report_pause is not None:
+            self._report_pause.wake()
         elif self._conn is not None and self._awaits_response:
             # The response that is awaited may never come, and callers rely on the old report meanwhile.
             self._conn.close(ConnectionEnd.ABANDONED)
@@ -55,8 +55,8 @@
         self.address = address
         if self._conn is not None:
             self._conn.close(ConnectionEnd.MOVED)
-        if self._pause is not None:
-            self._pause.wake()
+        if self._report_pause is not None:
+            self._report_pause.wake()
 
     def run(self) -> Generator[Wait, Any, None]:
         """Report until ``close``."""
@@ -74,9 +74,9 @@
                     succeeded = yield from self._report(reported is True)
                 self._counters.add("catalog", "reports" if succeeded else "failed reports")
             if (self.passing, self.address) == (reported, address) and not self._stopped:
-                self._pause = Wait(REPORT_INTERVAL_S if succeeded else RETRY_DELAY_S)
-                yield self._pause
-                self._pause = None
+                self._report_pause = Wait(REPORT_INTERVAL_S if succeeded else RETRY_DELAY_S)
+                yield self._report_pause
+                self._report_pause = None
 
     def _has_usable_connection(self) -> bool:
         """Whether a report can be sent on the connection, which the registry may have closed since the last one."""
@@ -136,7 +136,7 @@
     def close(self) -> None:
         """Send no further report, not even one that is about to be sent."""
         self._stopped = True
-        if self._pause is not None:
-            self._pause.wake()
+        if self._report_pause is not None:
+            self._report_pause.wake()
         if self._conn is not None:
             self._conn.close(ConnectionEnd.SHUTDOWN)
--- a/lapishaven/server/client_connections.py
+++ b/lapishaven/server/client_connections.py
@@ -36,7 +36,7 @@
     def _failed(self, session: Session) -> None:
         """Its coroutine has ended by a fault of this program: close it once what is open there is answered."""
         self._counters.add("faults", "session")
-        session.leave(ConnectionEnd.FAULT)
+        session.close_gracefully(ConnectionEnd.FAULT)
 
     def ended(self, session: Session, end: ConnectionEnd) -> None:
         """Its connection has ended and its descriptor is free."""
@@ -57,7 +57,7 @@
         for session in list(self.sessions):
             if wanted <= 0:
                 break
-            was_used = session.since is None and session.conn.last_active > self.sessions[session]
+            was_used = session.awaiting_since is None and session.conn.last_active > self.sessions[session]
             del self.sessions[session]
             self.sessions[session] = session.conn.last_active
             is_evictable = not was_used and not session.conn.send_buffer.size
@@ -74,7 +74,7 @@
         conn = session.conn
         if session.busy or conn.closing is not None or conn.end is not None or conn.read_available():
             return False
-        session.leave(end)
+        session.close_gracefully(end)
         return True
 
     # ---- Timeouts
@@ -83,9 +83,9 @@
         idle_since = self._loop.now - self.idle
         silent_since = self._loop.now - MESSAGE_TIMEOUT_S
         for session in list(self.sessions):
-            if session.since is not None:
+            if session.awaiting_since is not None:
                 # Silent or half-open: it is of no use, and other callers may need its descriptor.
-                if session.since <= silent_since:
+                if session.awaiting_since <= silent_since:
                     self._close_at_rest(session, ConnectionEnd.TIMED_OUT)
             elif session.conn.last_active < idle_since:
                 self._close_at_rest(session, ConnectionEnd.IDLE)
@@ -97,9 +97,9 @@
         for session in self.sessions:
             session.drain()
 
-    def leave(self) -> None:
-        """Close all, each once what is open there is answered; what the kernel's buffers hold by now is read first."""
+    def close_gracefully(self) -> None:
+        """Close all, each once what is open there is answered; what the kernel has received by now is read first."""
         for session in list(self.sessions):
             session.conn.read_available()
         for session in list(self.sessions):
-            session.leave(ConnectionEnd.DRAINED)
+            session.close_gracefully(ConnectionEnd.DRAINED)
--- a/lapishaven/server/config_reload.py
+++ b/lapishaven/server/config_reload.py
@@ -17,7 +17,7 @@
 from lapishaven.server.graceful_shutdown import GracefulShutdown
 from lapishaven.server.running_config import RunningConfig
 
-RESTART_ONLY = ("name", "listen", "descriptors", "memory_mb")  # fields of ``Config`` that a reload does not change
+RESTART_ONLY = ("name", "listen", "descriptors", "memory_mb")  # fields of ``NodeConfig``; a change is logged as ignored
 
 
 class ConfigReload:
@@ -116,7 +116,7 @@
             return
         self._running.pools = files.pools
         if self._core.pools is not None:
-            self._core.pools.renew(self._loop.now, files.pools)
+            self._core.pools.reconfigure(self._loop.now, files.pools)
 
     def _log_done(self, before: NodeConfig, after: NodeConfig) -> None:
         ignored = [name for name in RESTART_ONLY if getattr(after, name) != getattr(before, name)]
--- a/lapishaven/server/controller_listener.py
+++ b/lapishaven/server/controller_listener.py
@@ -30,17 +30,17 @@
         self._fleet = fleet
         self._log = log
 
-    def set_health(self, good: bool) -> None:
-        """Whether health checks are to be answered as healthy from now on."""
-        self.healthy = good
-        self._reporter.tell(good)
+    def set_health(self, healthy: bool) -> None:
+        """Answer health checks as healthy, or as unhealthy, from now on."""
+        self.healthy = healthy
+        self._reporter.set_passing(healthy)
         if self._fleet is not None:
-            self._fleet.set_overloaded(not good)
+            self._fleet.set_overloaded(not healthy)
 
-    def set_idle_timeout(self, span: float) -> None:
-        """Seconds for which an unused connection may stay open; 0 for that of the settings, or the default."""
-        self._callers.idle = span or self._running.config.settings.idle_timeout or DEFAULT_IDLE_TIMEOUT_S
+    def set_idle_timeout(self, timeout: float) -> None:
+        """Set for how many seconds an unused connection may stay open; 0 for the setting, or else the default."""
+        self._callers.idle = timeout or self._running.config.settings.idle_timeout or DEFAULT_IDLE_TIMEOUT_S
 
     def log_remark(self, text: str) -> None:
-        """Log a line for the staff on call."""
+        """Log a line for the operators."""
         self._log(f"remark: {text}")
--- a/lapishaven/server/graceful_shutdown.py
+++ b/lapishaven/server/graceful_shutdown.py
@@ -91,7 +91,7 @@
         self._loop.at(self._loop.now, self._close_callers)
 
     def _close_callers(self) -> None:
-        self._callers.leave()
+        self._callers.close_gracefully()
         if self._core.broker is not None:
             self._core.broker.answer_all(self._loop.now)
         self._stop_when_closed()
--- a/lapishaven/server/server.py
+++ b/lapishaven/server/server.py
@@ -64,7 +64,7 @@
 
     It listens from its construction, which raises ``OSError``; ``run`` serves until it is told to shut down::
 
-        server = Server(load_all("server.json"))
+        server = Server(load_files("server.json"))
         sys.exit(server.run())
     """
 
@@ -122,8 +122,8 @@
     def _build_uwsgi_listener(self, config: NodeConfig, front: UwsgiFrontendConfig) -> Listener:
         # Different in every process of one configuration, as the interpreter still knows the ids of its earlier runs.
         random = Random(f"{config.seed}/{os.getpid()}/{time.time_ns()}")
-        load_word = self.load_endpoint.header_value if self.load_endpoint is not None else None
-        return self._listen(front.listen, lambda sock: uwsgi.Session(self, sock, front, random, load_word))
+        load_report = self.load_endpoint.header_value if self.load_endpoint is not None else None
+        return self._listen(front.listen, lambda sock: uwsgi.Session(self, sock, front, random, load_report))
 
     def _listen(
         self, address: tuple[str, int], session_of: Callable[[socket.socket], Session], inherited: int | None = None
@@ -198,12 +198,12 @@
         """Whether the notice to shut down has come."""
         return self.shutdown.requested
 
-    def health_check(self, deep: bool, told: Callable[[bool], None]) -> None:
-        """Answer a health check through ``told``; a deep one asks the backend too, if the server itself is healthy."""
+    def health_check(self, deep: bool, callback: Callable[[bool], None]) -> None:
+        """Answer a health check through ``callback``; a deep one also asks the backend, if the server is healthy."""
         if not self.listener.healthy or not deep:
-            told(self.listener.healthy)
+            callback(self.listener.healthy)
         else:
-            self.backends.primary.health_check(told)
+            self.backends.primary.health_check(callback)
 
     def connection_ended(self, session: Session, end: ConnectionEnd) -> None:
         """A caller's connection has ended and its descriptor is free."""
--- a/tests/test_catalog_crossings.py
+++ b/tests/test_catalog_crossings.py
@@ -93,10 +93,10 @@
 def test_a_change_during_a_dial_is_what_the_first_report_says(catalog: Catalog) -> None:
     """Guards against a server that is listed as well for another round as it changed its mind while it dialled."""
     catalog.held = []
-    catalog.reporter.tell(True)
+    catalog.reporter.set_passing(True)
     catalog.rounds()
     assert len(catalog.held) == 1
-    catalog.reporter.tell(False)
+    catalog.reporter.set_passing(False)
     catalog.let_go()
     catalog.rounds()
     assert catalog.reports() == ["critical"]
@@ -105,7 +105,7 @@
 def test_a_move_during_a_dial_leaves_no_report_at_the_old_address(catalog: Catalog) -> None:
     """Guards against a connection to the old address that goes on being used under the new one's name."""
     catalog.held = []
-    catalog.reporter.tell(True)
+    catalog.reporter.set_passing(True)
     catalog.rounds()
     catalog.reporter.move(NEW)
     catalog.let_go()
@@ -118,7 +118,7 @@
 def test_an_end_during_a_dial_opens_no_connection_that_nobody_closes(catalog: Catalog) -> None:
     """Guards against an old process of an upgrade that reports once more after it was told not to."""
     catalog.held = []
-    catalog.reporter.tell(True)
+    catalog.reporter.set_passing(True)
     catalog.rounds()
     catalog.reporter.close()
     catalog.let_go()
@@ -127,29 +127,29 @@
 
 
 def test_an_end_during_the_pause_ends_it(catalog: Catalog) -> None:
-    catalog.reporter.tell(True)
+    catalog.reporter.set_passing(True)
     catalog.rounds()
     catalog.answer()
     catalog.reporter.close()
-    catalog.reporter.tell(False)
+    catalog.reporter.set_passing(False)
     catalog.wait(2 * REPORT_INTERVAL_S)
     assert catalog.reports() == ["passing"] and catalog.peers[0].closed
 
 
 def test_a_change_while_an_answer_is_awaited_goes_out_at_once(catalog: Catalog) -> None:
     """Guards against a change of health that waits for a catalog that accepts and says nothing."""
-    catalog.reporter.tell(True)
+    catalog.reporter.set_passing(True)
     catalog.rounds()
     assert catalog.reports() == ["passing"]
     changed = catalog.now
-    catalog.reporter.tell(False)
+    catalog.reporter.set_passing(False)
     catalog.rounds()
     assert catalog.reports() == ["critical"] and len(catalog.peers) == 2 and catalog.now == changed
 
 
 def test_a_silent_catalog_still_gets_reports_before_the_entry_lapses(catalog: Catalog) -> None:
     """Guards against a lapse while answers stay away, as reports that are not answered may well have counted."""
-    catalog.reporter.tell(True)
+    catalog.reporter.set_passing(True)
     begun = catalog.now
     times = []
     while catalog.now < begun + 3 * LAPSE:
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize("cut", [1, 9, 23, len(DONE) - 1])
 def test_an_answer_cut_in_two_counts_once(catalog: Catalog, cut: int) -> None:
-    catalog.reporter.tell(True)
+    catalog.reporter.set_passing(True)
     catalog.rounds()
     catalog.answer(DONE[:cut])
     assert catalog.counters.get("catalog", "reports") == 0
@@ -175,7 +175,7 @@
 
 def test_an_answer_with_a_close_behind_it_counts(catalog: Catalog) -> None:
     """Guards against a report that counts as failed as its answer and the end come in one wake-up."""
-    catalog.reporter.tell(True)
+    catalog.reporter.set_passing(True)
     catalog.rounds()
     catalog.peers[0].sock.sendall(DONE)
     catalog.peers[0].sock.shutdown(socket.SHUT_WR)
@@ -187,7 +187,7 @@
 
 def test_an_answer_that_comes_late_is_not_taken_for_the_next_one(catalog: Catalog) -> None:
     """Guards against a late answer that vouches for a report which it does not belong to."""
-    catalog.reporter.tell(True)
+    catalog.reporter.set_passing(True)
     catalog.rounds()
     catalog.wait(RESPONSE_TIMEOUT_S + RETRY_DELAY_S + 0.1)
     assert len(catalog.peers) == 2
@@ -198,7 +198,7 @@
 
 
 def test_an_answer_that_breaks_off_is_a_failed_report(catalog: Catalog) -> None:
-    catalog.reporter.tell(True)
+    catalog.reporter.set_passing(True)
     catalog.rounds()
     catalog.answer(DONE[:14])
     catalog.peers[0].sock.shutdown(socket.SHUT_RDWR)
@@ -208,7 +208,7 @@
 
 def test_descriptors_come_back_however_often_the_catalog_fails(catalog: Catalog) -> None:
     """Guards against connections that pile up at a catalog that never answers and never closes."""
-    catalog.reporter.tell(True)
+    catalog.reporter.set_passing(True)
     catalog.wait(30.0)
     still_open = [peer for peer in catalog.peers if not peer.closed]
     assert len(catalog.peers) > 30 and len(still_open) <= 1
@@ -217,7 +217,7 @@
 
 
 def test_a_fault_in_it_lets_it_be_started_again(catalog: Catalog) -> None:
-    catalog.reporter.tell(True)
+    catalog.reporter.set_passing(True)
     catalog.rounds()
     catalog.reporter.failed()
     catalog.loop.spawn(catalog.reporter.run())
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -58,7 +58,9 @@
     def test_a_message_that_becomes_whole_as_it_times_out_is_served(self) -> None:
         caller, line = self.connect(), self.message("t1", "1", "fuzzy-match")
         self.send(caller, line[:50])
-        self.until(lambda: self.of(caller).since is not None and not buffered(self.of(caller).conn.sock), "half of it")
+        self.until(
+            lambda: self.of(caller).awaiting_since is not None and not buffered(self.of(caller).conn.sock), "half of it"
+        )
         self.send(caller, line[50:])
         self.now += MESSAGE_TIMEOUT_S + 0.1
         self.server.loop.now = self.now
@@ -150,7 +152,7 @@
         caller.sock.shutdown(socket.SHUT_WR)
         self.round()
         self.assertEqual((session._feeding, session.open), (True, {}), "it waits for its slice")
-        self.server.callers.leave()  # and even as all are closed, what was read is taken up first
+        self.server.callers.close_gracefully()  # and even as all are closed, what was read is taken up first
         self.until(lambda: "t1.3" in self.vm.handles, "the runs")
         for n in (1, 2, 3):
             self.vm.end("OK", f"t1.{n}")
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -297,7 +297,7 @@
     bench.hold(1, 10)
     begun = bench.start()
     small = [{**RULES["pool"][0], "share": 0.1, "ceiling": 0.25}, {**RULES["pool"][1], "share": 0.8}, RULES["pool"][2]]
-    bench.pools.renew(bench.now, rules(pool=small))
+    bench.pools.reconfigure(bench.now, rules(pool=small))
     running = [bench.pools.running[id].class_index for id in begun]
     assert [pool.running for pool in bench.pools.pools] == [running.count(0), running.count(1), 0]
     assert len(bench.pools.ready) == 20 - len(begun)
