--- a/lapishaven/core/action_executor.py
+++ b/lapishaven/core/action_executor.py
@@ -19,6 +19,7 @@
     SkipDependency,
     StartRun,
 )
+from lapishaven.admission.rejection import DEADLINE_EXPIRED
 from lapishaven.core.core_state import CoreState
 from lapishaven.core.load_sampling import LoadSampling
 from lapishaven.core.ports import ModuleListener
@@ -26,8 +27,6 @@
 from lapishaven.core.requests import Answer, AnswerKind, Request
 from lapishaven.core.run_control import RunControl
 
-DUE_REASON = "due"  # the controller's reason for a failure because the deadline passed
-
 # Actions that this platform's protocol has no message for, by the name under which they are counted.
 UNSUPPORTED_ACTION_LABELS: dict[type, str] = {PublishLoad: "say", CallDependency: "call", SkipDependency: "skip"}
 
@@ -98,7 +97,7 @@
                 retry_after=action.retry_after,
                 no_retry_elsewhere=action.no_retry_elsewhere,
             )
-        elif action.reason == DUE_REASON:
+        elif action.reason == DEADLINE_EXPIRED.reason:
             answer = Answer(AnswerKind.DEADLINE_EXCEEDED, reason=action.reason)
         else:
             answer = Answer(AnswerKind.FAILED, reason=action.reason)
--- a/lapishaven/core/durable_execution.py
+++ b/lapishaven/core/durable_execution.py
@@ -28,7 +28,7 @@
         self._lifecycle = lifecycle
 
     def covers(self, submission: Submission) -> bool:
-        """Whether its run and result are recorded."""
+        """Whether the run and the result of a submission are recorded."""
         return self._settings.is_deduplicated(submission)
 
     def find_result(self, submission: Submission) -> bytes | None:
@@ -64,11 +64,11 @@
         )
 
     def record_failure(self, submission: Submission) -> None:
-        """Its run gave no result, though it may have had its effect."""
+        """Note that the run of a submission gave no result, though it may have had its effect."""
         self._store.record_failure(*self._effect_of(submission))
 
     def cancel_intent(self, submission: Submission) -> None:
-        """Its run provably did nothing."""
+        """Withdraw the intent of a submission whose run provably did nothing."""
         self._store.cancel_intent(*self._effect_of(submission))
 
     # ---- What the store reports
--- a/lapishaven/core/execution_guard.py
+++ b/lapishaven/core/execution_guard.py
@@ -6,7 +6,7 @@
 from lapishaven.core.deduplication import AttemptRegistry
 from lapishaven.core.requests import Answer, AnswerKind, Submission
 
-EFFECT_RETENTION_S = 900.0  # far longer than any caller goes on with its retries
+EFFECT_RETENTION_S = 900.0  # far longer than any caller retries; where no idempotency window applies
 ATTEMPT_RETENTION_S = 75.0  # a copy carries the time of the original, and one from over a minute ago is malformed
 CLOCK_SLACK_S = 1.0  # by which callers' clocks and messages on their way may stretch an idempotency window
 FULL_RETRY_AFTER_S = 1.0  # Retry-After where there is no room to remember a run
@@ -25,8 +25,12 @@
         self.attempts = AttemptRegistry(ATTEMPT_RETENTION_S, limit)
         self.effects = AttemptRegistry(EFFECT_RETENTION_S, limit)
 
-    def refuse_duplicate(self, now: float, submission: Submission, settings: Settings) -> Answer | None:
-        """The answer that takes the place of a run; ``None`` if it may run, and then it is remembered as started."""
+    def claim(self, now: float, submission: Submission, settings: Settings) -> Answer | None:
+        """Remember a run as started and return ``None``; or the answer that takes its place, if it must not start.
+
+        It must not if it ran before or cannot be remembered. Runs of idempotent classes may always start and are not
+        remembered.
+        """
         if settings.classes[submission.class_index].idempotency is Idempotency.IDEMPOTENT:
             return None
         has_key = submission.idempotency_key is not None
--- a/lapishaven/core/load_sampling.py
+++ b/lapishaven/core/load_sampling.py
@@ -22,10 +22,12 @@
         self._counters = counters
         self._events = events
         self._timers: list[tuple[float, int]] = []  # heap of times and timer ids
-        self._waiting: deque[tuple[float, int]] = deque()  # until when, and timer ids that wait for a sample
+        self._waiting: deque[tuple[float, int]] = (
+            deque()
+        )  # timers that wait for a sample: when the wait ends, and the id
 
     def schedule(self, at: float, timer_id: int) -> None:
-        """Answer a timer at that time."""
+        """Start a timer that is due at that time."""
         heappush(self._timers, (at, timer_id))
 
     def process_due(self, now: float) -> None:
--- a/lapishaven/core/ports.py
+++ b/lapishaven/core/ports.py
@@ -26,7 +26,7 @@
     """Runs attempts. The end of each is reported through ``Broker.run_finished``; no method blocks or raises."""
 
     def start(self, attempt_id: str, class_name: str, body: bytes, send_once: bool) -> None:
-        """Start attempt ``handle`` of class ``cls``; with ``once`` it must never be sent a second time."""
+        """Start an attempt; with ``send_once`` it must never be sent a second time."""
 
     def pause(self, attempt_id: str) -> None:
         """Stop a running attempt; it ends as cancelled unless it ended by itself before."""
@@ -105,7 +105,7 @@
     def record_intent(self, cls: str, key: str, sub: Submission, then: IntentCallback) -> float | None:
         """Begin to make the intent durable; ``then`` is called once it is, or cannot be.
 
-        Returns ``None``; or, where it is not even tried, the seconds for which the caller should keep away, and then
+        Returns ``None``; or, where it is not even tried, the seconds after which the caller may retry. In that case
         ``then`` is not called. Never blocks.
         """
 
@@ -144,20 +144,21 @@
 class FleetMember(Protocol):
     """This process's part in work that belongs to the whole fleet."""
 
-    def request_served(self, team: str | None, cls: str, worth: float, key: str | None) -> None:
+    def request_served(self, team: str | None, class_name: str, weight: float, idempotency_key: str | None) -> None:
         """A request was answered as served.
 
-        ``worth`` is its class's priority weight; ``key`` names its effect, where it has one. Never blocks.
+        ``weight`` is its class's priority weight; ``idempotency_key`` names its effect, where it has one. Never
+        blocks.
         """
 
-    def request_not_served(self, refused: bool) -> None:
-        """A request was answered otherwise; ``refused`` if it never ran. Never blocks."""
+    def request_not_served(self, rejected: bool) -> None:
+        """A request was answered otherwise; ``rejected`` if it never ran. Never blocks."""
 
     def take_budget(self, now: float, contract: Contract) -> float:
-        """Charge one request, as ``contracts.Budgets`` has it. Never blocks."""
+        """Charge one request, as ``contracts.Budgets.take_budget`` does. Never blocks."""
 
-    def set_overloaded(self, so: bool) -> None:
-        """Whether the controller reports the server as unhealthy under its load. Never blocks."""
+    def set_overloaded(self, overloaded: bool) -> None:
+        """Note whether the controller reports the server as unhealthy. Never blocks."""
 
     def state(self) -> dict[str, int]:
         """Its figures by name, for operators."""
@@ -172,11 +173,11 @@
 class ModuleListener(Protocol):
     """Receives what the controller decides apart from answers. No method blocks."""
 
-    def set_health(self, good: bool) -> None:
-        """Whether health checks are to be answered as healthy from now on."""
+    def set_health(self, healthy: bool) -> None:
+        """Answer health checks as healthy, or as unhealthy, from now on."""
 
-    def set_idle_timeout(self, span: float) -> None:
-        """Seconds for which an unused connection may stay open; 0 for the default."""
+    def set_idle_timeout(self, timeout: float) -> None:
+        """Set for how many seconds an unused connection may stay open; 0 for the default."""
 
     def log_remark(self, text: str) -> None:
-        """Log a line for the staff on call."""
+        """Log a line for the operators."""
--- a/lapishaven/core/requests.py
+++ b/lapishaven/core/requests.py
@@ -27,7 +27,7 @@
     kind: AnswerKind
     body: bytes = b""  # the result of the run; empty unless the request was served
     reason: str = ""  # for people; empty if it was served
-    retry_after: float | None = None  # seconds for which the caller should keep away; None: no advice
+    retry_after: float | None = None  # seconds after which the caller may retry; None: not stated
     no_retry_elsewhere: bool = False  # whether a retry on another server would only add load
 
 
@@ -39,7 +39,7 @@
     class_index: int  # its class's place in the settings
     body: bytes
     memory_kb: float  # memory that it is expected to occupy while it is queued
-    rank: float = 0.0  # the caller's priority within the class; higher goes first
+    rank: float = 0.0  # its place among all requests, 0 up to 1; lower ones are rejected first; 0: unknown
     age: float = 0.0  # seconds since the caller sent it, by the caller's or the gateway's clock; may be negative
     caller_id: int = 0  # number of the caller; 0 where the protocol names none
     is_retry: bool = False  # whether the caller marked it as a retry
@@ -50,7 +50,7 @@
     service: str = ""  # the team's service; empty without a team
     time_left: float | None = None  # seconds from arrival until its caller gives up; None: the class's deadline
     body_digest: bytes | None = None  # compared between attempts with the same key; None: not compared
-    tenant_index: int = 0  # its tenant's place in the settings
+    tenant_index: int = 0  # its tenant's place in the settings; past the last one: no known tenant
 
 
 class RequestState(Enum):
--- a/lapishaven/core/run_control.py
+++ b/lapishaven/core/run_control.py
@@ -54,7 +54,7 @@
         """Claim the run; or the answer to a request that must not run, as it came too late or ran before."""
         if self._drain_state.came_too_late(request.arrived_at, self._settings.current.drain_grace):
             return Answer(AnswerKind.REJECTED, reason="it came after the leave")
-        obstacle = self._guard.refuse_duplicate(now, request.submission, self._settings.current)
+        obstacle = self._guard.claim(now, request.submission, self._settings.current)
         if obstacle is not None and obstacle.kind is AnswerKind.REJECTED:
             self._counters.add("requests", "guard full")
         return obstacle
