--- a/lapishaven/admission/callers.py
+++ b/lapishaven/admission/callers.py
@@ -1,4 +1,4 @@
-"""The callers that were seen of late, and the time that each gives a request."""
+"""The callers that were seen recently, and the time that each gives a request."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     def time_used(self, caller_id: int, class_index: int, time_left: float) -> float:
         """Seconds by which ``time_left`` until the deadline is under the most that the caller gives the class.
 
-        So much older is a request that is marked as a retry than its arrival says.
+        A request that is marked as a retry began that much earlier than its own arrival.
         """
         time_allowed = self._callers[caller_id].time_allowed
         longest = max(time_allowed[class_index], time_left)
--- a/lapishaven/admission/concurrency_limit.py
+++ b/lapishaven/admission/concurrency_limit.py
@@ -5,7 +5,7 @@
 from lapishaven.admission.load_measurement import NEARLY_BUSY
 from lapishaven.admission.settings import Settings
 
-INCREASE_SHARE = 0.25  # of itself by which the limit grows at a load sample, by one run at the least
+INCREASE_SHARE = 0.25  # part of the limit by which it grows at a load sample, at least by one run
 DECREASE_FACTOR = 0.8  # to which the limit is cut at a load sample
 INFLATED_LATENCY = 4.0  # run latency over its baseline from which the limit is cut
 MAX_RUNNABLE_PER_CORE = 2.0  # runnable runs a core past which the limit is cut: such cores do less in total
--- a/lapishaven/admission/health.py
+++ b/lapishaven/admission/health.py
@@ -11,8 +11,8 @@
 class HealthStatus:
     """Unhealthy when requests have waited past every latency objective before they were even read.
 
-    That tells a machine that is slow or stalled from one that is merely full, which reads promptly. It is
-    healthy again once it reads in time. Known weakness: if all machines were slow, all would leave the
+    That distinguishes a slow or stalled machine from one that is merely full, which still reads promptly. The
+    instance is healthy again once it reads in time. Known weakness: if all machines were slow, all would leave the
     registry; each comes back by itself once its unread requests are gone.
     """
 
@@ -20,7 +20,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self.healthy = True
-        """The answer that health checks get now, but for a drain."""
+        """The answer that health checks get now, unless the instance is draining."""
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
--- a/lapishaven/admission/load_measurement.py
+++ b/lapishaven/admission/load_measurement.py
@@ -12,7 +12,9 @@
 POLL_INTERVAL_S = 0.1  # between load samples; the host's gauges span half a second, so five samples see each change
 WINDOW_SAMPLES = 10  # one second: short against every latency objective, long against the noise of a sample
 NEARLY_BUSY = 0.8  # CPU utilization from which the cores count as nearly all busy
-READ_DELAY_DECAY = 0.7  # factor a sample, so that one late read does not outlast the span of the gauges
+READ_DELAY_DECAY = (
+    0.7  # factor at each sample, so that one late read does not outlast the half second that the gauges span
+)
 
 
 class LoadMeasurement:
--- a/lapishaven/admission/load_signal.py
+++ b/lapishaven/admission/load_signal.py
@@ -7,10 +7,10 @@
 
 SMOOTHING = 0.028  # weight of the newest probability: a time constant of 3.6 s, so callers do not swing in step
 MIN_CHANGE = 0.02  # of the signal that is worth publishing
-WINDOW_SCALE = 3.0  # running limits that the windows of unloaded callers make
-WINDOW_NARROWING = 8.0  # how fast windows narrow: at a probability of a quarter all make about one running limit
-LASTING_OVERLOAD = 0.25  # smoothed probability from which a retry elsewhere will not help, at most
-OVERLOADED_PEERS = 4.0  # peers likely to reject as well that suffice: a retry tries a part of the list
+WINDOW_SCALE = 3.0  # window of each caller without load, as a multiple of the concurrency limit
+WINDOW_NARROWING = 8.0  # how fast windows narrow: at a probability of 0.25 their sum is about the concurrency limit
+LASTING_OVERLOAD = 0.25  # smoothed probability above which a retry elsewhere counts as useless, however few the peers
+OVERLOADED_PEERS = 4.0  # expected number of rejecting peers that suffices, as a retry tries only some of the peers
 BASE_RETRY_AFTER_S = POLL_INTERVAL_S  # up to twice that at full probability: longer, and callers swing in step
 
 
@@ -54,8 +54,8 @@
             return 0.0
         if signal == "weight":
             return 1.0 - self.smoothed
-        shared = WINDOW_SCALE * concurrency_limit * (1.0 - self.smoothed)
-        return shared / (1.0 + WINDOW_NARROWING * self.smoothed * self._settings.caller_count)
+        unshared_window = WINDOW_SCALE * concurrency_limit * (1.0 - self.smoothed)
+        return unshared_window / (1.0 + WINDOW_NARROWING * self.smoothed * self._settings.caller_count)
 
     def no_retry_elsewhere(self) -> bool:
         """Whether a rejection says that peers would reject as well: the overload lasts, or the peers are many."""
--- a/lapishaven/admission/rules.py
+++ b/lapishaven/admission/rules.py
@@ -1,4 +1,4 @@
-"""All rules of one instance, put together."""
+"""All rules of one instance in one place; each has a module of its own."""
 
 from __future__ import annotations
 
