--- a/lapishaven/admin/__init__.py
+++ b/lapishaven/admin/__init__.py
@@ -1,4 +1,4 @@
-"""The admin server: ``GET /v1/readyz`` and ``GET /v1/metrics`` on an address of its own (``server``).
+"""The admin server: ``/v1/readyz``, ``/v1/metrics`` and ``/v1/spread`` on an address of its own (``server``).
 
 The metrics are in the Prometheus text format (``metrics``).
 """
--- a/lapishaven/admin/metrics.py
+++ b/lapishaven/admin/metrics.py
@@ -15,8 +15,8 @@
 from lapishaven.counters import Counters
 
 PREFIX = "server_"
-OWNERSHIP_GAUGES = ("shards", "members", "in")  # the other figures of ownership are counters
-STANDINGS = ("ok", "silent", "out", "pushed back", "leaves")  # of processes that attempts are balanced over
+OWNERSHIP_GAUGES = ("shards", "members", "in")  # figures of ownership that are gauges; all others are counters
+STANDINGS = ("ok", "silent", "out", "pushed back", "leaves")  # states of endpoints, as ``/v1/spread`` names them
 CLASS_METRICS = {
     FULFILLED: "requests served",
     THROTTLED: "requests refused, which never ran",
--- a/lapishaven/admin/server.py
+++ b/lapishaven/admin/server.py
@@ -1,4 +1,4 @@
-"""The admin server: HTTP/1.1, one request a connection, on the serving loop but apart from its requests.
+"""The admin server: HTTP/1.1, one request per connection, on the server's event loop.
 
 A client has ``REQUEST_TIMEOUT_S`` from the accept to send its request completely, and at most ``MAX_CONNECTIONS`` are
 open at once, the oldest closed to make room for the next. So clients that connect and send nothing cost a descriptor
--- a/lapishaven/attempt_log.py
+++ b/lapishaven/attempt_log.py
@@ -29,7 +29,7 @@
 class LogEntry:
     """One row of the log: a run that was started, or proven not to have run, or an answer."""
 
-    event: str  # "started", "unrun" or "answered"
+    event: str  # "started", "unrun" (started, but proven not to have run) or "answered"
     handle: str  # the attempt id
     cls: str  # name of its class
     key: str | None  # its idempotency key, where it has one
--- a/lapishaven/config/node.py
+++ b/lapishaven/config/node.py
@@ -14,7 +14,7 @@
 
 MIN_DESCRIPTORS = 64
 FIRST_FREE_DESCRIPTOR = 3  # after standard input, output and error
-NAME_SEPARATORS = set(" /?#")  # the name stands in the registry's URLs
+NAME_SEPARATORS = set(" /?#")  # not allowed in a name, which is part of the registry's URLs
 
 
 @dataclass(frozen=True, slots=True)
--- a/lapishaven/config/storage.py
+++ b/lapishaven/config/storage.py
@@ -1,4 +1,4 @@
-"""The settings of ``serve --storage``: where keyed results are kept over restarts."""
+"""The settings of ``serve --storage``: where results with an idempotency key are kept over restarts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StorageRules:
-    """Where keyed results are kept, how many and for how long."""
+    """Where results with an idempotency key are kept, how many and for how long."""
 
     directory: str  # absolute path of the embedded store
     result_ttl: float  # seconds for which a result is kept
--- a/lapishaven/config/values.py
+++ b/lapishaven/config/values.py
@@ -41,7 +41,7 @@
 
 
 def read_toml(path: str) -> dict[str, Any]:
-    """The tables of a TOML file. Raises ``ConfigError`` where it cannot be read or is no TOML."""
+    """The tables of a TOML file. Raises ``ConfigError`` where it cannot be read or is not TOML."""
     try:
         return tomllib.loads(Path(path).read_text())
     except (OSError, ValueError) as error:
