--- a/lapishaven/backends/balanced_run.py
+++ b/lapishaven/backends/balanced_run.py
@@ -12,7 +12,7 @@
     """A run that the core has asked for. Times are seconds of the event loop's clock.
 
     Attributes:
-        handle: its attempt id in the core.
+        attempt_id: its attempt id in the core.
         class_name: class of the request.
         body: of the request.
         at_most_once: whether the request is not idempotent, so that it must not be sent where it may have run before.
@@ -26,7 +26,7 @@
         cancelled: whether the core no longer wants it.
     """
 
-    handle: str
+    attempt_id: str
     class_name: str
     body: bytes
     at_most_once: bool
--- a/lapishaven/backends/interpreter.py
+++ b/lapishaven/backends/interpreter.py
@@ -54,10 +54,10 @@
         self._last_notice = 0  # number of the last end of a run that was read
         self._unconfirmed = UnconfirmedCommands()
         self._waiting: list[Command] = []  # for the next link
-        self._running: set[str] = set()  # handles that were started and whose end was not reported
+        self._running: set[str] = set()  # attempt ids that were started and whose end was not reported
         self._resent: set[str] = set()  # of these, those whose command was sent on two links
         self._uncertain: list[Command] = []  # from links that broke, to be settled behind the fence
-        self._probes: dict[str, bool] = {}  # handles stopped to see whether they run, and whether to resume them
+        self._probes: dict[str, bool] = {}  # attempt ids stopped to see whether they run, and whether to resume them
         self._fences: dict[str, Callable[[], None]] = {}  # what to do once a fence is answered, by its tag
         self._tag_count = 0
         self._sample_requested = False
@@ -67,33 +67,33 @@
         self._stopped = False
 
     # ---- Commands
-    def start(self, handle: str, cls: str, body: bytes, once: bool) -> None:
+    def start(self, attempt_id: str, class_name: str, body: bytes, send_once: bool) -> None:
         """Start a run, on the next link if there is none now."""
-        self._running.add(handle)
-        self._send(Command(handle, proto.apply(handle, cls, body), starts=True, once=once))
+        self._running.add(attempt_id)
+        self._send(Command(attempt_id, proto.apply(attempt_id, class_name, body), starts=True, once=send_once))
 
-    def pause(self, handle: str) -> None:
+    def pause(self, attempt_id: str) -> None:
         """Stop a run; one whose start was never sent ends as unreachable."""
-        stop = Command(handle, proto.pause(handle))
-        if any(command.handle == handle and command.starts for command in self._waiting):
+        stop = Command(attempt_id, proto.pause(attempt_id))
+        if any(command.attempt_id == attempt_id and command.starts for command in self._waiting):
             # Its start was never sent, so there is nothing to stop.
-            self._waiting = [command for command in self._waiting if command.handle != handle]
-            self._forget(handle)
-            self.loop.at(self.loop.now, lambda: self._listener.run_finished(handle, Outcome.UNREACHABLE, 0.0, b""))
-        elif handle in self._probes:
-            self._probes[handle] = False
-        elif self._is_uncertain(handle):
+            self._waiting = [command for command in self._waiting if command.attempt_id != attempt_id]
+            self._forget(attempt_id)
+            self.loop.at(self.loop.now, lambda: self._listener.run_finished(attempt_id, Outcome.UNREACHABLE, 0.0, b""))
+        elif attempt_id in self._probes:
+            self._probes[attempt_id] = False
+        elif self._is_uncertain(attempt_id):
             self._uncertain.append(stop)
         else:
             self._send(stop)
 
-    def _is_uncertain(self, handle: str) -> bool:
-        return any(command.handle == handle for command in self._uncertain)
+    def _is_uncertain(self, attempt_id: str) -> bool:
+        return any(command.attempt_id == attempt_id for command in self._uncertain)
 
-    def resume(self, handle: str) -> None:
+    def resume(self, attempt_id: str) -> None:
         """Let a run that was stopped go on."""
-        self._running.add(handle)
-        self._send(Command(handle, proto.resume(handle)))
+        self._running.add(attempt_id)
+        self._send(Command(attempt_id, proto.resume(attempt_id)))
 
     def request_load_sample(self) -> None:
         """Request a load sample, on the next link if there is none now."""
@@ -206,16 +206,16 @@
         self.counters.add("ends", f"interpreter {end.value}")
         unconfirmed = self._unconfirmed.settle(self._conn.sent)
         self._waiting = unconfirmed.unsent + self._waiting
-        uncertain = [command for command in unconfirmed.uncertain if command.handle in self._running]
+        uncertain = [command for command in unconfirmed.uncertain if command.attempt_id in self._running]
         self._uncertain += uncertain
         self.counters.add("interpreter", "commands in doubt", len(uncertain))
         self._ready = False
         self._moving = False
         self._fences.clear()
-        for handle, resumes in self._probes.items():
-            self._uncertain.append(Command(handle, b"", once=True))
+        for attempt_id, resumes in self._probes.items():
+            self._uncertain.append(Command(attempt_id, b"", once=True))
             if not resumes:
-                self._uncertain.append(Command(handle, proto.pause(handle)))
+                self._uncertain.append(Command(attempt_id, proto.pause(attempt_id)))
         self._probes.clear()
 
     # ---- Uncertain commands
@@ -232,18 +232,18 @@
 
     def _settle_command(self, command: Command) -> None:
         """Probe whether a run that must not be started twice runs; send any other command again."""
-        if command.once and command.handle not in self._probes:
+        if command.once and command.attempt_id not in self._probes:
             # Never sent twice, as it might end in between and run again. Stopping it shows whether it runs.
-            self._probes[command.handle] = True
-            self._send(Command(command.handle, proto.pause(command.handle), once=True))
+            self._probes[command.attempt_id] = True
+            self._send(Command(command.attempt_id, proto.pause(command.attempt_id), once=True))
         elif command.once:
             return
-        elif command.handle in self._probes:
-            self._probes[command.handle] = False  # its caller has gone, so it is not resumed
+        elif command.attempt_id in self._probes:
+            self._probes[command.attempt_id] = False  # its caller has gone, so it is not resumed
         else:
             # Where it runs already, nothing happens; where its request is over, the run ends as obsolete.
             self.counters.add("interpreter", "commands sent again")
-            self._resent.add(command.handle)
+            self._resent.add(command.attempt_id)
             self._send(command)
 
     def _check_probes(self, conn: Connection | None, probes: list[str]) -> None:
@@ -253,11 +253,11 @@
 
     def _give_up_probes(self, probes: list[str]) -> None:
         """None of these reported that it was stopped, so it does not run, though that is no full proof."""
-        for handle in probes:
-            if self._probes.pop(handle, None) is not None:
+        for attempt_id in probes:
+            if self._probes.pop(attempt_id, None) is not None:
                 self.counters.add("interpreter", "runs given up")
-                self._forget(handle)
-                self._listener.run_finished(handle, outcome_of(ConnectionEnd.RESET), 0.0, b"")
+                self._forget(attempt_id)
+                self._listener.run_finished(attempt_id, outcome_of(ConnectionEnd.RESET), 0.0, b"")
 
     # ---- Notices
     def _process(self, message: proto.Message) -> None:
@@ -320,17 +320,17 @@
             return
         self._listener.run_finished(message.handle, outcome, message.spent, message.result)
 
-    def _should_resume(self, handle: str) -> bool:
+    def _should_resume(self, attempt_id: str) -> bool:
         """Whether a run was stopped just to see whether it runs; the report may come over the next link."""
-        only_probes = [command.once for command in self._uncertain if command.handle == handle]
-        return self._probes.get(handle, bool(only_probes) and all(only_probes))
+        only_probes = [command.once for command in self._uncertain if command.attempt_id == attempt_id]
+        return self._probes.get(attempt_id, bool(only_probes) and all(only_probes))
 
-    def _forget(self, handle: str) -> None:
-        self._running.discard(handle)
-        self._resent.discard(handle)
-        self._probes.pop(handle, None)
+    def _forget(self, attempt_id: str) -> None:
+        self._running.discard(attempt_id)
+        self._resent.discard(attempt_id)
+        self._probes.pop(attempt_id, None)
         if self._uncertain:
-            self._uncertain = [command for command in self._uncertain if command.handle != handle]
+            self._uncertain = [command for command in self._uncertain if command.attempt_id != attempt_id]
 
     def failed(self) -> None:
         """``run`` has ended by a fault of this program: break the link, as it is started again."""
--- a/lapishaven/backends/load_balanced.py
+++ b/lapishaven/backends/load_balanced.py
@@ -79,23 +79,25 @@
         self.set_addresses((address,))
 
     # ---- The core's port
-    def start(self, handle: str, cls: str, body: bytes, once: bool) -> None:
+    def start(self, attempt_id: str, class_name: str, body: bytes, send_once: bool) -> None:
         """Run a request; ``once``: it is not idempotent."""
         now = self.loop.now
-        self._dispatcher.dispatch(BalancedRun(handle, cls, body, once, now, now + self.deadlines[cls]))
+        self._dispatcher.dispatch(
+            BalancedRun(attempt_id, class_name, body, send_once, now, now + self.deadlines[class_name])
+        )
 
-    def pause(self, handle: str) -> None:
+    def pause(self, attempt_id: str) -> None:
         """Cancel a run."""
-        run = self._dispatcher.runs.get(handle)
+        run = self._dispatcher.runs.get(attempt_id)
         if run is None:
             return
         run.cancelled = True
         if run.connection is not None:
             run.connection.close(ConnectionEnd.ABANDONED, unsent=False)
 
-    def resume(self, handle: str) -> None:
+    def resume(self, attempt_id: str) -> None:
         """There is nothing to go on with: the run ended when it was paused."""
-        run = self._dispatcher.runs.get(handle)
+        run = self._dispatcher.runs.get(attempt_id)
         if run is not None:
             self._dispatcher.finish(run, Outcome.CANCELLED)
 
--- a/lapishaven/backends/run_dispatcher.py
+++ b/lapishaven/backends/run_dispatcher.py
@@ -73,7 +73,7 @@
 
     def dispatch(self, run: BalancedRun) -> None:
         """Begin a run."""
-        self.runs[run.handle] = run
+        self.runs[run.attempt_id] = run
         if len(self.runs) > self.settings.attempts:
             self.counters.add("spread", "no descriptor")
             self.finish(run, Outcome.UNREACHABLE)
@@ -93,7 +93,7 @@
 
     def _finish_choice(self, choice: Choice) -> None:
         run = self._choosing.pop(choice, None)
-        if run is not None and self.runs.get(run.handle) is run:
+        if run is not None and self.runs.get(run.attempt_id) is run:
             self._send(run, choice)
 
     def _send(self, run: BalancedRun, choice: Choice) -> None:
@@ -136,7 +136,7 @@
         variables = {
             "REQUEST_METHOD": "POST",
             "PATH_INFO": self.settings.path + run.class_name,
-            "HTTP_X_REQUEST_ID": run.handle,
+            "HTTP_X_REQUEST_ID": run.attempt_id,
         }
         if number > 1:
             variables["HTTP_X_RETRY"] = "1"
@@ -151,7 +151,7 @@
     def _attempt_ended(
         self, run: BalancedRun, number: int, outcome: Outcome, result: bytes, response: proto.Response | None
     ) -> None:
-        if run.attempt_number != number or self.runs.get(run.handle) is not run:
+        if run.attempt_number != number or self.runs.get(run.attempt_id) is not run:
             return  # given up before
         now = self.loop.now
         self._release(run, ATTEMPT_OUTCOMES.get(outcome, AttemptOutcome.FAILED), _retry_after_s(response))
@@ -170,9 +170,9 @@
 
     def finish(self, run: BalancedRun, outcome: Outcome, result: bytes = b"") -> None:
         """The run is over, if it was not before."""
-        if self.runs.pop(run.handle, None) is not None:
+        if self.runs.pop(run.attempt_id, None) is not None:
             run.attempt_number += 1
-            self._finished(run.handle, outcome, self.loop.now - run.started_at, result)
+            self._finished(run.attempt_id, outcome, self.loop.now - run.started_at, result)
 
     # ---- Retries
     def _may_retry(self, run: BalancedRun) -> bool:
--- a/lapishaven/backends/unconfirmed_commands.py
+++ b/lapishaven/backends/unconfirmed_commands.py
@@ -12,7 +12,7 @@
 class Command:
     """A command about a run."""
 
-    handle: str  # the attempt id
+    attempt_id: str  # the attempt id
     data: bytes  # the line as it is sent
     starts: bool = False  # whether it starts the run
     once: bool = False  # whether it starts what must not be started twice, or probes whether that runs
--- a/lapishaven/backends/uwsgi.py
+++ b/lapishaven/backends/uwsgi.py
@@ -57,10 +57,10 @@
         """Send new attempts there; those in flight have connections of their own and go on."""
         self.address = address
 
-    def start(self, attempt_id: str, cls: str, body: bytes, once: bool) -> None:
+    def start(self, attempt_id: str, class_name: str, body: bytes, send_once: bool) -> None:
         """Send an attempt on a connection of its own; it is never sent twice."""
         self._running[attempt_id] = None
-        self.loop.spawn(self._attempt(attempt_id, cls, body), lambda error: self._attempt_failed(attempt_id))
+        self.loop.spawn(self._attempt(attempt_id, class_name, body), lambda error: self._attempt_failed(attempt_id))
 
     def _attempt_failed(self, attempt_id: str) -> None:
         """The attempt's coroutine has ended by a fault of this program."""
@@ -99,7 +99,7 @@
         callback(not isinstance(sock, ConnectionEnd))
 
     # ---- One attempt
-    def _attempt(self, attempt_id: str, cls: str, body: bytes) -> Generator[Wait, Any, None]:
+    def _attempt(self, attempt_id: str, class_name: str, body: bytes) -> Generator[Wait, Any, None]:
         started_at = self.loop.now
         sock = yield from self._dial(self.loop, self.address, DIAL_TIMEOUT_S)
         if isinstance(sock, ConnectionEnd):
@@ -109,9 +109,9 @@
         self._running[attempt_id] = conn
         if attempt_id in self._cancelled:
             conn.close(ConnectionEnd.ABANDONED, unsent=False)
-        variables = {"REQUEST_METHOD": "POST", "PATH_INFO": self._path + cls, "HTTP_X_REQUEST_ID": attempt_id}
+        variables = {"REQUEST_METHOD": "POST", "PATH_INFO": self._path + class_name, "HTTP_X_REQUEST_ID": attempt_id}
         conn.write(proto.encode_request(variables, body))
-        outcome, result, _ = yield from read_response(self.loop, conn, started_at + self._deadlines[cls])
+        outcome, result, _ = yield from read_response(self.loop, conn, started_at + self._deadlines[class_name])
         self._end(attempt_id, outcome, self.loop.now - started_at, result)
 
     def _end(self, attempt_id: str, outcome: Outcome, elapsed: float, result: bytes = b"") -> None:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -130,8 +130,8 @@
             unconfirmed.add_question(handle, 10)
         unconfirmed.answered(2.05, "b")  # proves a, but c was written too short a time before to be safe
         at_end = unconfirmed.settle(11 + 25 * 2 + 15 + 10 + 14)
-        self.assertEqual([command.handle for command in at_end.uncertain], ["c"])
-        self.assertEqual([command.handle for command in at_end.unsent], ["d"])
+        self.assertEqual([command.attempt_id for command in at_end.uncertain], ["c"])
+        self.assertEqual([command.attempt_id for command in at_end.unsent], ["d"])
         self.assertEqual(unconfirmed.settle(1000), UnconfirmedAtEnd([], []))
 
     # Guards against requests that seem to run for a minute as a break took their commands along: each held a
