--- a/lapishaven/pools/pools.py
+++ b/lapishaven/pools/pools.py
@@ -241,10 +241,10 @@
                     victims.append(victim)
         return victims
 
-    def _choose_victim(self, now: float, lender: int) -> int | None:
+    def _choose_victim(self, now: float, short_pool: int) -> int | None:
         return choose_victim(
             now,
-            lender,
+            short_pool,
             self.pools,
             self.running,
             self.settings.classes,
--- a/lapishaven/pools/preemption.py
+++ b/lapishaven/pools/preemption.py
@@ -31,7 +31,7 @@
 
 def choose_victim(
     now: float,
-    lender: int,
+    short_pool: int,
     pools: Sequence[Pool],
     runs: Mapping[int, PoolRun],
     classes: Sequence[RequestClass],
@@ -39,7 +39,7 @@
     speed: float,
     min_remaining_s: float,
 ) -> int | None:
-    """The id of the run to pause for the pool ``lender``; ``None`` if there is none.
+    """The id of the run to pause for the pool ``short_pool``; ``None`` if there is none.
 
     It is the newest idempotent run of the pool that is furthest above its share, unless less than
     ``min_remaining_s`` seconds of it are left at the instance's ``speed``; then the next such pool is tried.
@@ -47,7 +47,7 @@
     over_share = [
         (pool.running / max(pool.share * limit, MIN_SHARE_RUNS), index)
         for index, pool in enumerate(pools)
-        if index != lender and pool.running > max(1.0, pool.share * limit)
+        if index != short_pool and pool.running > max(1.0, pool.share * limit)
     ]
     for _, index in sorted(over_share, reverse=True):
         candidates = [
