--- a/lapishaven/config/contracts.py
+++ b/lapishaven/config/contracts.py
@@ -25,7 +25,7 @@
     for number, row in enumerate(rows, 1):
         where = f"{path}: contract {number}"
         contract = _parse_contract(row, where, settings, routes)
-        party = (contract.team, contract.service, contract.cls)
+        party = (contract.team, contract.service, contract.class_index)
         if party in contracts:
             raise ConfigError(f"{where}: team, service and class have a contract already")
         contracts[party] = contract
--- a/lapishaven/core/action_executor.py
+++ b/lapishaven/core/action_executor.py
@@ -22,7 +22,7 @@
 from lapishaven.admission.rejection import DEADLINE_EXPIRED
 from lapishaven.core.core_state import CoreState
 from lapishaven.core.load_sampling import LoadSampling
-from lapishaven.core.ports import ModuleListener
+from lapishaven.core.ports import DecisionListener
 from lapishaven.core.request_lifecycle import RequestLifecycle
 from lapishaven.core.requests import Answer, AnswerKind, Request
 from lapishaven.core.run_control import RunControl
@@ -40,7 +40,7 @@
         lifecycle: RequestLifecycle,
         runs: RunControl,
         load_sampling: LoadSampling,
-        listener: ModuleListener,
+        listener: DecisionListener,
     ) -> None:
         self._table = state.table
         self._keys = state.keys
@@ -77,7 +77,7 @@
         if isinstance(action, StartRun):
             self._runs.start(now, request)
         elif isinstance(action, Reject | Fail):
-            self._turn_down(request, action)
+            self._reject_or_fail(request, action)
         elif isinstance(action, CancelRun):
             self._runs.cancel(request)
         elif isinstance(action, ReserveKey):
@@ -87,7 +87,7 @@
         else:
             self._lifecycle.attach_to_original(now, request)
 
-    def _turn_down(self, request: Request, action: Reject | Fail) -> None:
+    def _reject_or_fail(self, request: Request, action: Reject | Fail) -> None:
         """Answer a request as rejected, or as failed if it was to be failed or has run."""
         self._counters.add("reasons", action.reason)
         if isinstance(action, Reject) and not request.ran:
--- a/lapishaven/core/broker.py
+++ b/lapishaven/core/broker.py
@@ -25,7 +25,7 @@
 from lapishaven.core.ports import (
     AttemptRecorder,
     Backend,
-    ModuleListener,
+    DecisionListener,
     NullAttemptRecorder,
     Reply,
     ResultStore,
@@ -59,7 +59,7 @@
         settings: Settings,
         seed: int,
         backend: Backend,
-        listener: ModuleListener,
+        listener: DecisionListener,
         counters: Counters,
         *,
         contracts: Contracts | None = None,
--- a/lapishaven/core/contracts.py
+++ b/lapishaven/core/contracts.py
@@ -20,7 +20,7 @@
 
     team: str
     service: str
-    cls: int  # the class's place in the settings
+    class_index: int  # the class's place in the settings
     deadline: float  # seconds; never beyond the class's own
     route: str  # name of the backend that runs it
     rate: float  # requests a second by which the budget is refilled
@@ -29,7 +29,7 @@
     @property
     def party(self) -> Party:
         """The key under which it is found."""
-        return Party(self.team, self.service, self.cls)
+        return Party(self.team, self.service, self.class_index)
 
 
 @dataclass(frozen=True, slots=True)
--- a/lapishaven/core/deduplication.py
+++ b/lapishaven/core/deduplication.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 
-class AttemptRegistry:
+class ClaimRegistry:
     """Claimed names. Each is forgotten ``retention`` seconds after it was claimed, unless its claim says otherwise.
 
     Nothing is forgotten early to make room: with ``limit`` names in the registry no further one may be claimed.
--- a/lapishaven/core/execution_guard.py
+++ b/lapishaven/core/execution_guard.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lapishaven.admission import Idempotency, Settings
-from lapishaven.core.deduplication import AttemptRegistry
+from lapishaven.core.deduplication import ClaimRegistry
 from lapishaven.core.requests import Answer, AnswerKind, Submission
 
 EFFECT_RETENTION_S = 900.0  # far longer than any caller retries; where no idempotency window applies
@@ -22,8 +22,8 @@
     def __init__(self, memory: int) -> None:
         """``memory`` is the process's memory in bytes."""
         limit = memory // MEMORY_BYTES_PER_NAME
-        self.attempts = AttemptRegistry(ATTEMPT_RETENTION_S, limit)
-        self.effects = AttemptRegistry(EFFECT_RETENTION_S, limit)
+        self.attempts = ClaimRegistry(ATTEMPT_RETENTION_S, limit)
+        self.effects = ClaimRegistry(EFFECT_RETENTION_S, limit)
 
     def claim(self, now: float, submission: Submission, settings: Settings) -> Answer | None:
         """Remember a run as started and return ``None``; or the answer that takes its place, if it must not start.
--- a/lapishaven/core/ports.py
+++ b/lapishaven/core/ports.py
@@ -99,23 +99,25 @@
 class ResultStore(Protocol):
     """Keeps the results of requests with idempotency keys beyond this process's life (a write-ahead record)."""
 
-    def find(self, cls: str, key: str) -> KnownEffect:
-        """What is known in memory of the effect ``key`` of class ``cls``. Never blocks."""
+    def find(self, class_name: str, key: str) -> KnownEffect:
+        """What is known in memory of the effect ``key`` of a class. Never blocks."""
 
-    def record_intent(self, cls: str, key: str, sub: Submission, then: IntentCallback) -> float | None:
-        """Begin to make the intent durable; ``then`` is called once it is, or cannot be.
+    def record_intent(
+        self, class_name: str, key: str, submission: Submission, callback: IntentCallback
+    ) -> float | None:
+        """Begin to make the intent durable; ``callback`` is called once it is, or cannot be.
 
         Returns ``None``; or, where it is not even tried, the seconds after which the caller may retry. In that case
-        ``then`` is not called. Never blocks.
+        ``callback`` is not called. Never blocks.
         """
 
-    def record_result(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None:
-        """Begin to make the result durable; ``then`` is called with whether it is. Never blocks."""
+    def record_result(self, class_name: str, key: str, result: bytes, callback: Callable[[bool], None]) -> None:
+        """Begin to make the result durable; ``callback`` is called with whether it is. Never blocks."""
 
-    def record_failure(self, cls: str, key: str) -> None:
+    def record_failure(self, class_name: str, key: str) -> None:
         """The run gave no result, though it may have had its effect. Never blocks."""
 
-    def cancel_intent(self, cls: str, key: str) -> None:
+    def cancel_intent(self, class_name: str, key: str) -> None:
         """The run provably never happened: its key is free again. Never blocks."""
 
 
@@ -170,7 +172,7 @@
         """End its work. May block for a moment, at the process's end."""
 
 
-class ModuleListener(Protocol):
+class DecisionListener(Protocol):
     """Receives what the controller decides apart from answers. No method blocks."""
 
     def set_health(self, healthy: bool) -> None:
--- a/lapishaven/core/submission_intake.py
+++ b/lapishaven/core/submission_intake.py
@@ -81,7 +81,7 @@
             request.duplicate_of = original.request_id
         elif key is not None:
             self._keys.open(key, request.request_id, submission.body_digest)
-        self._announce(now, request, self._has_own_deadline(submission, contract))
+        self._queue_arrival(now, request, self._has_own_deadline(submission, contract))
         return request
 
     # ---- Checks
@@ -150,7 +150,7 @@
             return True
         return contract is not None and contract.deadline < self._settings.class_of(submission).deadline
 
-    def _announce(self, now: float, request: Request, has_own_deadline: bool) -> None:
+    def _queue_arrival(self, now: float, request: Request, has_own_deadline: bool) -> None:
         """Queue its arrival for the controller."""
         submission = request.submission
         self._events.append(
--- a/lapishaven/ownership/consumption.py
+++ b/lapishaven/ownership/consumption.py
@@ -4,7 +4,7 @@
 
 import threading
 
-from lapishaven.core.deduplication import AttemptRegistry
+from lapishaven.core.deduplication import ClaimRegistry
 from lapishaven.ownership.duties import periods
 from lapishaven.ownership.fenced_store import FencedStore
 from lapishaven.ownership.model import Clock
@@ -20,7 +20,7 @@
         self._collector = collector
         self._clock = clock
         self._lock = threading.Lock()  # of the collector; held for moments only
-        self._counted_keys = AttemptRegistry(COUNTED_KEY_LIFETIME_S, MAX_COUNTED_KEYS)
+        self._counted_keys = ClaimRegistry(COUNTED_KEY_LIFETIME_S, MAX_COUNTED_KEYS)
 
     def record(self, team: str, class_name: str, weight: float, idempotency_key: str | None) -> None:
         """One request was served. A duplicate that is answered with the first result is not counted again. Nor is a
--- a/lapishaven/ownership/quota.py
+++ b/lapishaven/ownership/quota.py
@@ -31,7 +31,7 @@
 
 def contract_name(contract: Contract, classes: Sequence[str]) -> str:
     """The contract's name in the store: the same on all servers, whose class numbers may differ."""
-    class_name = classes[contract.cls] if contract.cls < len(classes) else str(contract.cls)
+    class_name = classes[contract.class_index] if contract.class_index < len(classes) else str(contract.class_index)
     return f"{contract.team}/{contract.service}/{class_name}"
 
 
--- a/lapishaven/server/broker_host.py
+++ b/lapishaven/server/broker_host.py
@@ -11,7 +11,7 @@
 from lapishaven.core.broker import Broker
 from lapishaven.core.contracts import Contracts
 from lapishaven.core.execution_guard import EFFECT_RETENTION_S
-from lapishaven.core.ports import AttemptRecorder, DurableResultStore, FleetMember, ModuleListener
+from lapishaven.core.ports import AttemptRecorder, DecisionListener, DurableResultStore, FleetMember
 from lapishaven.counters import Counters
 from lapishaven.net.loop import Loop
 from lapishaven.server.running_config import RunningConfig
@@ -35,7 +35,7 @@
         loop: Loop,
         running: RunningConfig,
         counters: Counters,
-        listener: ModuleListener,
+        listener: DecisionListener,
         fleet: FleetMember | None,
         attempt_log: AttemptLog | None,
         result_store: DurableResultStore | None,
--- a/lapishaven/server/client_connections.py
+++ b/lapishaven/server/client_connections.py
@@ -17,9 +17,9 @@
 class ClientConnections:
     """Every session from its accept until its descriptor is free again."""
 
-    def __init__(self, loop: Loop, budget: DescriptorBudget, counters: Counters, idle: float) -> None:
-        """``idle`` is the idle timeout in seconds."""
-        self.idle = idle  # seconds after which a connection with nothing open is closed
+    def __init__(self, loop: Loop, budget: DescriptorBudget, counters: Counters, idle_timeout: float) -> None:
+        """``idle_timeout`` is in seconds."""
+        self.idle_timeout = idle_timeout  # seconds after which a connection with nothing open is closed
         self.sessions: dict[Session, float] = {}  # when each was last examined, the least recent first
         self._loop = loop
         self._budget = budget
@@ -80,7 +80,7 @@
     # ---- Timeouts
     def sweep(self) -> None:
         """Close idle connections, and those whose message did not arrive completely in time; again at each interval."""
-        idle_since = self._loop.now - self.idle
+        idle_since = self._loop.now - self.idle_timeout
         silent_since = self._loop.now - MESSAGE_TIMEOUT_S
         for session in list(self.sessions):
             if session.awaiting_since is not None:
--- a/lapishaven/server/controller_listener.py
+++ b/lapishaven/server/controller_listener.py
@@ -39,7 +39,7 @@
 
     def set_idle_timeout(self, timeout: float) -> None:
         """Set for how many seconds an unused connection may stay open; 0 for the setting, or else the default."""
-        self._callers.idle = timeout or self._running.config.settings.idle_timeout or DEFAULT_IDLE_TIMEOUT_S
+        self._callers.idle_timeout = timeout or self._running.config.settings.idle_timeout or DEFAULT_IDLE_TIMEOUT_S
 
     def log_remark(self, text: str) -> None:
         """Log a line for the operators."""
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -28,7 +28,7 @@
 
     def rest(self) -> None:
         """Idle for longer than allowed, with no sweep in between."""
-        self.now += self.server.callers.idle + 1
+        self.now += self.server.callers.idle_timeout + 1
         self.server.loop.now = self.now
 
     # Guards against a request that the kernel had already, discarded by a close as idle and reset.
@@ -108,7 +108,7 @@
                 self.until(lambda conn=conn: not buffered(conn.sock), "the rest read")
                 self.assertGreater(conn.send_buffer.size, 0)
                 sent = conn.sent
-                self.wait((MESSAGE_TIMEOUT_S if rest else self.server.callers.idle) + LINGER_S + 0.2)
+                self.wait((MESSAGE_TIMEOUT_S if rest else self.server.callers.idle_timeout) + LINGER_S + 0.2)
                 while conn.end is None and conn.sent != sent:
                     # The kernel took more bytes, in real time, after the close had begun: that renews the wait.
                     sent = conn.sent
--- a/tests/test_platform_keys.py
+++ b/tests/test_platform_keys.py
@@ -4,7 +4,7 @@
 
 from scenario import SETTINGS, World, settings
 
-from lapishaven.core.deduplication import AttemptRegistry
+from lapishaven.core.deduplication import ClaimRegistry
 from lapishaven.proto import jsonrpc
 
 KEYED = {"effect": "guarded", "window": 5.0}
@@ -224,7 +224,7 @@
 
 
 def test_a_claim_may_have_a_life_of_its_own() -> None:
-    guard = AttemptRegistry(900.0, 2)
+    guard = ClaimRegistry(900.0, 2)
     guard.claim(0.0, "long")
     guard.claim(1.0, "short", 5.0)
     assert guard.is_full(5.9)
