--- a/lapishaven/admission/connection_limits.py
+++ b/lapishaven/admission/connection_limits.py
@@ -11,8 +11,8 @@
 class IdleTimeout:
     """The idle timeout of connections, which is cut to almost nothing where there are very many callers.
 
-    Connections kept open for all of them tax the cores and fill the descriptor table, and callers beyond it
-    would be rejected unseen. Known weakness: a handshake for each request of callers that come often.
+    Connections kept open for all of them load the cores and fill the descriptor table, and callers beyond it
+    could not connect at all. Known weakness: frequent callers then need a handshake for each request.
     """
 
     __slots__ = ("_settings", "current")
--- a/lapishaven/admission/queue_order.py
+++ b/lapishaven/admission/queue_order.py
@@ -11,16 +11,16 @@
 
 
 def relative_weight(settings: Settings, run_latency: RunLatency, class_index: int) -> float:
-    """The priority weight of a class for each second of a core, as a multiple of the class with the least.
+    """The priority weight of a class per core-second, as a multiple of that of the class with the least.
 
-    A weight that counts for each request is divided by the run time; with ``weight_per_work`` it counts for each
-    second of work already. 1 if the least is 0.
+    A weight per request is divided by the run time; with ``weight_per_work`` the weight is per second of work
+    already. 1 if the least is 0.
     """
     if settings.weight_per_work:
         weights = [each.priority_weight for each in settings.classes]
     else:
         run_times = run_latency.expected_by_class()
-        weights = [each.priority_weight / time for each, time in zip(settings.classes, run_times, strict=True)]
+        weights = [each.priority_weight / run_time for each, run_time in zip(settings.classes, run_times, strict=True)]
     least = min(weights)
     return weights[class_index] / least if least > 0 else 1.0
 
--- a/lapishaven/admission/tenant_quota.py
+++ b/lapishaven/admission/tenant_quota.py
@@ -5,7 +5,7 @@
 from lapishaven.admission.load_measurement import POLL_INTERVAL_S
 from lapishaven.admission.settings import Settings
 
-RATE_WINDOW_S = 5.0  # span of a tenant's mean rate: about thirty requests, so a sixth of noise
+RATE_WINDOW_S = 5.0  # span of a tenant's mean rate: about thirty requests, so its noise is about a sixth
 
 
 class TenantQuotas:
--- a/lapishaven/core/broker.py
+++ b/lapishaven/core/broker.py
@@ -38,7 +38,7 @@
 from lapishaven.counters import Counters
 
 DEFAULT_MEMORY_BYTES = 64 * 1024 * 1024
-STORED_RESULTS_PART = 16  # one part in so many of the memory is for results that are stored for duplicates
+STORED_RESULTS_PART = 16  # divisor of the memory that gives the limit of results stored for duplicates
 
 
 class Broker:
@@ -135,7 +135,7 @@
         return self._intake.submit(now, submission, reply)
 
     def cancel(self, request: Request) -> None:
-        """The caller of a request has gone: nothing is answered, and the controller may have its run stopped."""
+        """Cancel a request whose caller has gone: it is not answered, and the controller may have its run stopped."""
         if request.reply is None:
             return
         request.reply = None
@@ -172,7 +172,7 @@
 
     # ---- Graceful shutdown
     def drain(self, now: float, kill_at: float) -> None:
-        """The notice to shut down came, and the process is killed at ``kill_at``; a second notice is ignored."""
+        """Begin the graceful shutdown; the process is killed at ``kill_at``. Ignored if it has begun already."""
         if self._drain_state.requested_at is not None:
             return
         self._drain_state.requested_at = now
@@ -181,7 +181,7 @@
         self._table.schedule_final_answers(self._drain_state.final_answers_at)
 
     def advance_kill(self, kill_at: float) -> None:
-        """The kill may come earlier than was announced; a later time changes nothing."""
+        """Bring the time of the kill forward; a later time than the known one changes nothing."""
         self._drain_state.kill_at = min(self._drain_state.kill_at, kill_at)
         self._table.schedule_final_answers(self._drain_state.final_answers_at)
 
--- a/lapishaven/core/request_table.py
+++ b/lapishaven/core/request_table.py
@@ -8,7 +8,7 @@
 from lapishaven.core.requests import Request
 
 ID_COUNT = 1 << 32  # request ids are u32
-ABANDON_AFTER_S = 60.0  # after its deadline; a run whose end was never reported is then given up
+ABANDON_AFTER_S = 60.0  # after its deadline, a run whose end was never reported is given up
 
 
 class RequestTable:
--- a/lapishaven/frontends/load_endpoint.py
+++ b/lapishaven/frontends/load_endpoint.py
@@ -20,15 +20,17 @@
 from lapishaven.proto import ProtocolError
 from lapishaven.proto import load as load_protocol
 
-FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.UNREACHABLE)
+FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.UNREACHABLE)  # outcomes reported as failed runs
 
 
 class LoadEndpoint:
-    """Parameters:
-    address: host and port for probes.
-    random: draws the incarnation.
-    slots: requests that this server works on at one time.
-    broker: returns ``None`` until the server is up; it asks for no requests until then.
+    """Answers probes, and renders the load report for the header of a response.
+
+    Parameters:
+        address: host and port for probes.
+        random: draws the incarnation.
+        slots: requests that this server works on at one time.
+        broker: returns ``None`` until the server is up; until then the report asks for no requests.
     """
 
     def __init__(
--- a/lapishaven/server/assembly.py
+++ b/lapishaven/server/assembly.py
@@ -29,7 +29,7 @@
 
 RESERVED_DESCRIPTORS = 32  # for the program itself: streams, epoll, listeners, links and connections being closed
 UWSGI_ATTEMPT_DESCRIPTORS = 64  # for attempts of the uwsgi backend, where there is one
-RESERVE_PART = 4  # the reserve is at most one part in so many of all descriptors
+RESERVE_PART = 4  # divisor of all descriptors that gives the largest reserve
 RESERVE_PART_LOAD_BALANCED = 2  # likewise, where attempts are balanced over processes
 
 
@@ -96,7 +96,7 @@
     assert files.spread is not None
     config = files.config
     deadlines = {spec.name: spec.deadline for spec in config.settings.classes}
-    # Servers must not choose alike, however alike their configurations are.
+    # Servers with the same configuration must choose differently, or all would pick the same endpoint at once.
     random = Random(f"{config.seed}/{config.name}/{os.getpid()}/{time.time()}")
     return LoadBalancedBackend(loop, files.spread, config.settings.cores, deadlines, listener, counters, random, dial)
 
--- a/lapishaven/server/client_connections.py
+++ b/lapishaven/server/client_connections.py
@@ -11,7 +11,7 @@
 
 MESSAGE_TIMEOUT_S = 2.0  # for a message to arrive completely, the first one counted from the accept
 SWEEP_INTERVAL_S = 0.05  # between checks for idle and silent connections
-EVICTION_PART = 16  # one connection in so many is closed at once, so that a burst need not wait for room each time
+EVICTION_PART = 16  # divisor of the limit that gives how many are evicted at once, so that a burst waits less
 
 
 class ClientConnections:
--- a/lapishaven/server/part_supervisor.py
+++ b/lapishaven/server/part_supervisor.py
@@ -8,7 +8,7 @@
 from lapishaven.counters import Counters
 from lapishaven.net.loop import Loop, Wait
 
-RESTART_DELAY_S = 1.0  # from the fault to the restart
+RESTART_DELAY_S = 1.0  # from the fault to the restart, so that a lasting fault does not spin
 
 
 class SupervisedPart(Protocol):
--- a/lapishaven/server/server.py
+++ b/lapishaven/server/server.py
@@ -36,8 +36,8 @@
 from lapishaven.server.signals import SignalDispatcher, Signals
 from lapishaven.server.status import ServerStatus
 
-UNSENT_PART = 8  # one part in so many of the memory is for answers that callers do not read
-INHERITED_SOCKET_DELAY_S = 2.0  # at most for which a new process leaves an inherited socket to the old one
+UNSENT_PART = 8  # divisor of the memory that gives the limit of answers that callers have not read
+INHERITED_SOCKET_DELAY_S = 2.0  # the longest time for which a new process leaves an inherited socket to the old one
 
 
 def log_to_stderr(text: str) -> None:
