--- a/lapishaven/backends/run_dispatcher.py
+++ b/lapishaven/backends/run_dispatcher.py
@@ -8,7 +8,7 @@
 from lapishaven.admission import Outcome
 from lapishaven.backends.balanced_run import BalancedRun
 from lapishaven.backends.endpoint_prober import EndpointProber
-from lapishaven.backends.uwsgi import DIAL, read_response
+from lapishaven.backends.uwsgi import DIAL_TIMEOUT_S, read_response
 from lapishaven.connection_end import ConnectionEnd, outcome_of
 from lapishaven.core.outcome_metrics import OUTCOME_LABELS
 from lapishaven.counters import Counters
@@ -20,29 +20,31 @@
 from lapishaven.proto import uwsgi as proto
 
 MAX_ATTEMPTS = 4  # of one run, at all endpoints
-MIN_TIME_FOR_RETRY_S = 0.05  # before a run's deadline
-MAX_RETRY_AFTER_S = 60.0
-# Other outcomes are failures.
+MIN_TIME_FOR_RETRY_S = 0.05  # left until a run's deadline; with less it is not retried
+MAX_RETRY_AFTER_S = 60.0  # that an endpoint's answer can ask for; longer ones are cut to it
+# What the balancer is told of an attempt; outcomes that are not listed count as failures.
 ATTEMPT_OUTCOMES = {
     Outcome.OK: AttemptOutcome.SERVED,
     Outcome.OVERLOADED: AttemptOutcome.REJECTED,
     Outcome.UNREACHABLE: AttemptOutcome.UNREACHABLE,
     Outcome.CANCELLED: AttemptOutcome.ABANDONED,
 }
-NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE)
-Finished = Callable[[str, Outcome, float, bytes], None]  # handle, outcome, s that it took, result
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE)  # outcomes that prove that the attempt did nothing
+Finished = Callable[[str, Outcome, float, bytes], None]  # attempt id, outcome, seconds that it took, result
 
 
 class RunDispatcher:
-    """Parameters:
-    balancer: chooses endpoints.
-    addresses: host and port by endpoint.
-    settings: path of requests, and limits.
-    finished: is called with the end of each run.
-    dial: opens connections.
+    """Holds the runs in flight and the attempts of each.
+
+    Parameters:
+        balancer: chooses endpoints.
+        addresses: host and port by endpoint.
+        settings: path of requests, and limits.
+        finished: is called with the end of each run.
+        dial: opens connections.
 
     Attributes:
-        runs: in flight, by handle.
+        runs: in flight, by attempt id.
     """
 
     def __init__(
@@ -71,7 +73,7 @@
 
     def dispatch(self, run: BalancedRun) -> None:
         """Begin a run."""
-        self.runs[run.handle] = run
+        self.runs[run.attempt_id] = run
         if len(self.runs) > self.settings.attempts:
             self.counters.add("spread", "no descriptor")
             self.finish(run, Outcome.UNREACHABLE)
@@ -91,7 +93,7 @@
 
     def _finish_choice(self, choice: Choice) -> None:
         run = self._choosing.pop(choice, None)
-        if run is not None and self.runs.get(run.handle) is run:
+        if run is not None and self.runs.get(run.attempt_id) is run:
             self._send(run, choice)
 
     def _send(self, run: BalancedRun, choice: Choice) -> None:
@@ -113,7 +115,7 @@
 
     # ---- One attempt
     def _attempt(self, run: BalancedRun, number: int) -> Generator[Wait, Any, None]:
-        timeout_s = min(DIAL, run.deadline - self.loop.now)
+        timeout_s = min(DIAL_TIMEOUT_S, run.deadline - self.loop.now)
         sock = yield from self._dial(self.loop, self._addresses[run.endpoint], timeout_s)
         if run.attempt_number != number:  # given up meanwhile
             if not isinstance(sock, ConnectionEnd):
@@ -134,7 +136,7 @@
         variables = {
             "REQUEST_METHOD": "POST",
             "PATH_INFO": self.settings.path + run.class_name,
-            "HTTP_X_REQUEST_ID": run.handle,
+            "HTTP_X_REQUEST_ID": run.attempt_id,
         }
         if number > 1:
             variables["HTTP_X_RETRY"] = "1"
@@ -149,7 +151,7 @@
     def _attempt_ended(
         self, run: BalancedRun, number: int, outcome: Outcome, result: bytes, response: proto.Response | None
     ) -> None:
-        if run.attempt_number != number or self.runs.get(run.handle) is not run:
+        if run.attempt_number != number or self.runs.get(run.attempt_id) is not run:
             return  # given up before
         now = self.loop.now
         self._release(run, ATTEMPT_OUTCOMES.get(outcome, AttemptOutcome.FAILED), _retry_after_s(response))
@@ -168,13 +170,13 @@
 
     def finish(self, run: BalancedRun, outcome: Outcome, result: bytes = b"") -> None:
         """The run is over, if it was not before."""
-        if self.runs.pop(run.handle, None) is not None:
+        if self.runs.pop(run.attempt_id, None) is not None:
             run.attempt_number += 1
-            self._finished(run.handle, outcome, self.loop.now - run.started_at, result)
+            self._finished(run.attempt_id, outcome, self.loop.now - run.started_at, result)
 
     # ---- Retries
     def _may_retry(self, run: BalancedRun) -> bool:
-        """Whether the run may go to another endpoint; if so the retry budget has paid for it."""
+        """Whether the run may go to another endpoint; if so, this has charged the retry budget for it."""
         now = self.loop.now
         if run.cancelled or run.attempt_number >= MAX_ATTEMPTS or now + MIN_TIME_FOR_RETRY_S > run.deadline:
             return False
@@ -218,7 +220,7 @@
 
 
 def _retry_after_s(response: proto.Response | None) -> float:
-    """For how long the endpoint asks to be left alone; the header in milliseconds goes before ``Retry-After``."""
+    """Seconds for which the endpoint asks for no requests; the header in milliseconds precedes ``Retry-After``."""
     if response is None:
         return 0.0
     milliseconds = response.headers.get("x-pushback-ms", "")
--- a/lapishaven/pools/preemption.py
+++ b/lapishaven/pools/preemption.py
@@ -7,7 +7,7 @@
 from lapishaven.admission import Idempotency, RequestClass
 from lapishaven.pools.pool import Pool, PoolRun
 
-MIN_SHARE_RUNS = 1e-9  # so that a ratio stays finite
+MIN_SHARE_RUNS = 1e-9  # the least divisor, so that a ratio stays finite
 
 
 def is_short(pool: Pool, has_queue: bool, can_start: bool, limit: float) -> bool:
@@ -16,7 +16,10 @@
 
 
 def has_waited(pool: Pool, now: float, preempt_after_s: float) -> bool:
-    """Whether a pool that is short has been so for long enough; note the time if it has just become so."""
+    """Whether a pool that is short has been so for ``preempt_after_s`` seconds.
+
+    Starts the wait if the pool has just become short, and anew each time that it has passed.
+    """
     if pool.short_since is None:
         pool.short_since = now
         return False
@@ -28,7 +31,7 @@
 
 def choose_victim(
     now: float,
-    lender: int,
+    short_pool: int,
     pools: Sequence[Pool],
     runs: Mapping[int, PoolRun],
     classes: Sequence[RequestClass],
@@ -36,7 +39,7 @@
     speed: float,
     min_remaining_s: float,
 ) -> int | None:
-    """The id of the run to pause for the pool ``lender``; ``None`` if there is none.
+    """The id of the run to pause for the pool ``short_pool``; ``None`` if there is none.
 
     It is the newest idempotent run of the pool that is furthest above its share, unless less than
     ``min_remaining_s`` seconds of it are left at the instance's ``speed``; then the next such pool is tried.
@@ -44,7 +47,7 @@
     over_share = [
         (pool.running / max(pool.share * limit, MIN_SHARE_RUNS), index)
         for index, pool in enumerate(pools)
-        if index != lender and pool.running > max(1.0, pool.share * limit)
+        if index != short_pool and pool.running > max(1.0, pool.share * limit)
     ]
     for _, index in sorted(over_share, reverse=True):
         candidates = [
--- a/lapishaven/server/client_connections.py
+++ b/lapishaven/server/client_connections.py
@@ -11,15 +11,15 @@
 
 MESSAGE_TIMEOUT_S = 2.0  # for a message to arrive completely, the first one counted from the accept
 SWEEP_INTERVAL_S = 0.05  # between checks for idle and silent connections
-EVICTION_PART = 16  # one connection in so many is closed at once, so that a burst need not wait for room each time
+EVICTION_PART = 16  # divisor of the limit that gives how many are evicted at once, so that a burst waits less
 
 
 class ClientConnections:
     """Every session from its accept until its descriptor is free again."""
 
-    def __init__(self, loop: Loop, budget: DescriptorBudget, counters: Counters, idle: float) -> None:
-        """``idle`` is the idle timeout in seconds."""
-        self.idle = idle  # seconds after which a connection with nothing open is closed
+    def __init__(self, loop: Loop, budget: DescriptorBudget, counters: Counters, idle_timeout: float) -> None:
+        """``idle_timeout`` is in seconds."""
+        self.idle_timeout = idle_timeout  # seconds after which a connection with nothing open is closed
         self.sessions: dict[Session, float] = {}  # when each was last examined, the least recent first
         self._loop = loop
         self._budget = budget
@@ -36,7 +36,7 @@
     def _failed(self, session: Session) -> None:
         """Its coroutine has ended by a fault of this program: close it once what is open there is answered."""
         self._counters.add("faults", "session")
-        session.leave(ConnectionEnd.FAULT)
+        session.close_gracefully(ConnectionEnd.FAULT)
 
     def ended(self, session: Session, end: ConnectionEnd) -> None:
         """Its connection has ended and its descriptor is free."""
@@ -57,7 +57,7 @@
         for session in list(self.sessions):
             if wanted <= 0:
                 break
-            was_used = session.since is None and session.conn.last_active > self.sessions[session]
+            was_used = session.awaiting_since is None and session.conn.last_active > self.sessions[session]
             del self.sessions[session]
             self.sessions[session] = session.conn.last_active
             is_evictable = not was_used and not session.conn.send_buffer.size
@@ -74,18 +74,18 @@
         conn = session.conn
         if session.busy or conn.closing is not None or conn.end is not None or conn.read_available():
             return False
-        session.leave(end)
+        session.close_gracefully(end)
         return True
 
     # ---- Timeouts
     def sweep(self) -> None:
         """Close idle connections, and those whose message did not arrive completely in time; again at each interval."""
-        idle_since = self._loop.now - self.idle
+        idle_since = self._loop.now - self.idle_timeout
         silent_since = self._loop.now - MESSAGE_TIMEOUT_S
         for session in list(self.sessions):
-            if session.since is not None:
+            if session.awaiting_since is not None:
                 # Silent or half-open: it is of no use, and other callers may need its descriptor.
-                if session.since <= silent_since:
+                if session.awaiting_since <= silent_since:
                     self._close_at_rest(session, ConnectionEnd.TIMED_OUT)
             elif session.conn.last_active < idle_since:
                 self._close_at_rest(session, ConnectionEnd.IDLE)
@@ -97,9 +97,9 @@
         for session in self.sessions:
             session.drain()
 
-    def leave(self) -> None:
-        """Close all, each once what is open there is answered; what the kernel's buffers hold by now is read first."""
+    def close_gracefully(self) -> None:
+        """Close all, each once what is open there is answered; what the kernel has received by now is read first."""
         for session in list(self.sessions):
             session.conn.read_available()
         for session in list(self.sessions):
-            session.leave(ConnectionEnd.DRAINED)
+            session.close_gracefully(ConnectionEnd.DRAINED)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -28,7 +28,7 @@
 
     def rest(self) -> None:
         """Idle for longer than allowed, with no sweep in between."""
-        self.now += self.server.callers.idle + 1
+        self.now += self.server.callers.idle_timeout + 1
         self.server.loop.now = self.now
 
     # Guards against a request that the kernel had already, discarded by a close as idle and reset.
@@ -58,7 +58,9 @@
     def test_a_message_that_becomes_whole_as_it_times_out_is_served(self) -> None:
         caller, line = self.connect(), self.message("t1", "1", "fuzzy-match")
         self.send(caller, line[:50])
-        self.until(lambda: self.of(caller).since is not None and not buffered(self.of(caller).conn.sock), "half of it")
+        self.until(
+            lambda: self.of(caller).awaiting_since is not None and not buffered(self.of(caller).conn.sock), "half of it"
+        )
         self.send(caller, line[50:])
         self.now += MESSAGE_TIMEOUT_S + 0.1
         self.server.loop.now = self.now
@@ -106,7 +108,7 @@
                 self.until(lambda conn=conn: not buffered(conn.sock), "the rest read")
                 self.assertGreater(conn.send_buffer.size, 0)
                 sent = conn.sent
-                self.wait((MESSAGE_TIMEOUT_S if rest else self.server.callers.idle) + LINGER_S + 0.2)
+                self.wait((MESSAGE_TIMEOUT_S if rest else self.server.callers.idle_timeout) + LINGER_S + 0.2)
                 while conn.end is None and conn.sent != sent:
                     # The kernel took more bytes, in real time, after the close had begun: that renews the wait.
                     sent = conn.sent
@@ -150,7 +152,7 @@
         caller.sock.shutdown(socket.SHUT_WR)
         self.round()
         self.assertEqual((session._feeding, session.open), (True, {}), "it waits for its slice")
-        self.server.callers.leave()  # and even as all are closed, what was read is taken up first
+        self.server.callers.close_gracefully()  # and even as all are closed, what was read is taken up first
         self.until(lambda: "t1.3" in self.vm.handles, "the runs")
         for n in (1, 2, 3):
             self.vm.end("OK", f"t1.{n}")
