--- a/lapishaven/load_balancing/balancer.py
+++ b/lapishaven/load_balancing/balancer.py
@@ -172,7 +172,7 @@
             self.failure_detector.set_request_duration(self.averages.request_s)
             self._ejection.record_success(endpoint)
         elif outcome is AttemptOutcome.REJECTED:
-            endpoint.retry_after = max(endpoint.retry_after, now + retry_after_s)
+            endpoint.retry_after_until = max(endpoint.retry_after_until, now + retry_after_s)
         elif outcome in (AttemptOutcome.FAILED, AttemptOutcome.UNREACHABLE):
             if self._ejection.record_failure(now, endpoint, len(self.endpoints)):
                 self.counts["cast out"] += 1
--- a/lapishaven/load_balancing/endpoint_state.py
+++ b/lapishaven/load_balancing/endpoint_state.py
@@ -26,18 +26,18 @@
         name: ``HOST:PORT``.
         report: its last load report.
         report_as_of: when that was asked for, so that no request sent later is counted in it.
-        heard: when anything last came from it.
+        last_heard_at: when anything last came from it.
         unreported_sends: when each of our requests was sent that the last report cannot have counted.
-        open: our requests in flight there.
+        in_flight: our requests in flight there.
         report_uses_left: requests that may still be sent on the strength of the cached report.
-        retry_after: the end of the time for which it asked to be left alone.
+        retry_after_until: the end of the time for which it asked to be left alone.
         consecutive_failures: attempts that failed in a row.
         ejections: in a row, without a served request between them.
         ejected_until: the end of its last ejection.
         on_trial: whether it gets one attempt at a time, after an ejection.
         phantom_requests: until when each request that ended too soon counts as in flight.
-        asked: the probe that it has not answered.
-        suspected: since when it is suspected to be unresponsive.
+        outstanding_probe: the probe that it has not answered.
+        suspected_since: since when it is suspected to be unresponsive.
         expected_durations: how long each of our requests was expected to take, in durations of a typical one, by the
             time that it was sent.
         slowdown: how many times as long as expected its requests took, as a running mean.
@@ -50,7 +50,7 @@
     unreported_sends: list[float] = field(default_factory=list)
     in_flight: int = 0
     report_uses_left: int = 0
-    retry_after: float = NEVER
+    retry_after_until: float = NEVER
     consecutive_failures: int = 0
     ejections: int = 0
     ejected_until: float = NEVER
@@ -62,7 +62,7 @@
     slowdown: float = 1.0
 
     def receive_report(self, now: float, as_of: float, report: LoadReport | None) -> bool:
-        """Record that something came, with or without a report that was asked for at ``as_of``; whether it was news."""
+        """Record that something came, with or without a report that was asked for at ``as_of``; whether it is newer."""
         self.last_heard_at = now
         if report is None or not is_newer(report, self.report):
             return False
@@ -79,13 +79,13 @@
         self.ejections = 0
         self.phantom_requests.clear()
         self.ejected_until = NEVER
-        self.retry_after = NEVER
+        self.retry_after_until = NEVER
 
     def accepts_requests(self, now: float) -> bool:
-        """Whether it may be sent to, as far as its own words and its failures go."""
-        if self.report is not None and self.report.desired_share <= 0:
-            return False  # it drains
-        if self.retry_after > now or self.ejected_until > now:
+        """Whether it may be sent to, as far as its reports, its Retry-After and its failures go."""
+        if self.is_draining():
+            return False
+        if self.retry_after_until > now or self.ejected_until > now:
             return False
         return not (self.on_trial and self.in_flight)
 
--- a/lapishaven/load_balancing/endpoint_status.py
+++ b/lapishaven/load_balancing/endpoint_status.py
@@ -24,7 +24,7 @@
         return EndpointStatus.UNRESPONSIVE
     if endpoint.ejected_until > now:
         return EndpointStatus.EJECTED
-    if endpoint.retry_after > now:
+    if endpoint.retry_after_until > now:
         return EndpointStatus.RETRY_AFTER
     if endpoint.is_draining():
         return EndpointStatus.DRAINING
--- a/lapishaven/load_balancing/failure_detector.py
+++ b/lapishaven/load_balancing/failure_detector.py
@@ -19,20 +19,22 @@
 
 RECENT_PROBES = 32  # by which it is told whether most go unanswered
 MIN_RECENT_PROBES = RECENT_PROBES // 4
-MAX_PROBE_INTERVAL_S = 2.0  # to a suspected endpoint
+MAX_PROBE_INTERVAL_S = 2.0  # between probes of a suspected endpoint
 PROBE_BACKOFF = 1.5  # factor from one interval to the next
 TIMEOUT_IN_ONE_WAY_DELAYS = 6.0
 INTERVAL_IN_REQUESTS = 0.75  # of a typical request's duration, between probes of an endpoint that has one in flight
-CLOCK_TOLERANCE_S = 1e-9
-INTERVAL_TOLERANCE = 0.89  # below the least jitter of a check, so that a check that comes early still counts
+CHECK_JITTER = (0.9, 1.1)  # factor of the probe interval
+PROBE_JITTER = (0.8, 1.2)  # factor of the interval to the next probe of a suspected endpoint
+INTERVAL_TOLERANCE = 0.89  # below the least of CHECK_JITTER, so that a check that comes early still counts
+CLOCK_TOLERANCE_S = 1e-9  # rounding of sums and differences of times
 
 
 @dataclass(slots=True, eq=False)
 class OutstandingProbe:
-    """A probe that waits for its answer. ``at``: when it was sent, in s. ``tries``: unanswered ones before it."""
+    """A probe that waits for its answer. ``sent_at`` in s; ``unanswered_before``: probes in a row before it."""
 
-    at: float
-    tries: int = 0
+    sent_at: float
+    unanswered_before: int = 0
 
 
 class Watched(Protocol):
@@ -48,13 +50,13 @@
 
 
 class FailureDetector(Generic[Endpoint]):
-    """Is notified of probes, answers and requests; ``due`` gives whom to probe and who became unresponsive.
+    """Is notified of probes, answers and requests; ``check`` gives whom to probe and who became unresponsive.
 
     Attributes:
         suspects: endpoints that are suspected to be unresponsive.
         panics: how often nobody was suspected because most probes went unanswered.
-        watch: s without an answer or report after which an endpoint with requests in flight is probed.
-        silent: s after which an unanswered probe makes its endpoint suspected.
+        probe_interval_s: time without an answer or report after which an endpoint with requests in flight is probed.
+        probe_timeout_s: time after which an unanswered probe makes its endpoint suspected.
     """
 
     def __init__(self, rules: BalancingRules, random: Random) -> None:
@@ -65,16 +67,16 @@
         self._recent_unanswered: deque[bool] = deque(maxlen=RECENT_PROBES)
         self.suspects: set[Endpoint] = set()
         self.panics = 0
-        self.watch = rules.watch_interval_s
-        self.silent = rules.probe_timeout_s
+        self.probe_interval_s = rules.watch_interval_s
+        self.probe_timeout_s = rules.probe_timeout_s
 
-    def set_request_duration(self, span: float) -> None:
+    def set_request_duration(self, duration_s: float) -> None:
         """Fit the probe interval to the duration of a typical request, in s: about one probe for each of them."""
-        self.watch = max(self._rules.watch_interval_s, INTERVAL_IN_REQUESTS * span)
+        self.probe_interval_s = max(self._rules.watch_interval_s, INTERVAL_IN_REQUESTS * duration_s)
 
-    def set_one_way_delay(self, span: float) -> None:
+    def set_one_way_delay(self, delay_s: float) -> None:
         """Fit the probe timeout to the one-way network delay, in s: where all answers are late, late is no failure."""
-        self.silent = max(self._rules.probe_timeout_s, TIMEOUT_IN_ONE_WAY_DELAYS * span)
+        self.probe_timeout_s = max(self._rules.probe_timeout_s, TIMEOUT_IN_ONE_WAY_DELAYS * delay_s)
 
     def _schedule_check(self, when: float, endpoint: Endpoint) -> None:
         self._check_count += 1
@@ -90,11 +92,11 @@
         """The endpoint is probed."""
         if endpoint.outstanding_probe is None:
             endpoint.outstanding_probe = OutstandingProbe(now)
-            self._schedule_check(now + self.silent, endpoint)
+            self._schedule_check(now + self.probe_timeout_s, endpoint)
 
     def request_sent(self, now: float, endpoint: Endpoint) -> None:
         """A request was sent to the endpoint."""
-        self._schedule_check(now + self.watch * self._random.uniform(0.9, 1.1), endpoint)
+        self._schedule_check(now + self.probe_interval_s * self._random.uniform(*CHECK_JITTER), endpoint)
 
     def response_received(self, endpoint: Endpoint) -> bool:
         """Anything came from the endpoint; whether it was suspected until now."""
@@ -113,30 +115,30 @@
         endpoint.suspected_since = None
 
     def next_check_at(self) -> float:
-        """When ``due`` should be called next, in s; infinite if there is nothing to check."""
+        """When ``check`` should be called next, in s; infinite if there is nothing to check."""
         return self._checks[0][0] if self._checks else float("inf")
 
-    def check(self, now: float, there: Callable[[Endpoint], bool]) -> tuple[list[Endpoint], list[Endpoint]]:
-        """Whom to probe now, and who has just become unresponsive. ``there``: whether an endpoint still exists."""
+    def check(self, now: float, is_current: Callable[[Endpoint], bool]) -> tuple[list[Endpoint], list[Endpoint]]:
+        """Whom to probe now, and who has just become unresponsive. ``is_current``: whether an endpoint still exists."""
         to_probe: list[Endpoint] = []
         newly_suspected: list[Endpoint] = []
         while self._checks and self._checks[0][0] <= now:
             endpoint = heappop(self._checks)[2]
-            if not there(endpoint):
+            if not is_current(endpoint):
                 continue
             probe = endpoint.outstanding_probe
             if probe is not None:
-                if now - probe.at >= self.silent - CLOCK_TOLERANCE_S:
+                if now - probe.sent_at >= self.probe_timeout_s - CLOCK_TOLERANCE_S:
                     if self._probe_timed_out(endpoint, probe):
                         newly_suspected.append(endpoint)
                     self._probe_again(now, endpoint, probe)
                     to_probe.append(endpoint)
-            elif endpoint.in_flight and now - endpoint.last_heard_at >= self.watch * INTERVAL_TOLERANCE:
+            elif endpoint.in_flight and now - endpoint.last_heard_at >= self.probe_interval_s * INTERVAL_TOLERANCE:
                 self.probe_sent(now, endpoint)
                 to_probe.append(endpoint)
             elif endpoint.in_flight:
-                jitter = self._random.uniform(0.9, 1.1)
-                self._schedule_check(endpoint.last_heard_at + self.watch * jitter, endpoint)
+                jitter = self._random.uniform(*CHECK_JITTER)
+                self._schedule_check(endpoint.last_heard_at + self.probe_interval_s * jitter, endpoint)
         return to_probe, newly_suspected
 
     def _probe_timed_out(self, endpoint: Endpoint, probe: OutstandingProbe) -> bool:
@@ -147,12 +149,12 @@
         if self.panic:
             self.panics += 1
             return False
-        endpoint.suspected_since = probe.at
+        endpoint.suspected_since = probe.sent_at
         self.suspects.add(endpoint)
         return True
 
     def _probe_again(self, now: float, endpoint: Endpoint, probe: OutstandingProbe) -> None:
-        tries = probe.tries + 1
-        endpoint.outstanding_probe = OutstandingProbe(now, tries)
-        interval_s = min(MAX_PROBE_INTERVAL_S, self.silent * PROBE_BACKOFF**tries)
-        self._schedule_check(now + interval_s * self._random.uniform(0.8, 1.2), endpoint)
+        unanswered = probe.unanswered_before + 1
+        endpoint.outstanding_probe = OutstandingProbe(now, unanswered)
+        interval_s = min(MAX_PROBE_INTERVAL_S, self.probe_timeout_s * PROBE_BACKOFF**unanswered)
+        self._schedule_check(now + interval_s * self._random.uniform(*PROBE_JITTER), endpoint)
--- a/lapishaven/load_balancing/fleet_averages.py
+++ b/lapishaven/load_balancing/fleet_averages.py
@@ -24,6 +24,7 @@
     __slots__ = ("load_per_slot", "one_way_s", "request_s", "slots", "speed")
 
     def __init__(self, rules: BalancingRules) -> None:
+        # Assumed until something was measured.
         self.request_s = rules.initial_request_s
         self.load_per_slot = 0.5
         self.speed = 1.0
--- a/lapishaven/load_balancing/load_reporter.py
+++ b/lapishaven/load_balancing/load_reporter.py
@@ -83,7 +83,7 @@
         if self._typical_duration_s:
             self._typical_duration_s += DURATION_SMOOTHING * (duration_s - self._typical_duration_s)
         else:
-            self._typical_duration_s += duration_s
+            self._typical_duration_s = duration_s
         self._served += self.relative_cost(class_index)
 
     def report(self, now: float, in_flight: Mapping[int, int]) -> LoadReport:
@@ -107,6 +107,6 @@
             return 0.0
         share = 1.0
         if self._slow_start_s:
-            age = (now - self._started_at) / self._slow_start_s
-            share = min(1.0, self._initial_share + (1.0 - self._initial_share) * age)
+            progress = (now - self._started_at) / self._slow_start_s
+            share = min(1.0, self._initial_share + (1.0 - self._initial_share) * progress)
         return max(share * (1.0 - self._failing), MIN_SHARE)
--- a/lapishaven/load_balancing/report_cache.py
+++ b/lapishaven/load_balancing/report_cache.py
@@ -1,7 +1,7 @@
 """A small pool of recent load reports, so that each choice compares more endpoints than it probes.
 
 The pool follows Wydler et al., "Load is not what you should balance: Introducing Prequal" (NSDI 2024): a report is used
-a bounded number of times and aged out, and the worst and the oldest are removed in turn.
+a bounded number of times and aged out, and from a full pool either the worst or the oldest is removed.
 """
 
 from __future__ import annotations
@@ -37,7 +37,10 @@
             self._evict(now)
 
     def _evict(self, now: float) -> None:
-        """Remove the oldest or the most costly: by cost alone the pool would keep what nobody chooses."""
+        """Remove the oldest or the most costly, each with probability 1/2.
+
+        By cost alone the pool would keep what nobody chooses.
+        """
         if self._random.random() < 0.5:
             del self._pool[next(iter(self._pool))]
             return
--- a/lapishaven/load_balancing/retry_budget.py
+++ b/lapishaven/load_balancing/retry_budget.py
@@ -22,7 +22,10 @@
         self._balance = min(MAX_BALANCE, self._balance + ratio)
 
     def raise_ratio(self, now: float, suspects: int) -> None:
-        """Allow more retries for a while if several endpoints are unresponsive, as what waits on them is retried."""
+        """Allow more retries for a while if several endpoints are unresponsive, as what waits on them is retried.
+
+        Half of the largest balance is granted at once, and first attempts then deposit ``raised_retry_ratio``.
+        """
         if suspects > 1 and now >= self._raised_until:
             self._raised_until = now + self._rules.raised_ratio_s
             self._balance = max(self._balance, MAX_BALANCE / 2)
--- a/lapishaven/load_balancing/weighted_sampler.py
+++ b/lapishaven/load_balancing/weighted_sampler.py
@@ -1,8 +1,8 @@
 """Sampling by weight with weights that change all the time.
 
-By rejection: an item is drawn evenly and accepted with its weight over the largest. A change of weight is one store; a
-draw takes as many rounds as the largest weight is over the mean one, whatever the number of items.
-``benchmarks/spread.py`` compares it with a scan, an alias table and a tree.
+Rejection sampling: an item is drawn evenly and accepted with its weight over the largest as the probability. A
+change of weight is one store; a draw takes as many rounds as the largest weight is over the mean one, whatever the
+number of items. ``benchmarks/spread.py`` compares it with a scan, an alias table and a tree.
 """
 
 from __future__ import annotations
