--- a/lapishaven/lab/field/receiver_process.py
+++ b/lapishaven/lab/field/receiver_process.py
@@ -24,7 +24,7 @@
     def full(self, yes: bool) -> None:
         """Leave the file no more room, or give it back."""
         # No page more than there are: SQLite then says that the disk is full, as it would.
-        self._base.execute(f"pragma max_page_count = {1 if yes else 1 << 30}")
+        self._connection.execute(f"pragma max_page_count = {1 if yes else 1 << 30}")
 
     def swap(self, source: str, target: str) -> None:
         """Copy one file over another."""
--- a/lapishaven/ownership/agent.py
+++ b/lapishaven/ownership/agent.py
@@ -15,7 +15,7 @@
 from lapishaven.ownership.notices import Notice, NoticeKind
 
 IDLE_INTERVAL_S = 0.5  # between two steps of a duty that did not say when
-RETRY_INTERVAL_S = 0.25  # until an effect without answer is sent again, as the same one
+RETRY_INTERVAL_S = 0.25  # until an effect without answer is sent again, or a step that failed is run again
 MAX_ATTEMPTS = 3  # of one effect within one step
 EFFECT_COUNT_INTERVAL = 64  # effects after which their count is recorded at the coordinator, at the latest
 WORKER_WAKING_KINDS = frozenset(
@@ -87,28 +87,28 @@
 class OwnershipCounters:
     """Counts for the gauges, since the start of the process."""
 
-    acts: int = 0
+    effects_acknowledged: int = 0
     repeats: int = 0
-    stale: int = 0
-    behind: int = 0
+    effects_stale: int = 0
+    receiver_behind: int = 0
     failed: int = 0
-    gained: int = 0
-    lost: int = 0
-    handed: int = 0
-    doubts: int = 0
+    shards_gained: int = 0
+    shards_lost: int = 0
+    shards_transferred: int = 0
+    outcomes_uncertain: int = 0
     joins: int = 0
     sessions_ended: int = 0
 
     def count_notice(self, kind: NoticeKind) -> None:
         """Count one notice of the member."""
         if kind is NoticeKind.SHARD_GAINED:
-            self.gained += 1
+            self.shards_gained += 1
         elif kind is NoticeKind.SHARD_LOST:
-            self.lost += 1
+            self.shards_lost += 1
         elif kind is NoticeKind.SHARD_TRANSFERRED:
-            self.handed += 1
+            self.shards_transferred += 1
         elif kind is NoticeKind.OUTCOME_UNCERTAIN:
-            self.doubts += 1
+            self.outcomes_uncertain += 1
         elif kind is NoticeKind.JOINED:
             self.joins += 1
         elif kind is NoticeKind.SESSION_ENDED:
@@ -298,7 +298,7 @@
     ) -> Any:
         facts = {**_shard_facts(shard, progress.token), "number": number, "effect": effect}
         if admission.verdict in (Verdict.ADMIT, Verdict.REPEAT):
-            self.counters.acts += 1
+            self.counters.effects_acknowledged += 1
             self.counters.repeats += admission.verdict is Verdict.REPEAT
             progress.number = number
             progress.effect_count = admission.effect_count
@@ -307,13 +307,13 @@
             self._record_effect_count(shard, progress)
             return admission.answer
         if admission.verdict is Verdict.STALE:
-            self.counters.stale += 1
+            self.counters.effects_stale += 1
             self._emit(NoticeKind.EFFECT_STALE, {**facts, "in_force": admission.token})
             with self.driver.lock:
                 self.member.effect_rejected(self.clock.now(), shard, progress.token, admission.token)
             self.driver.wake()
             raise NotOwnerError
-        self.counters.behind += 1
+        self.counters.receiver_behind += 1
         self._emit(
             NoticeKind.RECEIVER_BEHIND, {**facts, "known": progress.effect_count, "held": admission.effect_count}
         )
--- a/lapishaven/ownership/driver.py
+++ b/lapishaven/ownership/driver.py
@@ -26,7 +26,7 @@
 )
 
 MAX_WAIT_S = 0.5  # between two looks at the clock, which may have moved on while the process was stopped
-MIN_WAIT_S = 0.001
+MIN_WAIT_S = 0.001  # no busy loop while what is due has to wait, as a transfer does for an effect in flight
 
 
 class FaultPoint(Protocol):
--- a/lapishaven/ownership/fenced_store.py
+++ b/lapishaven/ownership/fenced_store.py
@@ -17,6 +17,7 @@
 from lapishaven.ownership.model import Shard
 
 SCHEMA_VERSION = 1
+# ``fence_open`` has a row only within a transaction that applies an effect: the triggers let writes pass while it does.
 SCHEMA = """
 create table if not exists fence_mark (
     duty text not null, shard integer not null, token integer not null, number integer not null,
@@ -33,7 +34,10 @@
 
 
 class FencedStoreError(Exception):
-    """The receiver could not do it (disk full, I/O, busy, an effect that makes no sense): nothing took effect."""
+    """The receiver could not do it (disk full, I/O, busy, an unknown effect): nothing took effect.
+
+    From a ``RemoteReceiver`` it may also mean that no answer came: then the effect may have been applied.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +78,7 @@
 
 
 class FencedStore:
-    """One file. Not to be shared by threads; processes may share the file.
+    """One file, which processes may share. Not synchronized: one thread at a time may use an instance.
 
     ``busy_timeout`` in seconds. ``fenced=False`` is for measurements only: the baseline of leases without fencing.
     """
@@ -89,23 +93,23 @@
         self._judge = judge if fenced else judge_unfenced
         self._effects = {name: effect for duty in duty_schemas.values() for name, effect in duty.effects.items()}
         try:
-            self._base = sqlite.connect(path, busy_timeout)
-            with sqlite.writing(self._base):
+            self._connection = sqlite.connect(path, busy_timeout)
+            with sqlite.writing(self._connection):
                 self._create_tables(path, duty_schemas.values())
         except sqlite3.Error as error:
             raise FencedStoreError(f"{path}: {error}") from None
 
     def _create_tables(self, path: str, duty_schemas: Iterable[DutySchema]) -> None:
-        version = self._base.execute("pragma user_version").fetchone()[0]
+        version = self._connection.execute("pragma user_version").fetchone()[0]
         if version > SCHEMA_VERSION:
             raise FencedStoreError(f"{path} is of schema {version}, newer than {SCHEMA_VERSION}")
-        sqlite.script(self._base, SCHEMA)
+        sqlite.script(self._connection, SCHEMA)
         for duty in duty_schemas:
-            sqlite.script(self._base, duty.schema)
+            sqlite.script(self._connection, duty.schema)
             for table in duty.guarded_tables:
                 for trigger in _guard_triggers(table):
-                    self._base.execute(trigger)
-        self._base.execute(f"pragma user_version = {SCHEMA_VERSION}")
+                    self._connection.execute(trigger)
+        self._connection.execute(f"pragma user_version = {SCHEMA_VERSION}")
 
     def admit(self, request: EffectRequest, effect: str, detail: Any) -> Admission:
         """Judge a request and, if it is admitted, apply its effect; all or nothing. Raises ``FencedStoreError`` if
@@ -114,16 +118,16 @@
         if apply is None:
             raise FencedStoreError(f"no effect {effect!r}")
         try:
-            with sqlite.writing(self._base):
+            with sqlite.writing(self._connection):
                 mark = self._read_mark(request.shard)
                 verdict = self._judge(mark, request)
                 if verdict is Verdict.REPEAT:
                     return Admission(verdict, mark.token, mark.effect_count, self._first_answer(request))
                 if verdict is not Verdict.ADMIT:
                     return Admission(verdict, mark.token, mark.effect_count)
-                self._base.execute("insert into fence_open values (1)")
-                answer = apply(self._base, detail)
-                self._base.execute("delete from fence_open")
+                self._connection.execute("insert into fence_open values (1)")
+                answer = apply(self._connection, detail)
+                self._connection.execute("delete from fence_open")
                 new_mark = advance(mark, request)
                 self._write_mark(request.shard, new_mark)
                 self._log_effect(request, effect, detail, answer)
@@ -132,26 +136,26 @@
             raise FencedStoreError(f"{effect}: {error}") from None
 
     def _read_mark(self, shard: Shard) -> HighWaterMark:
-        row = self._base.execute(
+        row = self._connection.execute(
             "select token, number, held from fence_mark where duty = ? and shard = ?", shard
         ).fetchone()
         return HighWaterMark(*row) if row else HighWaterMark()
 
     def _write_mark(self, shard: Shard, mark: HighWaterMark) -> None:
-        self._base.execute(
+        self._connection.execute(
             "insert or replace into fence_mark values (?, ?, ?, ?, ?)",
             (*shard, mark.token, mark.number, mark.effect_count),
         )
 
     def _first_answer(self, request: EffectRequest) -> Any:
-        row = self._base.execute(
+        row = self._connection.execute(
             "select answer from fence_log where duty = ? and shard = ? and token = ? and number = ?",
             (*request.shard, request.token, request.number),
         ).fetchone()
         return json.loads(row[0]) if row else None
 
     def _log_effect(self, request: EffectRequest, effect: str, detail: Any, answer: Any) -> None:
-        self._base.execute(
+        self._connection.execute(
             "insert into fence_log (duty, shard, token, number, effect, detail, answer) values (?, ?, ?, ?, ?, ?, ?)",
             (*request.shard, request.token, request.number, effect, json.dumps(detail), json.dumps(answer)),
         )
@@ -159,18 +163,18 @@
     def write(self, work: Callable[[sqlite3.Connection], Any]) -> Any:
         """Write to tables that are not guarded (what members report of themselves), in one transaction."""
         try:
-            with sqlite.writing(self._base):
-                return work(self._base)
+            with sqlite.writing(self._connection):
+                return work(self._connection)
         except sqlite3.Error as error:
             raise FencedStoreError(str(error)) from None
 
     def read(self, query: str, values: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
         """All rows of a query."""
         try:
-            return self._base.execute(query, values).fetchall()
+            return self._connection.execute(query, values).fetchall()
         except sqlite3.Error as error:
             raise FencedStoreError(str(error)) from None
 
     def close(self) -> None:
         """Close the file."""
-        self._base.close()
+        self._connection.close()
--- a/lapishaven/ownership/lease.py
+++ b/lapishaven/ownership/lease.py
@@ -65,12 +65,12 @@
     (LeaseState.RENEWING, LeaseEvent.RELEASE): LeaseState.RELEASED,
     (LeaseState.UNCERTAIN, LeaseEvent.RELEASE): LeaseState.RELEASED,
 }
-"""The next state by state and event; what is not listed is a fault of the program."""
+"""The next state by state and event; what is not listed is a programming error."""
 NEVER = float("-inf")
 
 
 class LeaseError(RuntimeError):
-    """An event that is impossible in the lease's state: a fault of the program."""
+    """An event that is impossible in the lease's state: a programming error."""
 
 
 @dataclass(slots=True)
--- a/lapishaven/ownership/overload.py
+++ b/lapishaven/ownership/overload.py
@@ -2,9 +2,9 @@
 
 A server is overloaded while it rejects ``rejected_share`` of what it answers, or reads requests too late for every
 latency objective. A member sheds once that has lasted for ``sustained_for`` seconds without a break, so that a burst
-moves nothing. It then goes by half its weight and transfers what is more than its part by that, one shard each
-``shed_interval``, as long as some other member is not overloaded: where all are, moving work helps nobody. It takes its
-full part again ``recovery_time`` seconds after the last time that it was overloaded.
+moves nothing. It then announces a reduced weight and transfers what is more than its fair share at that weight,
+one shard each ``shed_interval``, as long as some other member is not overloaded: where all are, moving work helps
+nobody. It takes its full share again ``recovery_time`` seconds after the last time that it was overloaded.
 """
 
 from __future__ import annotations
@@ -13,6 +13,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+from lapishaven.ownership.assignment import SHEDDING_WEIGHT_FACTOR
 from lapishaven.ownership.model import MemberRecord, MemberState, Shard, View
 
 SMOOTHING_FACTOR = 0.3  # weight of the latest answers in the moving average of the rejected share
@@ -71,8 +72,8 @@
         others = [record for record in records if record.name != name]
         if not self._some_at_full_weight(others):
             return None
-        reduced_weight = weight / 2
-        fair_count = shard_count * weight / 2 / (reduced_weight + sum(record.weight for record in others))
+        reduced_weight = weight * SHEDDING_WEIGHT_FACTOR
+        fair_count = shard_count * reduced_weight / (reduced_weight + sum(record.weight for record in others))
         if len(tokens) <= math.ceil(fair_count):
             return None
         self._next_shed_at = now + self.rules.shed_interval
@@ -81,7 +82,7 @@
         return max(tokens, key=lambda shard: (tokens[shard], shard))
 
     def _some_at_full_weight(self, others: Sequence[MemberRecord]) -> bool:
-        """Whether some other member is not overloaded: it goes by the highest weight that it has announced."""
+        """Whether some other member is not overloaded, which shows by its announcing its highest weight so far."""
         for record in others:
             known = self._full_weights.get(record.incarnation, 0.0)
             self._full_weights[record.incarnation] = max(record.weight, known)
--- a/lapishaven/ownership/participant.py
+++ b/lapishaven/ownership/participant.py
@@ -33,7 +33,7 @@
     "restart": restart.DUTY_SCHEMA,
     "budgets": budgets.DUTY_SCHEMA,
 }
-ETCD_CALLS_PER_TTL = 5
+ETCD_TIMEOUTS_PER_TTL = 5  # the time to live of a lease, in timeouts of one call to etcd
 FINAL_FLUSH_TIMEOUT_S = 0.1  # the process is killed 0.15 s after the loop's end
 FINAL_JOIN_TIMEOUT_S = 0.02
 
@@ -46,7 +46,7 @@
             from lapishaven.ownership.coordinators.etcd import EtcdCoordinator
 
             host, port = settings.coordinator
-            return EtcdCoordinator(host, port, settings.prefix, settings.rules.ttl / ETCD_CALLS_PER_TTL)
+            return EtcdCoordinator(host, port, settings.prefix, settings.rules.ttl / ETCD_TIMEOUTS_PER_TTL)
         from lapishaven.ownership.coordinators.sqlite import SqliteCoordinator
 
         return SqliteCoordinator(settings.coordinator, clock)
@@ -69,8 +69,8 @@
     """Start with ``start``; the server calls the other public methods on its event path.
 
     ``classes`` are the names behind the contracts' class numbers, which may differ between servers. ``log`` gets one
-    JSON line for each event that operators care about. ``go`` is called on the reporter's thread when a rolling restart
-    permits this process to leave.
+    JSON line for each event that operators care about. ``terminate`` is called on the reporter's thread when a rolling
+    restart permits this process to leave.
     """
 
     def __init__(
@@ -81,12 +81,12 @@
         classes: Sequence[str] = (),
         log: Callable[[str], None] | None = None,
         clock: Clock | None = None,
-        go: Callable[[], None] = terminate_process,
+        terminate: Callable[[], None] = terminate_process,
     ) -> None:
         self.settings = settings
         self.name = name
         self.reporting_failures = 0
-        self._go = go
+        self._terminate = terminate
         self._log = log or _print_to_stderr
         self._clock = clock or SystemClock()
         self.incarnation = f"{name}:{os.getpid()}:{int(self._clock.now() * 1000)}"
@@ -200,15 +200,15 @@
             "in": int(usable),
             "members": len(view.members) if view is not None else 0,
             "shards": len(member.assignment.tokens) if usable else 0,
-            "acts": counters.acts,
+            "acts": counters.effects_acknowledged,
             "repeats": counters.repeats,
-            "stale_refused": counters.stale,
-            "behind": counters.behind,
+            "stale_refused": counters.effects_stale,
+            "behind": counters.receiver_behind,
             "failed": counters.failed + self.reporting_failures,
-            "gained": counters.gained,
-            "lost": counters.lost,
-            "handed": counters.handed,
-            "doubts": counters.doubts,
+            "gained": counters.shards_gained,
+            "lost": counters.shards_lost,
+            "handed": counters.shards_transferred,
+            "doubts": counters.outcomes_uncertain,
             "joins": counters.joins,
             "coordinator_calls": self.agent.driver.call_count,
             "shed": self._overload.shed_count if self._overload is not None else 0,
@@ -279,4 +279,4 @@
             self._log_event(NoticeKind.RESTARTING.value, {"token": permit.token})
             # The reporter goes on to the end: the server still serves while it drains.
             self._draining = True
-            self._go()
+            self._terminate()
--- a/lapishaven/ownership/placement.py
+++ b/lapishaven/ownership/placement.py
@@ -2,7 +2,7 @@
 
 Every member computes the same placement from the same view. A shard stays where it is while its owner is alive, serves
 and is not over its bound; only shards without an owner are placed anew, each at the first member in its own order
-(highest hash) that has capacity. A member under its fair part then takes shards from the fullest, no more than it
+(highest hash) that has capacity. A member under its fair share then takes shards from the fullest, no more than it
 lacks.
 
 Sources: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998 (rendezvous hashing); Mirrokni,
@@ -39,7 +39,11 @@
 
 
 def rendezvous_score(shard: Shard, candidate: Candidate) -> float:
-    """The member's rank in the shard's order, the highest first; in proportion to its weight (``1 + ln u / w``)."""
+    """The member's rank in the shard's order, the highest first.
+
+    Members whose weights are all 1, or all not, rank first in proportion to their weights. Weight 1 ranks by ``u``, and
+    not by the ``1 + ln u / w`` of other weights: among mixed weights it comes first more often than in proportion.
+    """
     duty, number = shard
     bits = (_hash(f"{duty}/{number}") ^ _hash(candidate.name)) * _HASH_MULTIPLIER & _HASH_MASK
     bits ^= bits >> 32
@@ -75,7 +79,7 @@
                 with_capacity.discard(best)
 
     def rebalance(self) -> None:
-        """Members under their fair part take shards from those that are furthest over it, until they have it."""
+        """Members under their fair share take shards from those that are furthest over it, until they have it."""
         lacking = [name for name in self.owned if len(self.owned[name]) < math.floor(self.fair_counts[name])]
         for name in sorted(lacking, key=lambda name: (self._excess(name), name)):
             while len(self.owned[name]) < math.floor(self.fair_counts[name]):
--- a/lapishaven/ownership/restart_reporter.py
+++ b/lapishaven/ownership/restart_reporter.py
@@ -10,7 +10,7 @@
 
 
 class Permit(NamedTuple):
-    """Leave to restart, for one incarnation."""
+    """Permission to shut down for a restart, for one incarnation."""
 
     token: int
     """The fencing token of the restart duty's owner."""
--- a/lapishaven/ownership/rules.py
+++ b/lapishaven/ownership/rules.py
@@ -28,6 +28,7 @@
     """Between two polls of the revision, with up to ``poll_reference_members`` members; in proportion with more."""
 
     poll_reference_members: int = 50
+    """Members up to which ``poll_interval`` does not grow."""
 
     fast_poll_interval: float = 0.04
     """Between two reads of the state while a shard is about to be transferred to this member."""
--- a/lapishaven/ownership/schedule.py
+++ b/lapishaven/ownership/schedule.py
@@ -11,11 +11,11 @@
 RENEWAL_JITTER = (0.85, 1.0)  # factor of the renewal interval
 FIRST_RENEWAL_JITTER = (0.3, 1.0)  # wider, so that members that join together do not renew together
 POLL_JITTER = (0.7, 1.3)
-RETRY_JITTER = (0.5, 1.5)
-MAX_RENEWAL_RETRY_S = 0.2
-RENEWAL_RETRIES_PER_TTL = 10
+RETRY_JITTER = (0.5, 1.5)  # factor of the backoff after a renewal without answer
+MAX_RENEWAL_RETRY_S = 0.2  # the longest such backoff, before jitter
+RENEWAL_RETRIES_PER_TTL = 10  # such backoffs in the time to live of a lease, where that makes them shorter
 FREE_JOINS = 3  # joins before the settling time begins to double
-MAX_DOUBLINGS = 16
+MAX_DOUBLINGS = 16  # of the settling time, which reaches its bound before
 
 
 class OperationSchedule:
--- a/lapishaven/ownership/session.py
+++ b/lapishaven/ownership/session.py
@@ -87,6 +87,7 @@
         """Renew the lease. After a renewal without answer, one more both reads back and renews."""
         assert self.id is not None
         if self.lease.state is LeaseState.UNCERTAIN:
+            # Nothing is confirmed yet: this only returns to a state that may renew, and does not lengthen the lease.
             self.lease.apply(LeaseEvent.CONFIRMED)
         self.lease.renew(now)
         self._schedule.renewal_sent(now)
@@ -106,7 +107,7 @@
 
     def announcement(self, now: float, weight: float, transfers_pending: bool) -> Announce | None:
         """A change of the member's record that is due, if any. ``weight``: what it should be now; a change waits for
-        pending transfers, as the plan would change under them."""
+        pending transfers, as the plan would change under them. To be sent: stability is given only once a session."""
         assert self.id is not None
         if self.record.state is MemberState.JOINING and now >= self._schedule.settled_at:
             return Announce(self.id, replace(self.record, state=MemberState.SERVING))
--- a/lapishaven/ownership/settings.py
+++ b/lapishaven/ownership/settings.py
@@ -69,6 +69,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _Keys:
+    """The keys of one table."""
+
     required: frozenset[str]
     optional: frozenset[str] = frozenset()
 
@@ -88,8 +90,8 @@
 DEFAULT_PREFIX = "/lapishaven"
 MIN_TTL_S = 0.5
 MIN_ETCD_TTL_S = 2.0  # etcd raises shorter leases
-POLLS_PER_TTL = 10
-FLUSHES_PER_TTL = 3
+POLLS_PER_TTL = 10  # polls of the coordinator's revision in the time to live of a lease
+FLUSHES_PER_TTL = 3  # flushes of consumption rows, likewise, within MAX_FLUSH_INTERVAL_S
 MAX_FLUSH_INTERVAL_S = 1.0
 
 
--- a/lapishaven/ownership/verify.py
+++ b/lapishaven/ownership/verify.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectRow:
-    """One effect as the receiver holds it, in the order in which they took effect."""
+    """One effect in the receiver's log. Rows are in the order in which the effects were applied."""
 
     shard: Shard
     token: int
@@ -87,7 +87,7 @@
         if expected.get(key) != found.get(key):
             team, period = key
             sums = f"rows sum to {expected.get(key)}, its statement says {found.get(key)}"
-            return f"team {key[0]!r}, period {key[1]}: {sums}"
+            return f"team {team!r}, period {period}: {sums}"
     return None
 
 
--- a/tests/test_ownership_participant.py
+++ b/tests/test_ownership_participant.py
@@ -98,7 +98,7 @@
         "[restart]\nobey = true\n"
     )
     told = threading.Event()
-    part = Participant(load(str(path)), "a", None, log=lambda text: None, go=told.set)
+    part = Participant(load(str(path)), "a", None, log=lambda text: None, terminate=told.set)
     part.start()
     try:
         until("the member", lambda: part.state()["shards"] == 3)
