--- a/benchmarks/storage.py
+++ b/benchmarks/storage.py
@@ -96,7 +96,7 @@
                 store.put(key, model[key])
             store.sync()
             if rnd.random() < 0.2:
-                store.compact_slice(budget=80, everything=True)
+                store.compact_slice(max_bytes=80, everything=True)
                 store.commit()
         after = disk.lose_power(rnd)
         try:
--- a/lapishaven/storage/__init__.py
+++ b/lapishaven/storage/__init__.py
@@ -1,7 +1,7 @@
 """An embedded, single-writer, log-structured store for many small keys. Usable alone::
 
 with Store.open("results") as store:
-    store.put(b"key", b"value").result()      # durable once the future is done
+    store.put(b"key", b"value").result()  # durable once the future is done
     store.get(b"key")
 """
 
--- a/lapishaven/storage/index.py
+++ b/lapishaven/storage/index.py
@@ -39,7 +39,7 @@
 
     place: int  # of its newest record, or ``ABSENT``
     sequence: int  # of that record
-    expiry: float  # Unix seconds, rounded; 0: never. The record has it exactly
+    expiry: float  # Unix seconds; 0: never. The columns round it to 128 s (float32); the record has it exactly
 
 
 def digest(key: bytes) -> int:
@@ -119,7 +119,10 @@
         return True
 
     def remove_tombstone(self, key_digest: int) -> None:
-        """Remove the entry of an absent key, once no older record of it is left in any file."""
+        """Forget the tombstone of an absent key, once no older record of it is left in any file.
+
+        A row of the columns stays, marked ``ABSENT``.
+        """
         entry = self.get(key_digest)
         if entry is not None and entry.place == ABSENT:
             self._recent.pop(key_digest, None)
--- a/lapishaven/storage/segment_writer.py
+++ b/lapishaven/storage/segment_writer.py
@@ -16,7 +16,7 @@
 from lapishaven.storage.files import FileSystem
 from lapishaven.storage.format import PUT, TOMBSTONE, Record
 from lapishaven.storage.hint_file import Hint, write_hint
-from lapishaven.storage.index import ABSENT, ROW_TYPE, digest, make_place
+from lapishaven.storage.index import ABSENT, LOW_MASK, ROW_TYPE, digest, make_place
 from lapishaven.storage.record_reader import RecordReader
 from lapishaven.storage.segments import Limits, Segment, SegmentTable, Stats
 from lapishaven.storage.wall_clock import MonotonicWallClock
@@ -29,7 +29,7 @@
     """The row of ``index.ROW_TYPE`` for a record at an offset of a segment."""
     key_digest = digest(record.key)
     place = make_place(segment.number, offset) if record.kind == PUT else ABSENT
-    return key_digest >> 64, key_digest & 0xFFFFFFFFFFFFFFFF, place, record.sequence, record.expiry
+    return key_digest >> 64, key_digest & LOW_MASK, place, record.sequence, record.expiry
 
 
 class SegmentWriter:
@@ -45,9 +45,9 @@
         clock: MonotonicWallClock,
         reserve: DiskReserve,
         stats: Stats,
-        oldest_pending: Callable[[], int],
+        last_written_sequence: Callable[[], int],
     ) -> None:
-        """``lock`` guards ``segments``. ``oldest_pending`` gives the sequence up to which everything is written."""
+        """``lock`` guards ``segments``. ``last_written_sequence``: everything up to it is written."""
         self._files = files
         self._limits = limits
         self._segments = segments
@@ -56,13 +56,13 @@
         self._clock = clock
         self._reserve = reserve
         self._stats = stats
-        self._oldest_pending = oldest_pending
+        self._last_written_sequence = last_written_sequence
 
     def write_frame(self, records: list[Record], wall_time: float) -> tuple[Segment, int, int]:
         """Append records as one frame and sync it; gives the segment, and where the frame begins and ends there.
 
         ``Segment.size`` is left to the caller, who sets it together with the index. Raises ``StoreFullError``,
-        ``StoreBroken`` or ``OSError``; then nothing of the frame is durable.
+        ``StoreWriteError`` or ``OSError``; then nothing of the frame is durable.
         """
         data = fmt.encode_frame(records, wall_time)
         segment = self._active_segment(len(data))
@@ -100,7 +100,7 @@
         return self._create_segment()
 
     def _create_segment(self) -> Segment:
-        segment = Segment(self._segments.last_number() + 1, self._oldest_pending())
+        segment = Segment(self._segments.last_number() + 1, self._last_written_sequence())
         header = fmt.encode_segment_header(segment.number, segment.created_at_sequence)
         try:
             self._append(segment, header, False)
--- a/lapishaven/storage/store.py
+++ b/lapishaven/storage/store.py
@@ -39,7 +39,7 @@
 PENDING_RETRY_S = 0.1  # for a put that is rejected because too much waits to be written
 SLICE_BYTES = 1 << 20  # of records that one slice of compaction copies
 MAX_SEGMENT_NUMBER = 1 << 24  # of a place in the index
-EXPIRY_SLACK_S = 1  # the index rounds expiry times
+EXPIRY_SLACK_S = 1  # the index rounds expiry times (columns by up to 64 s, which this does not cover)
 
 
 class Store:
@@ -93,7 +93,7 @@
             self._clock,
             reserve,
             self.stats,
-            self._oldest_pending,
+            self._last_written_sequence,
         )
         self._expiries = TimingWheel(self.now())
         self._compaction = Compaction(
@@ -298,7 +298,7 @@
             self._count_dead(entry.place)
             self.index.put(key_digest, ABSENT, entry.sequence, entry.expiry)
 
-    def _oldest_pending(self) -> int:
+    def _last_written_sequence(self) -> int:
         """The sequence up to which every record is written."""
         with self.lock:
             queued = self._queue.first_sequences()
@@ -358,7 +358,7 @@
         """Compact until nothing more is gained; gives the bytes freed."""
         size_before = self.disk_bytes
         last_number = self.segments.last_number()
-        while self.compact_slice(everything=everything, upto=last_number):
+        while self.compact_slice(everything=everything, max_number=last_number):
             if self._thread is None:
                 self.commit()
             else:
@@ -366,10 +366,10 @@
         return size_before - self.disk_bytes
 
     def compact_slice(
-        self, budget: int = SLICE_BYTES, everything: bool = False, upto: int = MAX_SEGMENT_NUMBER
+        self, max_bytes: int = SLICE_BYTES, everything: bool = False, max_number: int = MAX_SEGMENT_NUMBER
     ) -> bool:
-        """Run one slice of compaction, which copies about ``budget`` bytes; whether there is more to do."""
-        return self._compaction.run_slice(budget, everything, upto)
+        """Run one slice of compaction, which copies about ``max_bytes``; whether there is more to do."""
+        return self._compaction.run_slice(max_bytes, everything, max_number)
 
     def _write_copies(self, records: list[Record]) -> Future[int]:
         """Write records again with their sequences."""
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -140,7 +140,7 @@
             model[key] = b"v%d" % n
         store.sync()
         if rnd.random() < 0.2:
-            store.compact_slice(budget=60, everything=True)
+            store.compact_slice(max_bytes=60, everything=True)
             store.commit()
     # And something that is on its way while the power goes: written, and not synced.
     lost = b"k%d" % rnd.randrange(6)
