--- a/lapishaven/net/connection.py
+++ b/lapishaven/net/connection.py
@@ -159,7 +159,7 @@
         self.loop.unsent += len(data)
         self.loop.senders.add(self)
         self.last_active = self.loop.now
-        self.loop.after(self.flush)
+        self.loop.at_end_of_round(self.flush)
 
     def flush(self) -> None:
         """Send what the kernel accepts now."""
@@ -183,7 +183,7 @@
     def close(self, end: ConnectionEnd, unsent: bool = True) -> None:
         """Close gracefully: send queued bytes, half-close, discard input, and wait for the peer to close.
 
-        With ``unsent`` false queued bytes are dropped: a withdrawn request must not become complete at the peer.
+        With ``unsent`` false, queued bytes are dropped: a withdrawn request must not become complete at the peer.
         """
         if self.end is not None or self.closing is not None:
             return
@@ -191,7 +191,7 @@
         if not unsent:
             self.loop.unsent -= self.send_buffer.size
             self.send_buffer = RingBuffer(0)
-        self.loop.after(self.flush)
+        self.loop.at_end_of_round(self.flush)
         until = self.loop.now + MAX_LINGER_S
         self._bytes_at_linger_check = self.sent + self._bytes_received
         self._linger_timer = self.loop.at(self.loop.now + LINGER_S, lambda: self._check_linger(until))
--- a/lapishaven/net/datagrams.py
+++ b/lapishaven/net/datagrams.py
@@ -15,13 +15,15 @@
 
 
 class Datagrams:
-    """A UDP socket bound to ``address`` (port 0: a free one). ``came`` is called with each datagram and its sender.
+    """A UDP socket bound to ``address`` (port 0: a free one).
+
+    ``on_datagram`` gets each datagram and its sender.
 
     Raises ``OSError`` if the address cannot be bound.
     """
 
-    def __init__(self, loop: Loop, address: Address, came: Callable[[bytes, Address], None]) -> None:
-        self._loop, self._on_datagram = loop, came
+    def __init__(self, loop: Loop, address: Address, on_datagram: Callable[[bytes, Address], None]) -> None:
+        self._loop, self._on_datagram = loop, on_datagram
         self.sock: socket.socket | None = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         self.sock.bind(address)
--- a/lapishaven/net/eviction.py
+++ b/lapishaven/net/eviction.py
@@ -5,7 +5,7 @@
 from lapishaven.net.connection import Connection
 from lapishaven.net.loop import Loop
 
-CROSSING_S = 0.05  # the protocol lets a message cross a half-close for this long
+CLOSE_RACE_WINDOW_S = 0.05  # the protocol lets a message cross a half-close for this long
 
 
 class Evictions:
@@ -34,7 +34,7 @@
         """Abort the first connection that no message can cross any more; whether there was one."""
         self._forget_ended()
         for conn, since in self._closing_since.items():
-            if since > self._loop.now - CROSSING_S:
+            if since > self._loop.now - CLOSE_RACE_WINDOW_S:
                 return False
             if conn.awaits_peer_close() and conn.closing is not None:
                 conn.abort(conn.closing)
--- a/lapishaven/net/listener.py
+++ b/lapishaven/net/listener.py
@@ -9,6 +9,7 @@
 from lapishaven.net.loop import Loop, Timer
 
 MAX_ACCEPTS_PER_WAKEUP = 64  # so that a burst of connections does not starve other descriptors
+LISTEN_BACKLOG = 1024  # connections that the kernel queues, within its own limit
 DESCRIPTOR_RETRY_S = 0.02  # until the next attempt to accept, where no descriptor is free
 
 
@@ -28,7 +29,9 @@
 class Listener:
     """Accepts connections while the budget lasts.
 
-    ``make_room`` is called when it is used up, and may evict idle connections; it gives whether a descriptor is free.
+    ``on_accepted`` gets each socket.
+    ``make_room`` is called when the budget is used up, and may evict idle connections; it gives whether a
+    descriptor is free.
     """
 
     def __init__(
@@ -36,7 +39,7 @@
         loop: Loop,
         address: tuple[str, int],
         budget: DescriptorBudget,
-        accepted: Callable[[socket.socket], None],
+        on_accepted: Callable[[socket.socket], None],
         make_room: Callable[[], bool],
         inherited: int | None = None,
     ) -> None:
@@ -45,7 +48,7 @@
         An inherited socket is shared with other processes (the platform, an older or newer process of this server); it
         is accepted from only after ``open``. Raises ``OSError``.
         """
-        self.loop, self.budget, self._on_accepted, self._make_room = loop, budget, accepted, make_room
+        self.loop, self.budget, self._on_accepted, self._make_room = loop, budget, on_accepted, make_room
         self.shared = inherited is not None
         if inherited is not None:
             self.sock: socket.socket | None = socket.socket(fileno=inherited)
@@ -57,7 +60,7 @@
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self.sock.setblocking(False)
             self.sock.bind(address)
-            self.sock.listen(1024)
+            self.sock.listen(LISTEN_BACKLOG)
         self.address: tuple[str, int] = self.sock.getsockname()
         self._opened = False
         self._retry_timer: Timer | None = None
--- a/lapishaven/net/loop.py
+++ b/lapishaven/net/loop.py
@@ -102,7 +102,7 @@
         self._next_round: list[Wait] = []
         self._stopped = False
         self.received = self.sent = 0  # bytes of all connections since the start
-        self.unsent_limit = 1 << 62
+        self.unsent_limit = 1 << 62  # bytes; in effect none, until the server sets one
         self.unsent = 0  # bytes queued on all connections and not yet sent
         self.senders: set[Sender] = set()  # the connections that have such bytes
 
@@ -161,7 +161,7 @@
         """How many entries the timer heap has, cancelled ones included."""
         return len(self._timers)
 
-    def after(self, callback: Callable[[], None]) -> None:
+    def at_end_of_round(self, callback: Callable[[], None]) -> None:
         """Call ``callback`` once at the end of this round, after the turn."""
         self._end_of_round[callback] = None
 
@@ -179,12 +179,12 @@
     def run(self, turn: Callable[[float], None], next_at: Callable[[], float | None]) -> None:
         """Run rounds until ``stop``; ``next_at`` gives the time at which ``turn`` has work without any input."""
         while not self._stopped:
-            heads = [self._timers[0][0]] if self._timers else []
-            heads += [0.0] if self._next_round else []
+            due_times = [self._timers[0][0]] if self._timers else []
+            due_times += [0.0] if self._next_round else []
             due = next_at()
             if due is not None:
-                heads.append(due)
-            span = max(0.0, min(heads) - self.clock()) if heads else -1
+                due_times.append(due)
+            span = max(0.0, min(due_times) - self.clock()) if due_times else -1  # -1: until there is input
             self.round(span, turn)
 
     def round(self, span: float, turn: Callable[[float], None]) -> None:
@@ -211,11 +211,11 @@
                 self._cancelled_timers -= 1
         self._guarded(turn, self.now)
         while self._end_of_round:
-            after, self._end_of_round = self._end_of_round, {}
+            callbacks, self._end_of_round = self._end_of_round, {}
             # Last registered, first called: commands to the backend are queued after the responses that freed its
             # cores, and a core idles until its next command arrives.
-            for done in reversed(after):
-                self._guarded(done)
+            for callback in reversed(callbacks):
+                self._guarded(callback)
 
     # ---- Unsent bytes
     def reserve_unsent(self, size: int, sender: Sender) -> bool:
--- a/lapishaven/net/ring_buffer.py
+++ b/lapishaven/net/ring_buffer.py
@@ -39,7 +39,7 @@
         self._head = 0
 
     def write(self, data: bytes) -> None:
-        """Append all of ``data``, or raise ``RingBufferFull`` and append nothing."""
+        """Append all of ``data``, or raise ``RingBufferFullError`` and append nothing."""
         count = len(data)
         if count > self.free_bytes:
             raise RingBufferFullError(f"{count} bytes do not fit in {self.free_bytes}")
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -282,7 +282,7 @@
         def waits() -> object:
             for _ in range(10_000):
                 wait = Wait(60.0)
-                loop.after(wait.wake)
+                loop.at_end_of_round(wait.wake)
                 yield wait
 
         loop.spawn(waits())  # type: ignore[arg-type]
