--- a/lapishaven/idempotency/result_store.py
+++ b/lapishaven/idempotency/result_store.py
@@ -17,7 +17,7 @@
 
 MAX_EFFECTS = 100_000
 STALL_S = 0.5  # age of the oldest write from which no new run is admitted
-RETRY_AFTER_S = 1.0  # told while nothing better is known
+RETRY_AFTER_S = 1.0  # where it is not known when there will be capacity
 EXPIRY_INTERVAL_S = 10.0  # between two removals of what is past its lifetime
 
 
@@ -41,8 +41,8 @@
         self._wall = wall
         self.index = ResultIndex(lifetime_s)
         self._completions = CompletionQueue()
-        self._write_lock = threading.Lock()  # of _writes_since
-        self._writes_since: deque[float] = deque()  # when each write under way was begun, oldest first
+        self._write_lock = threading.Lock()  # guards _write_started_at
+        self._write_started_at: deque[float] = deque()  # when each write under way was begun, oldest first
         self._expired_at = wall()
         for name, value, _ in store.scan():
             with suppress(ValueError):
@@ -97,7 +97,7 @@
             if len(self.index) >= self.limit:
                 return self.index.next_expiry_in(wall) or RETRY_AFTER_S
         with self._write_lock:
-            stalled = self._writes_since and time.monotonic() - self._writes_since[0] > STALL_S
+            stalled = self._write_started_at and time.monotonic() - self._write_started_at[0] > STALL_S
         return RETRY_AFTER_S if stalled else None
 
     def record_result(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None:
@@ -168,12 +168,12 @@
     def _notify_when_durable(self, future: Future[int], then: Callable[[bool], None]) -> None:
         """Have ``then`` called on the event loop with whether the write is durable."""
         with self._write_lock:
-            self._writes_since.append(time.monotonic())
+            self._write_started_at.append(time.monotonic())
 
         def ended(future: Future[int]) -> None:
             with self._write_lock:
-                if self._writes_since:
-                    self._writes_since.popleft()  # writes end in their order
+                if self._write_started_at:
+                    self._write_started_at.popleft()  # writes end in their order
             durable = future.exception() is None
             self._completions.post(lambda: then(durable))
 
--- a/lapishaven/ledger/audit.py
+++ b/lapishaven/ledger/audit.py
@@ -8,14 +8,14 @@
 from lapishaven.ledger.database import REVENUE_ACCOUNT
 from lapishaven.ledger.transitions import EffectState
 
-Name = tuple[str, str]  # class and idempotency key of an effect
+EffectName = tuple[str, str]  # class and idempotency key of an effect
 
 
 @dataclass(frozen=True, slots=True)
 class Effect:
     """An effect as the file has it. ``words``: what ``customer`` is to be charged once it is completed."""
 
-    name: Name
+    name: EffectName
     state: EffectState
     customer: str
     words: int
@@ -25,7 +25,7 @@
 class Charge:
     """One entry of the ledger."""
 
-    name: Name
+    name: EffectName
     account: str
     words: int
 
@@ -33,7 +33,7 @@
 def differences(effects: Iterable[Effect], charges: Iterable[Charge]) -> Iterator[str]:
     """One line for each difference."""
     effects_by_name = {effect.name: effect for effect in effects}
-    charges_by_name: dict[Name, dict[str, int]] = {}
+    charges_by_name: dict[EffectName, dict[str, int]] = {}
     for charge in charges:
         charges_by_name.setdefault(charge.name, {})[charge.account] = charge.words
     for name, effect in sorted(effects_by_name.items()):
--- a/lapishaven/ledger/backpressure.py
+++ b/lapishaven/ledger/backpressure.py
@@ -10,7 +10,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-MIN_RETRY_AFTER_S = 0.05
+MIN_RETRY_AFTER_S = 0.05  # while too many entries wait, however young the oldest is
 MAX_DOUBLINGS = 16  # of the pause, which reaches its bound long before
 
 
@@ -47,14 +47,14 @@
         return len(self._added_at)
 
     @property
-    def broken(self) -> bool:
+    def circuit_open(self) -> bool:
         """Whether the circuit breaker is open."""
         return self._failures >= self.rules.failures_to_break
 
     def retry_after(self, now: float) -> float | None:
         """``None`` if a commit is admitted, else the seconds until it might be."""
-        if self.broken:
-            return self._retry_after_while_broken(now)
+        if self.circuit_open:
+            return self._retry_after_while_open(now)
         if not self._added_at:
             return None
         oldest_s = now - self._added_at[0]
@@ -65,7 +65,7 @@
             return max(MIN_RETRY_AFTER_S, oldest_s)
         return None
 
-    def _retry_after_while_broken(self, now: float) -> float | None:
+    def _retry_after_while_open(self, now: float) -> float | None:
         if now < self._retry_at:
             return self._retry_at - now
         if self._added_at:
--- a/lapishaven/ledger/command.py
+++ b/lapishaven/ledger/command.py
@@ -69,6 +69,7 @@
 def bill(path: str, since: float, until: float, as_json: bool) -> int:
     """Print words by customer, of effects that ended from ``since`` on and before ``until`` (Unix seconds)."""
     database = LedgerDatabase(load_settings(path).file)
+    # An account is ``customer/NAME``: the name begins at the tenth character.
     found = database.read(
         "select substr(account, 10), count(*), sum(words) from ledger"
         " where account like 'customer/%' and at >= ? and at < ? group by account order by account",
--- a/lapishaven/ledger/database.py
+++ b/lapishaven/ledger/database.py
@@ -77,13 +77,13 @@
 class LedgerDatabase:
     """One connection to the file at ``path``, which is made or migrated as needed.
 
-    ``busy``: s for which a call waits for other writers. Raises ``LedgerError`` if the file cannot be opened.
+    ``busy_timeout_s``: how long a call waits for other writers. Raises ``LedgerError`` if the file cannot be opened.
     """
 
-    def __init__(self, path: str, busy: float = BUSY_TIMEOUT_S) -> None:
+    def __init__(self, path: str, busy_timeout_s: float = BUSY_TIMEOUT_S) -> None:
         self.path = path
         try:
-            self._connection = sqlite.connect(path, busy)
+            self._connection = sqlite.connect(path, busy_timeout_s)
             self._migrate()
         except sqlite3.Error as error:
             raise LedgerError(f"{path}: {error}") from None
--- a/lapishaven/ledger/recorder.py
+++ b/lapishaven/ledger/recorder.py
@@ -44,8 +44,8 @@
         clock: seconds that never step.
 
     Attributes:
-        refused: commits rejected as the ledger was slow or broken.
-        elsewhere: commits that another incarnation had completed.
+        rejected: commits rejected as the ledger was slow or broken.
+        completed_elsewhere: commits that another incarnation had completed.
         uncertain: commits that another incarnation may have run.
     """
 
@@ -73,8 +73,8 @@
         self._completions = CompletionQueue()
         self._cached_results: OrderedDict[EffectName, bytes] = OrderedDict()
         self._running: dict[EffectName, Submission] = {}  # intended by this incarnation, and not ended
-        self.refused = 0
-        self.elsewhere = 0
+        self.rejected = 0
+        self.completed_elsewhere = 0
         self.uncertain = 0
 
     @property
@@ -99,7 +99,7 @@
         with self._backpressure_lock:
             retry_after = self._backpressure.retry_after(self._clock())
         if retry_after is not None:
-            self.refused += 1
+            self.rejected += 1
             return retry_after
         name = cls, key
         self._running[name] = sub
@@ -115,7 +115,7 @@
         if outcome is None:
             return IntentOutcome.NOT_RECORDED
         if outcome.decision is Decision.ALREADY_COMPLETED:
-            self.elsewhere += 1
+            self.completed_elsewhere += 1
             self._cache_result(name, outcome.row.result)
             return KnownResult(EffectState.DONE, outcome.row.result)
         self.uncertain += 1
@@ -163,15 +163,15 @@
         """Gauges by name, for operators."""
         with self._backpressure_lock:
             waiting = len(self._backpressure)
-            broken = self._backpressure.broken
+            broken = self._backpressure.circuit_open
         return {
             "waiting": waiting,
             "broken": int(broken),
             "commits": self._writer.commits,
             "operations": self._writer.operations,
             "failures": self._writer.failures,
-            "refused": self.refused,
-            "done elsewhere": self.elsewhere,
+            "refused": self.rejected,
+            "done elsewhere": self.completed_elsewhere,
             "uncertain": self.uncertain,
         }
 
--- a/lapishaven/ledger/transitions.py
+++ b/lapishaven/ledger/transitions.py
@@ -35,7 +35,7 @@
     APPLY = "do"  # the state changes
     ALREADY_COMPLETED = "kept"  # nothing changes; the first result is the answer
     UNCERTAIN = "uncertain"  # nothing changes; it runs or may have run elsewhere, so it is neither run nor rejected
-    IGNORE = "nothing"  # nothing changes, as the row is not this incarnation's
+    IGNORE = "nothing"  # nothing changes: the row is not this incarnation's, or the event does not fit its state
 
 
 # The decision and the next state, by the present state, the event, and whether this incarnation intended the row. What
--- a/lapishaven/ledger/writer.py
+++ b/lapishaven/ledger/writer.py
@@ -83,7 +83,10 @@
             self._group_written(group, outcomes)
 
     def _next_group(self) -> tuple[list[PendingWrite], bool]:
-        """Wait for operations; an empty group when the writer is closed and nothing is left. And whether it closes."""
+        """Wait for operations; gives them, and whether the writer is closing.
+
+        The group is empty once the writer is closing and nothing is left.
+        """
         with self._changed:
             while not self._pending and not self._closing:
                 self._changed.wait()
--- a/lapishaven/sqlite.py
+++ b/lapishaven/sqlite.py
@@ -11,14 +11,14 @@
 PRIMARY_CODE_MASK = 0xFF  # of an extended result code
 
 
-def connect(path: str, busy: float) -> sqlite3.Connection:
+def connect(path: str, busy_timeout_s: float) -> sqlite3.Connection:
     """A connection with WAL and synchronous=FULL, on which transactions are begun explicitly.
 
-    ``busy``: s for which a call waits for other writers. Raises ``sqlite3.Error``.
+    ``busy_timeout_s``: how long a call waits for other writers. Raises ``sqlite3.Error``.
     """
-    connection = sqlite3.connect(path, timeout=busy, isolation_level=None, check_same_thread=False)
+    connection = sqlite3.connect(path, timeout=busy_timeout_s, isolation_level=None, check_same_thread=False)
     try:
-        _switch_to_wal(connection, busy)
+        _switch_to_wal(connection, busy_timeout_s)
         connection.execute("pragma synchronous = full")
     except BaseException:
         connection.close()
@@ -26,9 +26,9 @@
     return connection
 
 
-def _switch_to_wal(connection: sqlite3.Connection, busy: float) -> None:
+def _switch_to_wal(connection: sqlite3.Connection, busy_timeout_s: float) -> None:
     """Retry while another connection switches the same new file: SQLite fails at once then, whatever the timeout."""
-    deadline = time.monotonic() + busy
+    deadline = time.monotonic() + busy_timeout_s
     while True:
         try:
             connection.execute("pragma journal_mode = wal")
@@ -41,7 +41,10 @@
 
 
 def script(connection: sqlite3.Connection, statements: str) -> None:
-    """Execute statements within the open transaction, which ``executescript`` would commit. Each ends a line."""
+    """Execute statements within the open transaction, which ``executescript`` would commit.
+
+    Every statement but the last ends with a semicolon at the end of a line.
+    """
     for statement in statements.split(";\n"):
         connection.execute(statement)
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -84,7 +84,7 @@
     for n in range(2):
         backpressure.entry_added(1.0)
         backpressure.entries_written(1.0 + n * 0.1, 1, False)
-    assert backpressure.broken and backpressure.retry_after(1.1) == pytest.approx(0.2)
+    assert backpressure.circuit_open and backpressure.retry_after(1.1) == pytest.approx(0.2)
     assert backpressure.retry_after(1.35) is None  # one is tried
     backpressure.entry_added(1.35)
     assert backpressure.retry_after(1.36) is not None
@@ -92,7 +92,7 @@
     assert backpressure.retry_after(1.4) == pytest.approx(0.4)  # for longer
     backpressure.entry_added(2.0)
     backpressure.entries_written(2.0, 1, True)
-    assert not backpressure.broken and backpressure.retry_after(2.0) is None
+    assert not backpressure.circuit_open and backpressure.retry_after(2.0) is None
 
 
 def test_an_effect_and_its_charge_are_one_transaction_and_a_repeated_write_is_no_second_charge(tmp_path: Path) -> None:
