--- a/lapishaven/client/asyncio_client.py
+++ b/lapishaven/client/asyncio_client.py
@@ -20,7 +20,7 @@
 from lapishaven.proto import jsonrpc
 
 BODY_LIMIT = jsonrpc.MAX_BODY_BYTES
-ROW_BITS = 64
+ROW_BITS = 64  # of a row's number on the wire
 
 
 class Client:
--- a/lapishaven/client/calls/outlier_ejection.py
+++ b/lapishaven/client/calls/outlier_ejection.py
@@ -47,7 +47,7 @@
 
     def record_health_check(self, now: float, endpoint: Endpoint, healthy: bool) -> None:
         """The result of the health check that follows an ejection."""
-        self._outliers.record_probe(now, endpoint.name, endpoint.health, healthy)
+        self._outliers.record_health_check(now, endpoint.name, endpoint.health, healthy)
         if healthy:
             self.on_capacity(now)
         else:
--- a/lapishaven/client/command.py
+++ b/lapishaven/client/command.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from lapishaven.client.asyncio_client import BODY_LIMIT, Client
+from lapishaven.client.asyncio_client import BODY_LIMIT, ROW_BITS, Client
 from lapishaven.client.engine import Hook
 from lapishaven.client.hooks import logging_hook
 from lapishaven.client.outcomes import OUTCOME_NAMES, Cancelled, Expired, Failed, Outcome, Refused, Served, Uncertain
@@ -19,9 +19,6 @@
 EXIT_CODES: dict[type[Outcome], int] = {Served: 0, Refused: 3, Failed: 4, Expired: 4, Cancelled: 4, Uncertain: 5}
 
 
-ROW_BITS = 64
-
-
 @dataclass(frozen=True, slots=True)
 class CallOptions:
     """What the command line asks for.
--- a/lapishaven/client/connection_events.py
+++ b/lapishaven/client/connection_events.py
@@ -15,9 +15,10 @@
 from lapishaven.client.outcomes import AttemptEnd, AttemptResult
 
 IDLE_CLOSE_WINDOW_S = 0.3
-"""How soon after its last response a server with many callers closes a connection (seconds).
+"""Seconds after its last response within which a server with many callers closes an idle connection.
 
-The close that a killed server leaves comes at any time, so few of the closes that thin clients see look like it."""
+The connections of a killed server close at any time. A client with little traffic has seldom had a response just
+before, so it seldom mistakes such a close for that of an idle connection."""
 
 
 class ConnectionEvents:
@@ -185,9 +186,9 @@
         unread_ids = {
             attempt.id for attempt in attempts if connection.close_proves_unread(now, attempt, clean, idle_threshold_s)
         }
-        soon_idle = now - connection.idle_since <= IDLE_CLOSE_WINDOW_S
+        recently_used = now - connection.idle_since <= IDLE_CLOSE_WINDOW_S
         was_ready = connection.state is ConnectionState.READY
-        endpoint.closed_idle_connection = clean and soon_idle and not attempts and was_ready
+        endpoint.closed_idle_connection = clean and recently_used and not attempts and was_ready
         connection.state = ConnectionState.CLOSED
         self._dialer.end_start(now)
         self._table.forget_connection(connection)
--- a/lapishaven/client/endpoint_updates.py
+++ b/lapishaven/client/endpoint_updates.py
@@ -54,10 +54,12 @@
         for name in change.left:
             self._table.remove(name)
         if self._table.uses_aperture:
-            self._note_returns(now, change.joined, change.left, change.changed)
+            self._allow_dials_to_returned(now, change.joined, change.left, change.changed)
         self.update_tracked(now)
 
-    def _note_returns(self, now: float, joined: Iterable[str], left: Iterable[str], changed: Iterable[str]) -> None:
+    def _allow_dials_to_returned(
+        self, now: float, joined: Iterable[str], left: Iterable[str], changed: Iterable[str]
+    ) -> None:
         """Allow dials to endpoints that the list shows again."""
         for name in self._table.connection_manager.endpoints_changed(now, joined, left, changed):
             endpoint = self._table.endpoints.get(name)
@@ -71,7 +73,7 @@
         for name in removed:
             table.remove(name)
         if table.uses_aperture and removed:
-            self._note_returns(now, (), removed, ())
+            self._allow_dials_to_returned(now, (), removed, ())
         self.update_tracked(now)
         if table.membership.has_doubted:
             self._engine.schedule(now + self._confirm_s / 4, self._remove_expired)
--- a/lapishaven/client/health.py
+++ b/lapishaven/client/health.py
@@ -129,7 +129,7 @@
         health.trial_in_flight = False
         return True
 
-    def record_probe(self, now: float, name: str, health: EndpointHealth, healthy: bool) -> None:
+    def record_health_check(self, now: float, name: str, health: EndpointHealth, healthy: bool) -> None:
         """Note the result of the health check after an ejection: a trial, or a further ejection."""
         if health.state is not EjectionState.PROBING:
             return
--- a/lapishaven/client/routing.py
+++ b/lapishaven/client/routing.py
@@ -12,9 +12,9 @@
 from lapishaven.client.model import Call, Endpoint
 
 VIRTUAL_NODES = 64  # points on the hash ring for each endpoint
-ROW_SALT = 0x72696E67
+ROW_SALT = 0x72696E67  # ``ring`` in ASCII: a seed that no virtual node has
 MIN_RELATIVE_LATENCY = 0.25  # a lower latency does not make an endpoint cheaper
-DEFAULT_TYPICAL_ATTEMPT_S = 0.3
+DEFAULT_TYPICAL_ATTEMPT_S = 0.3  # where the settings of the classes are not at hand
 
 
 class RoutingStrategy(Protocol):
--- a/lapishaven/client/settings.py
+++ b/lapishaven/client/settings.py
@@ -15,7 +15,7 @@
 Subsetting = Literal["aperture", "rendezvous"]
 
 MAX_OPEN_LIMIT = 32  # PROTOCOL: requests in flight on one connection
-HEAP_LIMIT_KB = 2000
+HEAP_LIMIT_KB = 2000  # PROTOCOL: a request states less than this
 
 
 class SettingsError(ValueError):
--- a/lapishaven/client/traffic.py
+++ b/lapishaven/client/traffic.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-RATE_SMOOTHING_S = 20.0
+RATE_SMOOTHING_S = 20.0  # time constant
 
 
 class EventRate:
--- a/lapishaven/client/wire.py
+++ b/lapishaven/client/wire.py
@@ -65,7 +65,7 @@
     def __init__(self, settings: Settings, clock: TimestampClock) -> None:
         self._settings = settings
         self._clock = clock
-        self._machine = jsonrpc.ClientParser()
+        self._parser = jsonrpc.ClientParser()
         self._last_id = 0
         self._in_flight: dict[int, tuple[int, bool]] = {}  # message id: attempt id, and whether it has a timestamp
         self._probe_ids: set[int] = set()
@@ -101,7 +101,7 @@
 
     def feed(self, data: bytes) -> Iterator[ResponseReceived | DrainingNotice | ProbeAnswered]:
         """Events from received bytes; raises ``ProtocolError`` where the connection cannot be trusted any more."""
-        for message in self._machine.feed(data):
+        for message in self._parser.feed(data):
             if isinstance(message, jsonrpc.Draining):
                 yield DrainingNotice()
             elif message.id in self._probe_ids:
@@ -145,7 +145,7 @@
     def __init__(self, settings: Settings, clock: TimestampClock) -> None:
         self._settings = settings
         self._clock = clock
-        self._machine = uwsgi.ResponseParser()
+        self._parser = uwsgi.ResponseParser()
         self._attempt_id: int | None = None
 
     def send(self, attempt: Attempt) -> bytes:
@@ -182,7 +182,7 @@
     def _events(self, data: bytes) -> Iterator[ResponseReceived]:
         if self._attempt_id is None:
             return
-        response = self._machine.feed(data)
+        response = self._parser.feed(data)
         if response is not None:
             attempt_id = self._attempt_id
             self._attempt_id = None
