--- a/lapishaven/admission/controller.py
+++ b/lapishaven/admission/controller.py
@@ -55,7 +55,7 @@
         self._dispatcher = Dispatcher(rules, ending)
         self._has_started = False
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Take over reloaded settings.
 
         Classes keep their index: new ones come last, dropped ones stay listed, and open requests keep the class
--- a/lapishaven/admission/rules.py
+++ b/lapishaven/admission/rules.py
@@ -44,7 +44,7 @@
         self.quotas = TenantQuotas(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take over reloaded settings in every rule; see ``Controller.retune``."""
+        """Take over reloaded settings in every rule; see ``Controller.apply_settings``."""
         check_reload(self.settings, settings)
         self.settings = settings
         for rule in (
--- a/lapishaven/core/broker.py
+++ b/lapishaven/core/broker.py
@@ -161,13 +161,13 @@
         """Take over a reload's contracts; budgets go on where the party is the same."""
         self._intake.replace_contracts(contracts)
 
-    def reconfigure(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Take over a reload's settings, with classes numbered as before.
 
-        Raises ``ValueError`` as ``Controller.retune`` does, and then changes nothing.
+        Raises ``ValueError`` as ``Controller.apply_settings`` does, and then changes nothing.
         """
         settings = replace(settings, slow_start=self.settings.slow_start)
-        self.controller.retune(settings)
+        self.controller.apply_settings(settings)
         self._settings.current = settings
 
     # ---- Graceful shutdown
--- a/lapishaven/pools/pools.py
+++ b/lapishaven/pools/pools.py
@@ -64,7 +64,7 @@
             pool = self.pools[self._reserved]
             pool.ceiling = min(pool.ceiling, rules.reserve.ceiling)
 
-    def reconfigure(self, now: float, rules: PoolSettings) -> None:
+    def apply_settings(self, now: float, rules: PoolSettings) -> None:
         """Take over reloaded rules.
 
         What is queued keeps its place. What runs counts for the new pool of its class, which may so be over its
--- a/lapishaven/server/config_reload.py
+++ b/lapishaven/server/config_reload.py
@@ -88,7 +88,7 @@
         if settings == self._running.config.settings:
             return
         if self._core.broker is not None:
-            self._core.broker.reconfigure(settings)
+            self._core.broker.apply_settings(settings)
         served = {spec.name for spec in config.settings.classes}
         self._running.classes = {spec.name: index for index, spec in enumerate(settings.classes) if spec.name in served}
         self._log(f"reload: classes now {', '.join(self._running.classes)}")
@@ -116,7 +116,7 @@
             return
         self._running.pools = files.pools
         if self._core.pools is not None:
-            self._core.pools.reconfigure(self._loop.now, files.pools)
+            self._core.pools.apply_settings(self._loop.now, files.pools)
 
     def _log_done(self, before: NodeConfig, after: NodeConfig) -> None:
         ignored = [name for name in RESTART_ONLY if getattr(after, name) != getattr(before, name)]
--- a/lapishaven/storage/group_commit.py
+++ b/lapishaven/storage/group_commit.py
@@ -15,7 +15,7 @@
 from lapishaven.storage.wall_clock import MonotonicWallClock
 from lapishaven.storage.wheel import TimingWheel
 
-EXPIRY_SLACK_S = 1  # the index rounds expiry times
+EXPIRY_SLACK_S = 1  # the index rounds expiry times (columns by up to 64 s, which this does not cover)
 
 
 class GroupCommitter:
--- a/lapishaven/storage/pending_writes.py
+++ b/lapishaven/storage/pending_writes.py
@@ -13,8 +13,8 @@
 class PendingWrites:
     """Numbers records, and keeps them until they are durable or their write has failed.
 
-    ``lock`` is the store's; callers hold it, but for ``oldest_sequence``, which takes it. ``available`` is notified of
-    every batch.
+    ``lock`` is the store's; callers hold it, except for ``last_written_sequence``, which takes it itself.
+    ``available`` is notified of every batch.
     """
 
     def __init__(self, lock: threading.RLock) -> None:
@@ -46,7 +46,7 @@
         self.available.notify()
         return future
 
-    def oldest_sequence(self) -> int:
+    def last_written_sequence(self) -> int:
         """The sequence up to which every record is written."""
         with self._lock:
             queued = self.queue.first_sequences()
--- a/lapishaven/storage/store.py
+++ b/lapishaven/storage/store.py
@@ -87,7 +87,7 @@
             self._clock,
             reserve,
             self.stats,
-            self._pending.oldest_sequence,
+            self._pending.last_written_sequence,
         )
         self._committer = GroupCommitter(
             self._pending,
@@ -269,7 +269,7 @@
         """Compact until nothing more is gained; gives the bytes freed."""
         size_before = self.disk_bytes
         last_number = self.segments.last_number()
-        while self.compact_slice(everything=everything, upto=last_number):
+        while self.compact_slice(everything=everything, max_number=last_number):
             if self._thread is None:
                 self.commit()
             else:
@@ -277,10 +277,10 @@
         return size_before - self.disk_bytes
 
     def compact_slice(
-        self, budget: int = SLICE_BYTES, everything: bool = False, upto: int = MAX_SEGMENT_NUMBER
+        self, max_bytes: int = SLICE_BYTES, everything: bool = False, max_number: int = MAX_SEGMENT_NUMBER
     ) -> bool:
-        """Run one slice of compaction, which copies about ``budget`` bytes; whether there is more to do."""
-        return self._compaction.run_slice(budget, everything, upto)
+        """Run one slice of compaction, which copies about ``max_bytes``; whether there is more to do."""
+        return self._compaction.run_slice(max_bytes, everything, max_number)
 
     def _write_copies(self, records: list[Record]) -> Future[int]:
         """Write records again with their sequences."""
