--- a/lapishaven/core/__init__.py
+++ b/lapishaven/core/__init__.py
@@ -1,4 +1,4 @@
-"""Requests, attempts and answers, independent of protocols, sockets and clocks."""
+"""The lifecycle of requests, attempts and answers, independent of protocols, sockets and clocks."""
 
 from lapishaven.core.broker import Broker
 from lapishaven.core.requests import Answer, AnswerKind, Submission
--- a/lapishaven/core/action_executor.py
+++ b/lapishaven/core/action_executor.py
@@ -1,4 +1,4 @@
-"""Carries out what the controller decides."""
+"""Carries out the actions of the admission controller."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 from lapishaven.core.requests import Answer, AnswerKind, Request
 from lapishaven.core.run_control import RunControl
 
-# Actions that this platform's protocol has no message for, by the name under which they are counted.
+# Labels under which actions are counted that this platform's protocol has no message for.
 UNSUPPORTED_ACTION_LABELS: dict[type, str] = {PublishLoad: "say", CallDependency: "call", SkipDependency: "skip"}
 
 
 class ActionExecutor:
-    """Turns each action of the controller into calls on the parts of the core and on the ports."""
+    """Translates each action of the controller into calls on the core's components and ports."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self._listener = listener
 
     def carry_out(self, now: float, action: Action) -> None:
-        """Carry out one action; one about a request that has left the table is ignored."""
+        """Carry out one action; an action for a request that has left the table is ignored."""
         if isinstance(action, ScheduleTimer):
             self._load_sampling.schedule(now + action.delay, action.timer_id)
         elif isinstance(action, SetHealth):
@@ -73,7 +73,7 @@
         request: Request,
         action: StartRun | Reject | Fail | CancelRun | ReserveKey | ReleaseKey | AwaitOriginal,
     ) -> None:
-        """Carry out an action about a request in the table."""
+        """Carry out an action for a request in the table."""
         if isinstance(action, StartRun):
             self._runs.start(now, request)
         elif isinstance(action, Reject | Fail):
@@ -88,7 +88,7 @@
             self._lifecycle.attach_to_original(now, request)
 
     def _reject_or_fail(self, request: Request, action: Reject | Fail) -> None:
-        """Answer a request as rejected, or as failed if it was to be failed or has run."""
+        """Answer a request as rejected if it never ran and the action is ``Reject``, and otherwise as failed."""
         self._counters.add("reasons", action.reason)
         if isinstance(action, Reject) and not request.ran:
             answer = Answer(
--- a/lapishaven/core/broker.py
+++ b/lapishaven/core/broker.py
@@ -1,4 +1,4 @@
-"""The core's dispatcher: collects events for the controller and has its decisions carried out."""
+"""The core's entry point: collects events for the admission controller and has its actions carried out."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 from lapishaven.counters import Counters
 
 DEFAULT_MEMORY_BYTES = 64 * 1024 * 1024
-STORED_RESULTS_PART = 16  # divisor of the memory that gives the limit of results stored for duplicates
+STORED_RESULTS_DIVISOR = 16  # results stored for duplicates may take 1/16 of the memory
 
 
 class Broker:
-    """Requests, attempts and answers around one admission controller.
+    """Manages requests, attempts and answers around one admission controller.
 
     Frontends submit requests and backends report the ends of runs; both only queue events. ``turn`` hands these to the
-    controller as one batch and carries out its actions. Times are seconds on the host's clock and are passed in::
+    controller as one batch and carries out its actions. Callers pass in the time, in seconds on the host's clock::
 
         broker = Broker(settings, seed=1, backend=backend, listener=listener, counters=Counters())
         request = broker.submit(now, submission, reply)
@@ -72,26 +72,26 @@
         """Build the core.
 
         Args:
-            settings: classes, limits and what the platform supports.
-            seed: decides the controller's random draws and the first request id.
-            backend: runs what no contract routes elsewhere, and provides the load samples.
-            listener: receives health, idle timeout and remarks.
+            settings: classes, limits and features of the platform.
+            seed: seeds the controller's random numbers and the first request id.
+            backend: runs requests that no contract routes elsewhere, and provides the load samples.
+            listener: receives health, idle timeout and log lines.
             counters: counts requests, answers and attempts.
-            contracts: checked for submissions that name a team; ``None``: none are checked.
-            routes: backends by the names that contracts route to.
-            recorder: is notified of starts and answers; ``None``: nobody is.
-            memory: the process's memory in bytes, of which the execution guard and stored results get fixed parts.
+            contracts: checked for submissions that name a team; ``None``: no contracts are checked.
+            routes: backends by the route names in contracts.
+            recorder: is notified of starts and answers; ``None``: nothing is recorded.
+            memory: the process's memory in bytes; fixed fractions of it limit the execution guard and stored results.
             pools: capacity by class; ``None``: all classes share it.
-            result_store: keeps results beyond this process's life; ``None``: they are not kept.
+            result_store: keeps results across restarts; ``None``: they are not kept.
         """
         self.counters = counters
         self.controller = Controller(settings, seed, pools)
         self.guard = ExecutionGuard(memory)
-        self._has_turned = False  # the controller gets one empty batch at the start, to set its timers
+        self._has_turned = False  # the first batch is passed even if empty, so that the controller sets its timers
         state = CoreState(
             settings=ActiveSettings(settings),
             table=RequestTable(seed),
-            keys=IdempotencyKeyTable(memory // STORED_RESULTS_PART),
+            keys=IdempotencyKeyTable(memory // STORED_RESULTS_DIVISOR),
             guard=self.guard,
             drain_state=DrainState(),
             recorder=recorder or NullAttemptRecorder(),
@@ -111,7 +111,7 @@
 
     @property
     def settings(self) -> Settings:
-        """The settings in force."""
+        """The active settings."""
         return self._settings.current
 
     @property
@@ -126,16 +126,16 @@
 
     @property
     def open_requests(self) -> int:
-        """How many requests are owed an answer."""
+        """The number of requests that have not been answered."""
         return len(self._table.unanswered)
 
-    # ---- From the frontends
+    # ---- Called by frontends
     def submit(self, now: float, submission: Submission, reply: Reply) -> Request | None:
-        """Enter a request in the table; ``None`` if it was answered at once."""
+        """Add a request to the table; ``None`` if it was answered at once."""
         return self._intake.submit(now, submission, reply)
 
     def cancel(self, request: Request) -> None:
-        """Cancel a request whose caller has gone: it is not answered, and the controller may have its run stopped."""
+        """Cancel a request whose caller has gone: it is not answered, and the controller may stop its run."""
         if request.reply is None:
             return
         request.reply = None
@@ -143,28 +143,28 @@
         self._events.append(RequestCancelled(request.request_id))
         self._lifecycle.close_unless_running(request)
 
-    # ---- From the backend
+    # ---- Called by backends
     def run_finished(self, attempt_id: str, outcome: Outcome, elapsed: float, result: bytes = b"") -> None:
-        """A run ended after ``elapsed`` seconds."""
+        """Process the end of a run that took ``elapsed`` seconds."""
         self._runs.finish(attempt_id, outcome, elapsed, result)
 
     def load_sampled(self, gauges: Mapping[str, float]) -> None:
-        """The backend's gauges by name, for all timers that wait for them."""
+        """Process the backend's gauges, by name, for all timers that wait for a sample."""
         self._load_sampling.deliver(gauges)
 
     # ---- Restart and reload
     def remember_run(self, now: float, class_index: int, key: str, age: float) -> None:
-        """Note a run that an earlier process started ``age`` seconds ago, so that its effect is not started again."""
+        """Record a run that an earlier process started ``age`` seconds ago, so that its effect is not repeated."""
         self.guard.remember(now - age, class_index, key)
 
     def replace_contracts(self, contracts: Contracts | None) -> None:
-        """Take over a reload's contracts; budgets go on where the party is the same."""
+        """Apply reloaded contracts; a party that is still listed keeps its budget."""
         self._intake.replace_contracts(contracts)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take over a reload's settings, with classes numbered as before.
+        """Apply reloaded settings, in which classes keep their index.
 
-        Raises ``ValueError`` as ``Controller.apply_settings`` does, and then changes nothing.
+        Raises ``ValueError`` like ``Controller.apply_settings``, in which case nothing is changed.
         """
         settings = replace(settings, slow_start=self.settings.slow_start)
         self.controller.apply_settings(settings)
@@ -172,7 +172,7 @@
 
     # ---- Graceful shutdown
     def drain(self, now: float, kill_at: float) -> None:
-        """Begin the graceful shutdown; the process is killed at ``kill_at``. Ignored if it has begun already."""
+        """Begin the graceful shutdown; the process is killed at ``kill_at``. Ignored if it has already begun."""
         if self._drain_state.requested_at is not None:
             return
         self._drain_state.requested_at = now
@@ -181,12 +181,12 @@
         self._table.schedule_final_answers(self._drain_state.final_answers_at)
 
     def advance_kill(self, kill_at: float) -> None:
-        """Bring the time of the kill forward; a later time than the known one changes nothing."""
+        """Move the time of the kill forward; ignored if ``kill_at`` is later than the known time."""
         self._drain_state.kill_at = min(self._drain_state.kill_at, kill_at)
         self._table.schedule_final_answers(self._drain_state.final_answers_at)
 
     def answer_all(self, now: float) -> None:
-        """Answer every open request as it stands, and reject all that is submitted from now on."""
+        """Answer every open request in its current state, and reject all further submissions."""
         self._drain_state.closed = True
         for request in self._table.unanswered:
             self._events.append(RequestCancelled(request.request_id))
@@ -197,9 +197,9 @@
             self._lifecycle.answer(request, answer)
             self._lifecycle.close_unless_running(request)
 
-    # ---- One turn
+    # ---- Processing
     def turn(self, now: float) -> None:
-        """Hand the queued events to the controller, carry out its actions, and answer what is overdue."""
+        """Pass the queued events to the controller, carry out its actions, and answer overdue requests."""
         self._load_sampling.process_due(now)
         while self._events or not self._has_turned:
             self._has_turned = True
@@ -212,14 +212,14 @@
         self._give_up_abandoned_runs(now)
 
     def next_turn_at(self) -> float | None:
-        """When ``turn`` has something to do without further input; 0 for at once, ``None`` for never."""
+        """When ``turn`` next has work to do without further input; 0 for at once, ``None`` for never."""
         if self._events or not self._has_turned:
             return 0.0
         due_at = min(self._load_sampling.next_due_at(), self._table.next_due_at())
         return None if due_at == float("inf") else due_at
 
     def _answer_overdue(self, now: float) -> None:
-        """Answer what the controller left unanswered until its deadline, or until shortly before the kill."""
+        """Answer requests that the controller has not answered by their deadline, or shortly before the kill."""
         while (request := self._table.next_overdue(now)) is not None:
             self.counters.add("requests", "net at due")
             self._events.append(RequestCancelled(request.request_id))
@@ -227,6 +227,6 @@
             self._lifecycle.close_unless_running(request)
 
     def _give_up_abandoned_runs(self, now: float) -> None:
-        """Free the place of each run whose end was not reported long after its deadline."""
+        """Remove the runs whose end was still not reported long after their deadline."""
         while (request := self._table.next_abandoned(now)) is not None:
             self._runs.finish(request.submission.attempt_id, Outcome.OBSOLETE, 0.0, b"")
--- a/lapishaven/core/contracts.py
+++ b/lapishaven/core/contracts.py
@@ -1,4 +1,4 @@
-"""Contracts between teams' services and this server: what they may request, how much of it, and by when."""
+"""Contracts between teams' services and this server: permitted classes, request budgets and deadlines."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Party(NamedTuple):
-    """Whom a contract is with, and about which class."""
+    """The service that a contract is with, and the class that it covers."""
 
     team: str
     service: str
@@ -16,68 +16,68 @@
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """One service's right to one class."""
+    """The right of one service to send requests of one class."""
 
     team: str
     service: str
-    class_index: int  # the class's place in the settings
-    deadline: float  # seconds; never beyond the class's own
-    route: str  # name of the backend that runs it
-    rate: float  # requests a second by which the budget is refilled
-    burst: float  # requests that the budget holds at most
+    class_index: int  # index of the class in the settings
+    deadline: float  # seconds; at most the deadline of the class
+    route: str  # name of the backend that runs its requests
+    rate: float  # requests per second by which the budget is refilled
+    burst: float  # maximum number of requests in the budget
 
     @property
     def party(self) -> Party:
-        """The key under which it is found."""
+        """The key under which the contract is looked up."""
         return Party(self.team, self.service, self.class_index)
 
 
 @dataclass(frozen=True, slots=True)
 class Denied:
-    """Why a request does not reach the controller, and when a retry may."""
+    """A request that is denied before it reaches the controller."""
 
     reason: str
-    retry_after: float | None  # seconds; None: a retry does not help
+    retry_after: float | None  # seconds; None if a retry does not help
 
 
 class Budgets(Protocol):
-    """Budgets that are allotted outside this process, for the contracts that it knows."""
+    """Budgets that are assigned outside this process, for the contracts that they cover."""
 
     def take_budget(self, now: float, contract: Contract) -> float:
         """Charge one request.
 
-        Returns a number below 0 if the contract has no allotted budget, 0 if the request may pass, else the seconds
-        until one might.
+        Returns a negative number if no budget is assigned to the contract, 0 if the request may pass, and otherwise
+        the seconds after which a request may pass.
         """
 
 
 @dataclass(slots=True)
 class _Bucket:
-    """The state of one token bucket: the tokens (requests) that were left at a time in seconds."""
+    """A token bucket: the tokens (requests) that were left at ``updated_at``, in seconds on the host's clock."""
 
     updated_at: float
     tokens: float
 
 
 class Contracts:
-    """All contracts, each with its budget: a token bucket, or what ``budgets`` says where that allots it."""
+    """All contracts with their budgets: local token buckets, except where ``budgets`` assigns one."""
 
     def __init__(self, contracts: list[Contract], budgets: Budgets | None = None) -> None:
-        self._allotted = budgets
+        self._assigned_budgets = budgets
         self._contracts = {contract.party: contract for contract in contracts}
         self._buckets: dict[Party, _Bucket] = {}
 
     def inherit(self, old: Contracts) -> None:
-        """Take over the budgets of the contracts before a reload, so that a reload does not refill them."""
+        """Copy the budgets from before a reload, so that a reload does not refill them."""
         self._buckets = {party: bucket for party, bucket in old._buckets.items() if party in self._contracts}
 
     def admit(self, now: float, party: Party) -> Contract | Denied:
-        """The contract that covers a request, whose budget is charged with it; or why it is denied."""
+        """Charge a request to the contract that covers it; return the contract, or why the request is denied."""
         contract = self._contracts.get(party)
         if contract is None:
             return Denied("no contract", None)
-        if self._allotted is not None:
-            wait = self._allotted.take_budget(now, contract)
+        if self._assigned_budgets is not None:
+            wait = self._assigned_budgets.take_budget(now, contract)
             if wait > 0.0:
                 return Denied("over budget", wait)
             if wait == 0.0:
--- a/lapishaven/core/core_state.py
+++ b/lapishaven/core/core_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one core share."""
+"""The state that the components of one core share."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CoreState:
-    """The state of one core; each part keeps references to what it needs of it."""
+    """The shared state of one core; each component keeps references to the parts that it uses."""
 
     settings: ActiveSettings
     table: RequestTable
@@ -25,4 +25,4 @@
     drain_state: DrainState
     recorder: AttemptRecorder
     counters: Counters
-    events: list[Event]  # what the controller is to be told in the next batch, in its order
+    events: list[Event]  # events for the controller's next batch, in order
--- a/lapishaven/core/durable_execution.py
+++ b/lapishaven/core/durable_execution.py
@@ -1,7 +1,7 @@
-"""Write-ahead recording: the intent to run is durable before the run, and the result before the answer.
+"""Write-ahead recording: the intent to run is made durable before the run, and the result before the answer.
 
-So after a crash an effect with a result is answered with it, one with an intent alone may have run and is never run
-again, and one with neither never ran.
+After a crash, an effect with a recorded result is answered with that result; an effect with only an intent may have
+run and is never run again; an effect with neither never ran.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 
 class DurableExecution:
-    """Has the result store record the runs of requests that are deduplicated by an idempotency key.
+    """Records the runs of requests that are deduplicated by an idempotency key in the result store.
 
-    Its methods, ``covers`` aside, are for requests and submissions that it covers.
+    All methods except ``covers`` require a request or submission for which ``covers`` is true.
     """
 
     def __init__(self, store: ResultStore, state: CoreState, lifecycle: RequestLifecycle) -> None:
@@ -32,14 +32,14 @@
         return self._settings.is_deduplicated(submission)
 
     def find_result(self, submission: Submission) -> bytes | None:
-        """The stored result of its effect, whichever process ran it; ``None`` if none is known."""
+        """The stored result of the submission's effect, whichever process ran it; ``None`` if none is known."""
         effect = self._store.find(*self._effect_of(submission))
         return effect.result if effect.effect_state is EffectState.DONE else None
 
     def start(self, request: Request, launch: Callable[[Request], None]) -> None:
-        """Record the intent to run the request and call ``launch`` with it once that is durable.
+        """Record the intent to run the request, and call ``launch`` with the request once the intent is durable.
 
-        Where it cannot be recorded, or the effect is known already, the request is answered instead.
+        If it cannot be recorded, or the effect is already known, the request is answered instead.
         """
         request.state = RequestState.RECORDING_INTENT
         submission = request.submission
@@ -56,7 +56,7 @@
         self._lifecycle.end_without_run(request, answer)
 
     def record_result(self, request: Request, result: bytes) -> None:
-        """Record the result of a run that ended well, then answer and close the request."""
+        """Record the result of a completed run, then answer and close the request."""
         request.state = RequestState.RECORDING_RESULT
         class_name, key = self._effect_of(request.submission)
         self._store.record_result(
@@ -64,14 +64,14 @@
         )
 
     def record_failure(self, submission: Submission) -> None:
-        """Note that the run of a submission gave no result, though it may have had its effect."""
+        """Record that the run of a submission gave no result, although its effect may have taken place."""
         self._store.record_failure(*self._effect_of(submission))
 
     def cancel_intent(self, submission: Submission) -> None:
-        """Withdraw the intent of a submission whose run provably did nothing."""
+        """Withdraw the intent of a submission whose run provably had no effect."""
         self._store.cancel_intent(*self._effect_of(submission))
 
-    # ---- What the store reports
+    # ---- Callbacks from the store
     def _intent_settled(
         self, request: Request, outcome: IntentOutcome | KnownEffect, launch: Callable[[Request], None]
     ) -> None:
@@ -85,10 +85,10 @@
             self._give_up_intent(request)
 
     def _answer_known_effect(self, request: Request, effect: KnownEffect) -> None:
-        """Another process has run the effect, or may have: answer what is known of it."""
+        """Answer a request whose effect another process has run or may have run."""
         done = effect.effect_state is EffectState.DONE
         self._counters.add("requests", "done elsewhere" if done else "uncertain elsewhere")
-        # It did not run here; a duplicate is checked against the store, not against this process's guard.
+        # It did not run here. Duplicates are checked against the store, not against this process's execution guard.
         self._guard.release(request.submission)
         if done:
             self._lifecycle.end_without_run(request, Answer(AnswerKind.SERVED, effect.result), effect.result)
@@ -97,7 +97,7 @@
             self._lifecycle.end_without_run(request, answer)
 
     def _give_up_intent(self, request: Request) -> None:
-        """The intent is not durable, or nobody waits for the request any more: either way it never ran."""
+        """Withdraw the intent if it is not durable or no caller waits any more; either way the request never ran."""
         self._guard.release(request.submission)
         self.cancel_intent(request.submission)
         answer = Answer(
@@ -106,7 +106,7 @@
         self._lifecycle.end_without_run(request, answer)
 
     def _result_settled(self, request: Request, result: bytes, durable: bool) -> None:
-        """The result is durable, or cannot be: that the request ran is certain either way."""
+        """Answer a request whose run completed: with its result if that is durable, and as failed if not."""
         if request.state is not RequestState.RECORDING_RESULT:
             return
         if durable:
@@ -118,6 +118,6 @@
         self._lifecycle.close(request)
 
     def _effect_of(self, submission: Submission) -> tuple[str, str]:
-        """The class's name and the key under which the store knows the effect."""
+        """The class name and the idempotency key that identify the effect in the store."""
         assert submission.idempotency_key is not None
         return self._settings.class_of(submission).name, submission.idempotency_key
--- a/lapishaven/core/execution_guard.py
+++ b/lapishaven/core/execution_guard.py
@@ -1,4 +1,4 @@
-"""Keeps a request from being run twice: its attempt, or its effect, may have been run before."""
+"""Prevents a request from running twice, by its attempt id and by its idempotency key."""
 
 from __future__ import annotations
 
@@ -6,30 +6,32 @@
 from lapishaven.core.deduplication import ClaimRegistry
 from lapishaven.core.requests import Answer, AnswerKind, Submission
 
-EFFECT_RETENTION_S = 900.0  # far longer than any caller retries; where no idempotency window applies
-ATTEMPT_RETENTION_S = 75.0  # a copy carries the time of the original, and one from over a minute ago is malformed
-CLOCK_SLACK_S = 1.0  # by which callers' clocks and messages on their way may stretch an idempotency window
-FULL_RETRY_AFTER_S = 1.0  # Retry-After where there is no room to remember a run
-MEMORY_BYTES_PER_NAME = 2048  # of the process's memory for each name; one takes about 200, so a tenth is used at most
+EFFECT_RETENTION_S = 900.0  # if no idempotency window applies; far longer than any caller retries
+# A copied message carries the send time of the original, and is malformed if that is more than a minute ago.
+ATTEMPT_RETENTION_S = 75.0
+CLOCK_SLACK_S = 1.0  # added to an idempotency window for clock differences and transmission delays
+FULL_RETRY_AFTER_S = 1.0  # Retry-After when the guard is full
+# Each registry holds one name per this much process memory; a name takes about 200 bytes, so at most a tenth is used.
+MEMORY_BYTES_PER_NAME = 2048
 
 
 class ExecutionGuard:
-    """Remembers which attempts and effects were started, of the classes that are not idempotent.
+    """Remembers the started attempts and effects of classes that are not idempotent.
 
-    An attempt is known by its id, an effect by its class and idempotency key.
+    An attempt is identified by its id, an effect by its class and idempotency key.
     """
 
-    def __init__(self, memory: int) -> None:
-        """``memory`` is the process's memory in bytes."""
-        limit = memory // MEMORY_BYTES_PER_NAME
+    def __init__(self, memory_bytes: int) -> None:
+        """``memory_bytes`` is the memory of the process."""
+        limit = memory_bytes // MEMORY_BYTES_PER_NAME
         self.attempts = ClaimRegistry(ATTEMPT_RETENTION_S, limit)
         self.effects = ClaimRegistry(EFFECT_RETENTION_S, limit)
 
     def claim(self, now: float, submission: Submission, settings: Settings) -> Answer | None:
-        """Remember a run as started and return ``None``; or the answer that takes its place, if it must not start.
+        """Record a run as started and return ``None``, or return the answer to send if it must not start.
 
-        It must not if it ran before or cannot be remembered. Runs of idempotent classes may always start and are not
-        remembered.
+        A run must not start if it was started before or cannot be recorded. Runs of idempotent classes may always
+        start and are not recorded.
         """
         if settings.classes[submission.class_index].idempotency is Idempotency.IDEMPOTENT:
             return None
@@ -46,19 +48,19 @@
         return None
 
     def release(self, submission: Submission) -> None:
-        """Forget a run that provably did nothing."""
+        """Remove the record of a run that provably had no effect."""
         self.attempts.release(submission.attempt_id)
         self.effects.release((submission.class_index, submission.idempotency_key))
 
     def remember(self, started_at: float, class_index: int, key: str) -> None:
-        """Note an effect that an earlier process started."""
+        """Record an effect that an earlier process started."""
         self.effects.claim(started_at, (class_index, key))
 
     def _effect_retention(self, settings: Settings, class_index: int) -> float:
-        """Seconds for which a duplicate of an effect that starts now may still arrive.
+        """Seconds for which duplicates of an effect that starts now may still arrive.
 
-        The class's idempotency window, where it has one, counts from the arrival of the attempt that runs, which may
-        have been queued for up to the class's deadline.
+        A class's idempotency window starts when the attempt that runs arrives, and that attempt may have been queued
+        for up to the class's deadline.
         """
         request_class = settings.classes[class_index]
         window = request_class.idempotency_window
--- a/lapishaven/core/load_sampling.py
+++ b/lapishaven/core/load_sampling.py
@@ -1,4 +1,4 @@
-"""The controller's timers, each of which is answered with a sample of the backend's load."""
+"""The controller's timers, each of which is answered with a load sample from the backend."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from lapishaven.core.ports import Backend
 from lapishaven.counters import Counters
 
-SAMPLE_TIMEOUT_S = 0.25  # a timer is answered without gauges after this, so that the controller's timers never stop
+# After this a timer is answered without gauges, so that the controller's timers never stop.
+SAMPLE_TIMEOUT_S = 0.25
 
 
 class LoadSampling:
-    """Requests a sample when a timer is due, and queues it for the controller when it comes, or is overdue."""
+    """Requests a sample when a timer is due, and queues it for the controller once it arrives or times out."""
 
     def __init__(self, backend: Backend, counters: Counters, events: list[Event]) -> None:
-        """``events`` is the queue of what the controller is to be told."""
+        """``events`` is the queue of events for the controller."""
         self._backend = backend
         self._counters = counters
         self._events = events
-        self._timers: list[tuple[float, int]] = []  # heap of times and timer ids
-        self._waiting: deque[tuple[float, int]] = (
-            deque()
-        )  # timers that wait for a sample: when the wait ends, and the id
+        self._timers: list[tuple[float, int]] = []  # heap of (due time, timer id)
+        # Timers that wait for a sample: the end of the wait, and the timer id.
+        self._waiting: deque[tuple[float, int]] = deque()
 
     def schedule(self, at: float, timer_id: int) -> None:
-        """Start a timer that is due at that time."""
+        """Start a timer that is due at ``at``."""
         heappush(self._timers, (at, timer_id))
 
     def process_due(self, now: float) -> None:
-        """Request a sample for each timer that is due, and answer those whose sample has not come in time."""
+        """Request a sample for the timers that are due, and answer those whose sample did not arrive in time."""
         while self._timers and self._timers[0][0] <= now:
             if not self._waiting:
                 self._backend.request_load_sample()
@@ -42,7 +42,7 @@
             self._events.append(LoadSample(timer_id, None, None, None, None))
 
     def deliver(self, gauges: Mapping[str, float]) -> None:
-        """The backend's gauges by name: answer all timers that wait."""
+        """Answer all waiting timers with the backend's gauges, given by name."""
         for _, timer_id in self._waiting:
             self._events.append(
                 LoadSample(
@@ -56,7 +56,7 @@
         self._waiting.clear()
 
     def next_due_at(self) -> float:
-        """When ``process_due`` has something to do; infinite if there is nothing to wait for."""
+        """The time at which ``process_due`` next has work to do; infinite if there is none."""
         earliest = float("inf")
         if self._timers:
             earliest = self._timers[0][0]
--- a/lapishaven/core/outcome_metrics.py
+++ b/lapishaven/core/outcome_metrics.py
@@ -1,24 +1,24 @@
-"""Names under which answers and attempts are counted and logged; operators' scripts rely on them."""
+"""Counter and log names of answers and attempts; operators' scripts depend on them."""
 
 from __future__ import annotations
 
 from lapishaven.admission import Outcome
 from lapishaven.core.requests import AnswerKind
 
-# Groups of counters by request class.
-FULFILLED = "fulfilled"  # requests that were served
-THROTTLED = "throttled"  # requests that were rejected, and never ran
-FAULTED = "faulted"  # requests that failed
-RELAYED = "relayed"  # runs that were handed to the backend
+# Counter groups; each has one counter per request class.
+FULFILLED = "fulfilled"  # served requests
+THROTTLED = "throttled"  # rejected requests, which never ran
+FAULTED = "faulted"  # failed requests
+RELAYED = "relayed"  # runs that were passed to the backend
 
-GROUP = {
+COUNTER_GROUPS = {
     AnswerKind.SERVED: FULFILLED,
     AnswerKind.REJECTED: THROTTLED,
     AnswerKind.FORBIDDEN: THROTTLED,
     AnswerKind.FAILED: FAULTED,
     AnswerKind.DEADLINE_EXCEEDED: FAULTED,
 }
-"""The group that counts an answer of each kind."""
+"""The counter group of each kind of answer."""
 
 OUTCOME_LABELS = {
     Outcome.OK: "ok",
@@ -30,4 +30,4 @@
     Outcome.CANCELLED: "cancelled",
     Outcome.OBSOLETE: "moot",
 }
-"""The word for each outcome of an attempt in counters, logs and reasons."""
+"""The label of each attempt outcome in counters, logs and reasons."""
--- a/lapishaven/core/request_lifecycle.py
+++ b/lapishaven/core/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""How a request is answered, and how it leaves the table: each in one place, for all parts of the core."""
+"""Answers requests and removes them from the table, for all components of the core."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from lapishaven.core import outcome_metrics
 from lapishaven.core.core_state import CoreState
 from lapishaven.core.ports import Reply
-from lapishaven.core.requests import WITHOUT_RUN, Answer, AnswerKind, Request, RequestState, Submission
+from lapishaven.core.requests import STATES_WITHOUT_RUN, Answer, AnswerKind, Request, RequestState, Submission
 
-NEVER_RAN_RETRY_AFTER_S = 1.0  # Retry-After where the backend is unreachable or full, or the server shuts down
+NEVER_RAN_RETRY_AFTER_S = 1.0  # Retry-After if the backend is unreachable or overloaded, or the server shuts down
 
 
 class RequestLifecycle:
-    """Answers requests once, removes them from the table once, and serves duplicates from their originals."""
+    """Answers each request once, removes it from the table once, and answers duplicates from their originals."""
 
     def __init__(self, state: CoreState) -> None:
         self._settings = state.settings
@@ -23,9 +23,9 @@
         self._events = state.events
 
     def answer(self, request: Request, answer: Answer) -> None:
-        """Answer a request, unless it was answered or its caller has gone.
+        """Answer a request, unless it was already answered or its caller has gone.
 
-        This is the only place that takes a request's ``reply``, so there is no second answer.
+        Only this method calls a request's ``reply`` and it clears the field first, so there is no second answer.
         """
         reply = request.reply
         request.reply = None
@@ -33,18 +33,18 @@
             self.send(request.submission, reply, answer)
 
     def send(self, submission: Submission, reply: Reply, answer: Answer) -> None:
-        """Count, record and send an answer; called directly for submissions that never enter the table."""
+        """Count, record and send an answer; called directly for submissions that are not added to the table."""
         self._counters.add("answers", answer.kind.value)
         request_class = self._settings.current.classes[submission.class_index]
-        self._counters.add(outcome_metrics.GROUP[answer.kind], request_class.name)
+        self._counters.add(outcome_metrics.COUNTER_GROUPS[answer.kind], request_class.name)
         self._recorder.answered(submission, answer.kind)
         reply(answer)
 
     def close(self, request: Request, result: bytes | None = None) -> None:
-        """Remove a request from the table: the only place that does. ``result`` is that of a run that ended well.
+        """Remove a request from the table; nothing else does. ``result`` is the result of a completed run.
 
-        The key of a request that never ran is freed here, since the controller releases it only after the request has
-        left the table.
+        The key of a request that never ran is released here, because the controller's ``ReleaseKey`` action comes only
+        after the request has left the table.
         """
         if request.state is RequestState.CLOSED:
             return
@@ -63,24 +63,24 @@
                 self._answer_duplicate(duplicate, result, request.ran)
 
     def close_unless_running(self, request: Request) -> None:
-        """Close a request that was answered or cancelled, unless the end of its run or of a write is still to come."""
-        if request.state in WITHOUT_RUN:
+        """Close an answered or cancelled request, unless the end of its run or of a write is still outstanding."""
+        if request.state in STATES_WITHOUT_RUN:
             self.close(request)
 
     def end_without_run(self, request: Request, answer: Answer, result: bytes | None = None) -> None:
-        """Answer and close a request that the controller wanted to run and that was not run here."""
+        """Answer and close a request that the controller started but that was not run here."""
         self.answer(request, answer)
         self._events.append(RunFinished(request.request_id, 0.0, Outcome.OBSOLETE))
         self.close(request, result)
 
     # ---- Duplicates
     def has_waiting_duplicate(self, request: Request) -> bool:
-        """Whether the caller of a duplicate waits for the request's result."""
+        """Whether the caller of any duplicate still waits for the request's result."""
         duplicates = (self._table.requests.get(request_id) for request_id in request.duplicate_ids)
         return any(duplicate is not None and duplicate.reply is not None for duplicate in duplicates)
 
     def attach_to_original(self, now: float, request: Request) -> None:
-        """Have a duplicate wait for the result of its original, or answer it if that is known already."""
+        """Let a duplicate wait for the result of its original, or answer it if the original has already ended."""
         key = request.submission.idempotency_key
         assert request.duplicate_of is not None and key is not None
         request.state = RequestState.ATTACHED
@@ -93,7 +93,7 @@
         self._answer_duplicate(request, entry.result if entry is not None and is_entry_of_original else None)
 
     def _answer_duplicate(self, request: Request, result: bytes | None, original_ran: bool = True) -> None:
-        """Answer a duplicate as its original ended; it is rejected only if that provably never ran."""
+        """Answer a duplicate according to its original; it is rejected only if the original provably never ran."""
         if request.state is not RequestState.ATTACHED:
             return
         outcome = Outcome.ERROR if result is None else Outcome.OK
--- a/lapishaven/core/requests.py
+++ b/lapishaven/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests and answers as the core sees them, whatever protocol they came over."""
+"""Requests and answers, independent of the protocol over which they arrived."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class AnswerKind(Enum):
-    """How a request was answered. The values are counted and logged, so they are part of the interface."""
+    """The kind of an answer. The values appear in counters and logs, so they are part of the interface."""
 
     SERVED = "served"
-    REJECTED = "refused"  # this attempt never ran and never will, so it is safe to retry
+    REJECTED = "refused"  # this attempt never ran and never will, so a retry is safe
     FAILED = "failed"  # it may have run
     DEADLINE_EXCEEDED = "due"  # failed because its deadline passed
-    FORBIDDEN = "denied"  # no contract covers it; it never ran, and a retry does not help
+    FORBIDDEN = "denied"  # no contract covers it; it never ran and a retry does not help
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,8 +26,8 @@
 
     kind: AnswerKind
     body: bytes = b""  # the result of the run; empty unless the request was served
-    reason: str = ""  # for people; empty if it was served
-    retry_after: float | None = None  # seconds after which the caller may retry; None: not stated
+    reason: str = ""  # a short text for people; empty if the request was served
+    retry_after: float | None = None  # seconds after which the caller may retry; None if not given
     no_retry_elsewhere: bool = False  # whether a retry on another server would only add load
 
 
@@ -35,51 +35,51 @@
 class Submission:
     """One attempt of a request, as a frontend read it."""
 
-    attempt_id: str  # unique name under which the backend runs it
-    class_index: int  # its class's place in the settings
+    attempt_id: str  # unique id under which the backend runs it
+    class_index: int  # index of its class in the settings
     body: bytes
-    memory_kb: float  # memory that it is expected to occupy while it is queued
-    rank: float = 0.0  # its place among all requests, 0 up to 1; lower ones are rejected first; 0: unknown
-    age: float = 0.0  # seconds since the caller sent it, by the caller's or the gateway's clock; may be negative
-    caller_id: int = 0  # number of the caller; 0 where the protocol names none
+    memory_kb: float  # memory that it is expected to take while it is queued
+    rank: float = 0.0  # position in the rejection order, from 0 up to 1; low ranks are rejected first; 0: unknown
+    age: float = 0.0  # seconds since the caller sent it, by the caller's or gateway's clock, so it may be negative
+    caller_id: int = 0  # number of the caller; 0 if the protocol does not identify callers
     is_retry: bool = False  # whether the caller marked it as a retry
     is_write: bool = False
-    subject: int | None = None  # number of the object that it is about; None where the protocol names none
-    idempotency_key: str | None = None  # names the effect; None where the protocol or the caller gives none
-    team: str | None = None  # the team whose contract covers it; None where the protocol names no team
-    service: str = ""  # the team's service; empty without a team
-    time_left: float | None = None  # seconds from arrival until its caller gives up; None: the class's deadline
-    body_digest: bytes | None = None  # compared between attempts with the same key; None: not compared
-    tenant_index: int = 0  # its tenant's place in the settings; past the last one: no known tenant
+    subject: int | None = None  # number of the object that it concerns; None if the protocol does not give one
+    idempotency_key: str | None = None  # identifies the effect; None if the caller sent none
+    team: str | None = None  # team whose contract covers it; None if the protocol does not give one
+    service: str = ""  # service of the team; empty without a team
+    time_left: float | None = None  # seconds from arrival until its caller stops waiting; None: the class's deadline
+    body_digest: bytes | None = None  # compared between attempts with the same key; None if not compared
+    tenant_index: int = 0  # index of its tenant in the settings; beyond the last tenant if unknown
 
 
 class RequestState(Enum):
-    """Where a request stands between its arrival and its removal from the request table."""
+    """The state of a request between its arrival and its removal from the request table."""
 
-    QUEUED = "queued"  # not started; the controller decides when it is
-    ATTACHED = "attached"  # a duplicate, which waits for the result of the original
-    RECORDING_INTENT = "recording intent"  # starts once the intent to run it is durable
-    RUNNING = "running"  # the backend has it
-    RECORDING_RESULT = "recording result"  # it ran, and is answered once its result is durable
-    PAUSED = "paused"  # the backend has stopped it and can resume it
-    CLOSED = "closed"  # no longer in the table
+    QUEUED = "queued"  # waits for the controller to start it
+    ATTACHED = "attached"  # a duplicate that waits for the result of its original
+    RECORDING_INTENT = "recording intent"  # will start once the intent to run it is durable
+    RUNNING = "running"  # passed to the backend
+    RECORDING_RESULT = "recording result"  # its run completed; it is answered once the result is durable
+    PAUSED = "paused"  # stopped by the backend, which can resume it
+    CLOSED = "closed"  # removed from the table
 
 
-WITHOUT_RUN = frozenset({RequestState.QUEUED, RequestState.ATTACHED, RequestState.PAUSED})
-"""States in which no completion is outstanding, so that a request that was answered or cancelled can be closed."""
+STATES_WITHOUT_RUN = frozenset({RequestState.QUEUED, RequestState.ATTACHED, RequestState.PAUSED})
+"""States in which no run or write has to end before an answered or cancelled request can be closed."""
 
 
 @dataclass(slots=True)
 class Request:
     """An entry of the request table."""
 
-    request_id: int  # its u32 id in the controller's events and actions
+    request_id: int  # u32 id in the controller's events and actions
     submission: Submission
-    reply: Reply | None  # where its answer goes; None once it was answered or its caller has gone
+    reply: Reply | None  # receives the answer; None once it was answered or its caller has gone
     arrived_at: float  # seconds on the host's clock
-    deadline: float  # seconds on the host's clock; answered by then at the latest
+    deadline: float  # seconds on the host's clock by which it is answered
     backend: Backend
     state: RequestState = RequestState.QUEUED
-    ran: bool = False  # whether a run of it was started and not proven to have done nothing
-    duplicate_of: int | None = None  # request id of the original; None unless it is a duplicate
+    ran: bool = False  # whether a run was started that has not been proven to have had no effect
+    duplicate_of: int | None = None  # request id of the original; None if it is not a duplicate
     duplicate_ids: list[int] = field(default_factory=list)  # request ids of the duplicates that wait for its result
--- a/lapishaven/core/run_control.py
+++ b/lapishaven/core/run_control.py
@@ -1,4 +1,4 @@
-"""Starts, pauses and ends the runs of requests on their backends."""
+"""Starts, pauses, resumes and finishes the runs of requests on their backends."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from lapishaven.core.request_lifecycle import NEVER_RAN_RETRY_AFTER_S, RequestLifecycle
 from lapishaven.core.requests import Answer, AnswerKind, Request, RequestState
 
-NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE)  # outcomes that prove that the run did nothing
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE)  # outcomes that prove that the run had no effect
 
 
 class RunControl:
-    """The one place where a run is started, and where its end is taken in."""
+    """Starts every run and processes its end; nothing else does."""
 
     def __init__(self, state: CoreState, lifecycle: RequestLifecycle, durable: DurableExecution | None) -> None:
-        """``durable`` is ``None`` where no result store is configured."""
+        """``durable`` is ``None`` if no result store is configured."""
         self._settings = state.settings
         self._table = state.table
         self._guard = state.guard
@@ -29,38 +29,38 @@
 
     # ---- Start and pause
     def start(self, now: float, request: Request) -> None:
-        """Start a queued request, or resume a paused one, as the controller decided; ignored in any other state."""
+        """Start a queued request or resume a paused one; ignored in any other state."""
         if request.state is RequestState.PAUSED:
             request.state = RequestState.RUNNING
             request.backend.resume(request.submission.attempt_id)
             return
         if request.state is not RequestState.QUEUED:
             return
-        obstacle = self._claim(now, request)
-        if obstacle is not None:
+        refusal = self._claim(now, request)
+        if refusal is not None:
             self._counters.add("requests", "start barred")
-            self._lifecycle.end_without_run(request, obstacle)
+            self._lifecycle.end_without_run(request, refusal)
         elif self._durable is not None and self._durable.covers(request.submission):
             self._durable.start(request, self._launch)
         else:
             self._launch(request)
 
     def cancel(self, request: Request) -> None:
-        """Stop a run, unless a duplicate waits for its result though its own caller has gone."""
+        """Stop a run, unless the caller of a duplicate still waits for its result."""
         if request.state is RequestState.RUNNING and not self._lifecycle.has_waiting_duplicate(request):
             request.backend.pause(request.submission.attempt_id)
 
     def _claim(self, now: float, request: Request) -> Answer | None:
-        """Claim the run; or the answer to a request that must not run, as it came too late or ran before."""
-        if self._drain_state.came_too_late(request.arrived_at, self._settings.current.drain_grace):
+        """Claim the run; return the answer to send if the request must not run, else ``None``."""
+        if self._drain_state.arrived_after_grace(request.arrived_at, self._settings.current.drain_grace):
             return Answer(AnswerKind.REJECTED, reason="it came after the leave")
-        obstacle = self._guard.claim(now, request.submission, self._settings.current)
-        if obstacle is not None and obstacle.kind is AnswerKind.REJECTED:
+        refusal = self._guard.claim(now, request.submission, self._settings.current)
+        if refusal is not None and refusal.kind is AnswerKind.REJECTED:
             self._counters.add("requests", "guard full")
-        return obstacle
+        return refusal
 
     def _launch(self, request: Request) -> None:
-        """Hand the run to the backend."""
+        """Pass the run to the backend."""
         submission = request.submission
         request_class = self._settings.class_of(submission)
         request.state = RequestState.RUNNING
@@ -74,7 +74,7 @@
 
     # ---- The end of a run
     def finish(self, attempt_id: str, outcome: Outcome, elapsed: float, result: bytes) -> None:
-        """The backend reports the end of a run: tell the controller, and answer the request."""
+        """Process the end of a run: notify the controller and answer the request."""
         request = self._table.by_attempt.get(attempt_id)
         if request is None or request.state not in (RequestState.RUNNING, RequestState.PAUSED):
             self._counters.add("attempts", "unknown end")
@@ -85,7 +85,7 @@
             return
         self._events.append(RunFinished(request.request_id, elapsed, outcome))
         if outcome is Outcome.CANCELLED and request.reply is not None:
-            request.state = RequestState.PAUSED  # the controller decides whether it goes on
+            request.state = RequestState.PAUSED  # the controller decides whether it is resumed
         elif outcome is Outcome.OK:
             self._finish_served(request, result)
         elif outcome in NEVER_RAN:
@@ -94,7 +94,7 @@
             self._finish_failed(request, outcome)
 
     def _is_wanted_again(self, request: Request) -> bool:
-        """Whether a duplicate came while the run of a request that nobody waited for was being paused."""
+        """Whether a duplicate arrived while the run was being paused because no caller waited for it."""
         return (
             request.reply is None
             and self._settings.current.cancellation == "pause"
@@ -109,7 +109,7 @@
         self._lifecycle.close(request, result)
 
     def _finish_unrun(self, request: Request, outcome: Outcome) -> None:
-        """The run provably did nothing, so the request is rejected and its effect may be started again."""
+        """Reject a request whose run provably had no effect; the effect may be started again."""
         submission = request.submission
         if self._durable is not None and self._durable.covers(submission):
             self._durable.cancel_intent(submission)
@@ -121,7 +121,7 @@
         self._lifecycle.close(request)
 
     def _finish_failed(self, request: Request, outcome: Outcome) -> None:
-        """The run gave no result, and may have had its effect."""
+        """Fail a request whose run gave no result; its effect may have taken place."""
         if self._durable is not None and self._durable.covers(request.submission):
             self._durable.record_failure(request.submission)
         reason = f"the run ended: {outcome_metrics.OUTCOME_LABELS[outcome]}"
--- a/lapishaven/core/submission_intake.py
+++ b/lapishaven/core/submission_intake.py
@@ -1,4 +1,4 @@
-"""Takes a submission into the request table, unless it can be answered at once."""
+"""Adds submissions to the request table, unless they can be answered at once."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class SubmissionIntake:
-    """Checks each submission in this order: shutdown, known attempt, key of another request, contract, stored result.
+    """Checks each submission, in this order: shutdown, known attempt, conflicting key, contract, stored result.
 
-    One that passes is entered in the table, and the controller is told of its arrival.
+    A submission that passes is added to the table, and its arrival is reported to the controller.
     """
 
     def __init__(
@@ -29,9 +29,9 @@
         default_backend: Backend,
         routes: Mapping[str, Backend],
     ) -> None:
-        """``contracts`` is ``None`` where none are checked, ``durable`` where no result store is configured.
+        """``contracts`` is ``None`` if no contracts are checked, ``durable`` if no result store is configured.
 
-        ``routes`` has the backends by the names that contracts route to.
+        ``routes`` maps the route names in contracts to backends.
         """
         self._settings = state.settings
         self._table = state.table
@@ -47,13 +47,13 @@
         self._routes = routes
 
     def replace_contracts(self, contracts: Contracts | None) -> None:
-        """Take over a reload's contracts, with the budgets of those that stay, if contracts were checked before."""
+        """Apply reloaded contracts, keeping the budgets of those that remain, if contracts were checked before."""
         if self._contracts is not None and contracts is not None:
             contracts.inherit(self._contracts)
             self._contracts = contracts
 
     def submit(self, now: float, submission: Submission, reply: Reply) -> Request | None:
-        """Enter a submission in the table; ``None`` if it was answered at once."""
+        """Add a submission to the table; ``None`` if it was answered at once."""
         self._counters.add("requests", "read")
         answer = self._check_attempt(submission)
         if answer is not None:
@@ -62,7 +62,7 @@
         key = self._deduplication_key(submission)
         original = self._keys.find(key, now) if key is not None else None
         if original is not None and original.body_digest != submission.body_digest:
-            # Not a duplicate: it must not get the result of what another caller has requested.
+            # Not a duplicate: it must not get the result of another caller's request.
             self._counters.add("requests", "key of another request")
             answer = Answer(AnswerKind.FAILED, reason="this key stands for another request")
             self._lifecycle.send(submission, reply, answer)
@@ -86,24 +86,24 @@
 
     # ---- Checks
     def _check_attempt(self, submission: Submission) -> Answer | None:
-        """The answer to an attempt that comes too late or is known already."""
+        """The answer to an attempt that arrives after the shutdown or is already known; ``None`` if it passes."""
         if self._drain_state.closed:
             return Answer(AnswerKind.REJECTED, reason="the server leaves", retry_after=NEVER_RAN_RETRY_AFTER_S)
         attempt_id = submission.attempt_id
         if attempt_id in self._table.by_attempt or self._guard.attempts.is_claimed(attempt_id):
-            # The backend knows runs by this id, so a second request under it could get the first one's result. It may
-            # have run, so it is not rejected.
+            # The backend identifies runs by this id, so a second request with it could get the first one's result. The
+            # attempt may have run, so it is failed and not rejected.
             return Answer(AnswerKind.FAILED, reason="this try is known already")
         return None
 
     def _deduplication_key(self, submission: Submission) -> EffectKey | None:
-        """The key by which duplicates of it are told; ``None`` if it has none, or running it twice does no harm."""
+        """The key by which its duplicates are detected; ``None`` if it has no key or its class is idempotent."""
         if submission.idempotency_key is None or not self._settings.is_deduplicated(submission):
             return None
         return submission.class_index, submission.idempotency_key
 
     def _charge_contract(self, now: float, submission: Submission) -> Contract | Denied | None:
-        """The contract that covers it, whose budget is charged; ``None`` where no contract is needed."""
+        """Charge the contract that covers it and return the contract; ``None`` if it needs no contract."""
         if self._contracts is None or submission.team is None:
             return None
         return self._contracts.admit(now, Party(submission.team, submission.service, submission.class_index))
@@ -114,21 +114,21 @@
         return Answer(kind, reason=denied.reason, retry_after=denied.retry_after)
 
     def _find_stored_result(self, submission: Submission) -> bytes | None:
-        """The first result of its effect, whichever process ran it; ``None`` if there is none."""
+        """The stored result of its effect, whichever process ran it; ``None`` if there is none."""
         if self._durable is None or not self._durable.covers(submission):
             return None
         return self._durable.find_result(submission)
 
-    # ---- Entry into the table
+    # ---- Adding to the table
     def _enter(self, now: float, submission: Submission, reply: Reply, contract: Contract | None) -> Request:
-        """Enter it in the table with the deadline that its class, its contract and its caller give it."""
+        """Add it to the table with the earliest deadline of its class, its contract and its caller."""
         time_limit = self._settings.current.classes[submission.class_index].deadline
         backend = self._default_backend
         if contract is not None:
             time_limit = min(time_limit, contract.deadline)
             backend = self._routes[contract.route]
         if self._settings.current.propagates_deadline and submission.time_left is not None:
-            # Never longer than the class's deadline: that much is reserved for it, whatever its caller says.
+            # Never longer than the class's deadline, which bounds the resources that are reserved for it.
             time_limit = min(time_limit, submission.time_left)
         arrived_at = now - min(max(submission.age, 0.0), time_limit)
         request = Request(
@@ -145,13 +145,13 @@
         return request
 
     def _has_own_deadline(self, submission: Submission, contract: Contract | None) -> bool:
-        """Whether its contract or its caller decides its deadline, and not its class alone."""
+        """Whether its contract or its caller determines its deadline, rather than its class alone."""
         if self._settings.current.propagates_deadline and submission.time_left is not None:
             return True
         return contract is not None and contract.deadline < self._settings.class_of(submission).deadline
 
     def _queue_arrival(self, now: float, request: Request, has_own_deadline: bool) -> None:
-        """Queue its arrival for the controller."""
+        """Queue its arrival event for the controller."""
         submission = request.submission
         self._events.append(
             RequestArrived(
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -112,11 +112,11 @@
             table.open((0, f"k{id % 7}"), id)
             table.reserve((0, f"k{id % 7}"), id, 10.0)
             table.close((0, f"k{id % 7}"), id, b"x" * 40)
-            self.assertLessEqual(table.result_size, 100)
+            self.assertLessEqual(table.result_bytes, 100)
         kept = [table.find((0, f"k{n}"), 5.0) for n in range(7)]
         self.assertEqual(sorted(e.request_id for e in kept if e is not None and e.result), [48, 49])
         self.assertEqual([table.find((0, f"k{n}"), 11.0) for n in range(7)], [None] * 7)
-        self.assertEqual((len(table), table.result_size), (0, 0))
+        self.assertEqual((len(table), table.result_bytes), (0, 0))
 
     # Guards against memory that grows with commits: tries are let go after their life, and with no room to
     # remember a run there is none, as forgetting one early could let it run twice.
--- a/tests/test_platform_keys.py
+++ b/tests/test_platform_keys.py
@@ -1,4 +1,4 @@
-"""Keyed classes, passed deadlines and tenants on the platform's front."""
+"""Idempotency keys, propagated deadlines and tenants on the platform frontend."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 KEYED = {"effect": "guarded", "window": 5.0}
 
 
-class Keyed(World):
+class IdempotencyKeys(World):
     settings = settings([{}, KEYED])
 
-    # Guards against a second run of one effect: each try has a name of its own, only the key links them.
-    def test_a_repeat_while_the_first_try_runs_gets_its_result(self) -> None:
+    # Guards against running an effect twice: every attempt has its own id, so only the key identifies duplicates.
+    def test_a_duplicate_that_arrives_during_the_run_gets_its_result(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit key=k
@@ -26,7 +26,7 @@
         """)
         self.assertIn(b'"result"', bytes(self.peers["c2"].data))
 
-    def test_a_repeat_after_the_answer_gets_the_kept_result(self) -> None:
+    def test_a_duplicate_that_arrives_after_the_answer_gets_the_stored_result(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit key=k
@@ -39,7 +39,7 @@
         """)
         self.assertIn(b'"result"', bytes(self.peers["c2"].data))
 
-    def test_what_never_ran_leaves_its_key_free(self) -> None:
+    def test_a_request_that_never_ran_frees_its_key(self) -> None:
         self.play("""
             expect vm CONNECT 0
             close vm
@@ -55,25 +55,25 @@
             expect vm APPLY c1.1
         """)
 
-    # Guards against a stranger that names another's key, and is given the result of what that one asked.
-    def test_a_key_with_another_body_gets_no_result_and_spoils_none(self) -> None:
+    # Guards against a caller that sends the key of another caller and gets the result of that caller's request.
+    def test_a_request_with_a_used_key_and_another_body_gets_no_result_and_does_not_affect_the_original(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit key=k
             expect vm APPLY c1.1
             send c2 1 approve-commit key=k rep=1
-            expect c2 failed 1       # while it runs
+            expect c2 failed 1       # during the run
             send vm OK c1.1
             expect c1 result 1
             send c2 2 approve-commit key=k rep=1
-            expect c2 failed 2       # and while its result is kept
+            expect c2 failed 2       # while its result is stored
             send c3 1 approve-commit key=k rep=1 body=c1.1
             expect vm nothing
         """)
         self.assertIn(b'"result"', bytes(self.peers["c3"].data))
 
-    # Guards against a key that a stranger holds for its window: what the interpreter turns down never ran.
-    def test_a_key_of_what_the_interpreter_turns_down_is_free_again(self) -> None:
+    # Guards against a key that stays claimed although the interpreter rejected the request, which then never ran.
+    def test_the_key_of_a_request_that_the_interpreter_rejects_is_freed(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit key=k
@@ -88,8 +88,8 @@
             expect c2 result 1
         """)
 
-    # Guards against a repeat that is failed although its effect was never begun, or refused although it was.
-    def test_a_repeat_is_refused_only_if_its_first_try_never_ran(self) -> None:
+    # Guards against a duplicate that is failed although its effect never started, or rejected although it did.
+    def test_a_duplicate_is_rejected_only_if_its_original_never_ran(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit key=k
@@ -115,7 +115,7 @@
             expect c2 refused 2
         """)
 
-    def test_other_keys_and_classes_without_one_are_not_linked(self) -> None:
+    def test_requests_with_other_keys_or_of_classes_without_keys_are_not_duplicates(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit key=k
@@ -128,7 +128,7 @@
             expect vm APPLY c1.4
         """)
 
-    # Guards against a full guard that refuses what is new: a key is remembered for its window, not for minutes.
+    # Guards against a full execution guard that rejects new requests: a key is kept for its window, not for minutes.
     def test_a_key_is_forgotten_after_its_window(self) -> None:
         self.play("""
             expect vm CONNECT 0
@@ -146,8 +146,8 @@
 class Deadlines(World):
     settings = settings(**{"passes-deadline": True})
 
-    # Guards against an answer after the caller's due time, which is what it passes on and not its class's deadline.
-    def test_a_request_is_due_when_its_caller_says(self) -> None:
+    # Guards against an answer after the deadline that the caller sent, which is earlier than that of the class.
+    def test_a_request_is_answered_by_the_deadline_that_its_caller_sent(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 fuzzy-match ttl=1500
@@ -158,7 +158,7 @@
             expect c1 failed 1
         """)
 
-    def test_no_caller_waits_longer_than_its_class_allows(self) -> None:
+    def test_a_request_is_answered_by_the_deadline_of_its_class_at_the_latest(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit ttl=900000
@@ -168,8 +168,8 @@
         """)
 
 
-class NotPassed(World):
-    def test_what_is_no_setting_of_the_site_changes_nothing(self) -> None:
+class DeadlinesNotPropagated(World):
+    def test_the_caller_s_deadline_is_ignored_if_the_settings_do_not_propagate_deadlines(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 fuzzy-match ttl=100
@@ -185,8 +185,8 @@
         "customers": [{"name": name, "portion": 0.5, "allowance-per-s": 20.0} for name in ("alpha", "beta")],
     }
 
-    # Guards against all that is asked being booked to the first tenant, whose share it then is over.
-    def test_a_request_is_booked_to_the_tenant_that_it_names(self) -> None:
+    # Guards against counting all requests for the first tenant, which then exceeds its quota.
+    def test_a_request_counts_for_the_tenant_that_it_names(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 fuzzy-match of=beta
@@ -199,18 +199,18 @@
         self.assertEqual(self.server.broker.controller.rules.quotas.arrived, [1, 2])
 
 
-def test_fields_out_of_their_range_are_errors() -> None:
-    def told(extra: bytes) -> jsonrpc.Message:
+def test_fields_outside_their_range_are_malformed() -> None:
+    def parse(extra: bytes) -> jsonrpc.Message:
         line = b'{"jsonrpc":"2.0","id":1,"method":"m","params":{"call":"0123456789abcdef","heap":1,%s}}\n' % extra
         return next(iter(jsonrpc.ServerParser().feed(line)))
 
-    good = told(b'"dedupe":"k","ttl":250,"org":"a"')
-    assert isinstance(good, jsonrpc.RunRequest) and (good.idempotency_key, good.time_left, good.tenant_name) == (
+    valid = parse(b'"dedupe":"k","ttl":250,"org":"a"')
+    assert isinstance(valid, jsonrpc.RunRequest) and (valid.idempotency_key, valid.time_left, valid.tenant_name) == (
         "k",
         0.25,
         "a",
     )
-    for bad in (
+    for malformed in (
         b'"dedupe":7',
         b'"dedupe":""',
         b'"dedupe":"%s"' % (b"k" * 129),
@@ -220,10 +220,10 @@
         b'"ttl":1e300',
         b'"org":[]',
     ):
-        assert isinstance(told(bad), jsonrpc.MalformedMessage), bad
+        assert isinstance(parse(malformed), jsonrpc.MalformedMessage), malformed
 
 
-def test_a_claim_may_have_a_life_of_its_own() -> None:
+def test_a_claim_may_have_its_own_retention() -> None:
     guard = ClaimRegistry(900.0, 2)
     guard.claim(0.0, "long")
     guard.claim(1.0, "short", 5.0)
@@ -234,4 +234,4 @@
     guard.release("short")
     guard.claim(7.0, "short", 10.0)
     guard.is_full(12.0)
-    assert guard.is_claimed("short"), "the end of a claim that was released ends no later one"
+    assert guard.is_claimed("short"), "the expiry of a released claim does not end a later claim"
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""Repeats and broken links that cross the end of a run, each in the bad order every time."""
+"""Duplicates and broken connections that coincide with the end of a run, each in the unfavourable order."""
 
 from __future__ import annotations
 
@@ -7,68 +7,70 @@
 from lapishaven.core.execution_guard import CLOCK_SLACK_S
 
 KEYED = {"effect": "guarded", "window": 3.0}
-WINDOW, DEADLINE, POLL = 3.0, 3.8, 0.1
-AGAIN = "approve-commit key=k rep=1 body=c1.1"
+WINDOW_S, DEADLINE_S, POLL_S = 3.0, 3.8, 0.1
+DUPLICATE = "approve-commit key=k rep=1 body=c1.1"
 
 
-class Repeats(World):
+class Duplicates(World):
     settings = settings([{}, KEYED])
 
-    def result(self, name: str) -> bool:
+    def has_result(self, name: str) -> bool:
         return b'"result"' in bytes(self.peers[name].data)
 
-    def begin(self) -> None:
+    def start_run(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit key=k
             expect vm APPLY c1.1
         """)
 
-    # Guards against a second run, or a lost answer, as a repeat and its first try's end come in one wake-up.
-    def test_a_repeat_in_one_wake_up_with_the_end_of_its_first_try(self) -> None:
+    # Guards against a second run or a lost answer if a duplicate and the end of its original arrive in the same turn.
+    def test_a_duplicate_that_arrives_in_the_same_turn_as_the_end_of_its_original(self) -> None:
         for end_first in (True, False):
             with self.subTest(end_first=end_first):
                 self.tearDown()
                 self.setUp()
-                self.begin()
+                self.start_run()
                 caller = self.peer("c2")
                 self.pump()
-                line = self.message("c2", "1", *AGAIN.split())
-                for step in (True, False) if end_first else (False, True):
-                    if step:
+                line = self.message("c2", "1", *DUPLICATE.split())
+                for is_end in (True, False) if end_first else (False, True):
+                    if is_end:
                         self.vm.end("OK", "c1.1")
                     else:
                         caller.sock.sendall(line)
                 self.pump()
-                self.assertEqual((self.result("c1"), self.result("c2"), self.vm.applied), (True, True, ["c1.1"]))
+                self.assertEqual(
+                    (self.has_result("c1"), self.has_result("c2"), self.vm.applied), (True, True, ["c1.1"])
+                )
 
-    # Guards against a stopped run that takes along the repeat which waits for it: its caller left only the first try.
-    def test_a_run_goes_on_for_a_repeat_though_its_first_caller_leaves(self) -> None:
-        self.begin()
+    # Guards against stopping a run whose own caller has gone while a duplicate still waits for its result.
+    def test_a_run_continues_for_a_duplicate_after_its_own_caller_has_gone(self) -> None:
+        self.start_run()
         self.play(f"""
-            send c2 1 {AGAIN}
+            send c2 1 {DUPLICATE}
             send c1 forget 1
             expect vm nothing
             send vm OK c1.1
         """)
-        self.assertTrue(self.result("c2"))
+        self.assertTrue(self.has_result("c2"))
 
-    def test_a_repeat_that_comes_as_its_first_try_is_stopped_has_it_go_on(self) -> None:
-        self.begin()
+    def test_a_duplicate_that_arrives_while_the_run_is_being_stopped_resumes_it(self) -> None:
+        self.start_run()
         self.play(f"""
             send c1 forget 1
             expect vm BREAK c1.1
-            send c2 1 {AGAIN}
+            send c2 1 {DUPLICATE}
             send vm STOPPED c1.1
             expect vm CONTINUE c1.1
             send vm OK c1.1
         """)
-        self.assertTrue(self.result("c2"))
+        self.assertTrue(self.has_result("c2"))
 
-    def test_one_that_nobody_waits_for_is_stopped(self) -> None:
-        self.begin()
+    def test_a_run_that_no_caller_waits_for_is_stopped(self) -> None:
+        self.start_run()
         self.play(f"""
-            send c2 1 {AGAIN}
+            send c2 1 {DUPLICATE}
             send c2 forget 1
             send c1 forget 1
             expect vm BREAK c1.1
@@ -78,41 +80,47 @@
         assert self.server.broker is not None
         self.assertEqual(self.server.broker.requests, {})
 
-    # Guards against a second run at either side of the window's edge.
-    def test_at_the_edge_of_the_window_nothing_runs_twice(self) -> None:
-        for after, again in ((WINDOW - 0.1, "result"), (WINDOW + POLL + 0.2, "failed"), (WINDOW + DEADLINE, "failed")):
-            with self.subTest(after=after):
+    # Guards against a second run shortly before or after the end of the idempotency window.
+    def test_nothing_runs_twice_around_the_end_of_the_window(self) -> None:
+        for wait_s, answer in (
+            (WINDOW_S - 0.1, "result"),
+            (WINDOW_S + POLL_S + 0.2, "failed"),
+            (WINDOW_S + DEADLINE_S, "failed"),
+        ):
+            with self.subTest(wait_s=wait_s):
                 self.tearDown()
                 self.setUp()
-                self.begin()
-                self.play(f"send vm OK c1.1\nexpect c1 result 1\nwait {after}\nsend c2 1 {AGAIN}\nexpect vm nothing")
-                said = bytes(self.peers["c2"].data)
-                self.assertIn(b'"result"' if again == "result" else b"-32000", said)
-
-    def test_long_after_its_window_a_key_is_a_new_request(self) -> None:
-        self.begin()
+                self.start_run()
+                self.play(
+                    f"send vm OK c1.1\nexpect c1 result 1\nwait {wait_s}\nsend c2 1 {DUPLICATE}\nexpect vm nothing"
+                )
+                received = bytes(self.peers["c2"].data)
+                self.assertIn(b'"result"' if answer == "result" else b"-32000", received)
+
+    def test_a_key_is_a_new_request_long_after_its_window(self) -> None:
+        self.start_run()
         self.play(f"""
             send vm OK c1.1
             expect c1 result 1
-            wait {WINDOW + DEADLINE + CLOCK_SLACK_S + 0.1}
-            send c2 1 {AGAIN}
+            wait {WINDOW_S + DEADLINE_S + CLOCK_SLACK_S + 0.1}
+            send c2 1 {DUPLICATE}
             expect vm APPLY c1.1
         """)
 
-    # Guards against a key that runs again as its window shrank in a reload: it counts as it was when the run began.
-    def test_a_window_that_shrinks_in_a_reload_frees_no_key_early(self) -> None:
-        self.begin()
+    # Guards against a key that runs again because a reload shortened its window: the window at the run's start counts.
+    def test_a_reload_that_shortens_the_window_frees_no_key_early(self) -> None:
+        self.start_run()
         self.play("send vm OK c1.1\nexpect c1 result 1")
         self.files = configuration(vm="127.0.0.1:2", settings=settings([{}, {**KEYED, "window": 0.5}]))
         self.play(f"""
             send server HUP
             wait 1.5
-            send c2 1 {AGAIN}
+            send c2 1 {DUPLICATE}
             expect vm nothing
         """)
-        self.assertTrue(self.result("c2"))
+        self.assertTrue(self.has_result("c2"))
 
-    def test_a_class_that_becomes_keyed_in_a_reload_links_tries_from_then_on(self) -> None:
+    def test_a_class_that_becomes_keyed_in_a_reload_deduplicates_attempts_from_then_on(self) -> None:
         self.files = configuration(vm="127.0.0.1:2", settings=SETTINGS)
         self.play("expect vm CONNECT 0\nsend server HUP")
         self.files = configuration(vm="127.0.0.1:2", settings=self.settings)
@@ -120,18 +128,18 @@
             send server HUP
             send c1 1 approve-commit key=k
             expect vm APPLY c1.1
-            send c2 1 {AGAIN}
+            send c2 1 {DUPLICATE}
             expect vm nothing
             send vm OK c1.1
         """)
-        self.assertTrue(self.result("c1") and self.result("c2"))
+        self.assertTrue(self.has_result("c1") and self.has_result("c2"))
 
-    # Guards against a refusal of what started: only a first try that never ran lets its repeat be refused.
-    def test_a_repeat_of_a_run_that_was_lost_with_its_link_is_failed(self) -> None:
+    # Guards against rejecting a duplicate although its original started; only an original that never ran allows that.
+    def test_a_duplicate_of_a_run_that_was_lost_with_its_connection_is_failed(self) -> None:
         self.play("expect vm CONNECT 0\nlose vm 1000")
         self.play(f"""
             send c1 1 approve-commit key=k
-            send c2 1 {AGAIN}
+            send c2 1 {DUPLICATE}
             close vm
             lose vm 0
             wait 0.5
@@ -140,14 +148,14 @@
         """)
 
 
-class Links(World):
-    # Guards against a result that is cut by the link's end, or pieced together from two links.
-    def test_a_result_that_is_cut_comes_whole_on_the_next_link(self) -> None:
+class Connections(World):
+    # Guards against a result that is cut off by the end of the connection, or assembled from two connections.
+    def test_a_result_that_was_cut_off_is_received_completely_on_the_next_connection(self) -> None:
         self.play("expect vm CONNECT 0\nsend c1 1 approve-commit\nexpect vm APPLY c1.1")
         assert self.vm.link is not None
         line = f"VALUE 1 {self.vm.handles['c1.1']} OK 200 9\r\ndone c".encode()
-        for cut in (len(line), len(line) - 6, 10):
-            self.vm.link.sock.sendall(line[:cut])
+        for length in (len(line), len(line) - 6, 10):
+            self.vm.link.sock.sendall(line[:length])
             self.play("""
                 close vm
                 expect c1 nothing
@@ -161,8 +169,8 @@
         """)
         self.assertEqual(self.vm.applied, ["c1.1"])
 
-    # Guards against a run given up as lost though its end came on the link after the one that asked for it.
-    def test_the_end_of_a_run_that_was_looked_for_comes_on_the_next_link(self) -> None:
+    # Guards against a run that counts as lost although its end arrived on a later connection than the query for it.
+    def test_the_end_of_a_run_arrives_on_a_later_connection_than_the_query_for_it(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit
@@ -181,8 +189,8 @@
         """)
         self.assertEqual(self.vm.applied, ["c1.1"])
 
-    # Guards against commands given to a link that is dead: its last words may hold the banner of a start.
-    def test_a_banner_that_is_read_behind_the_link_s_reset_starts_nothing_on_it(self) -> None:
+    # Guards against commands on a closed connection: the data received before its end may contain a start banner.
+    def test_a_banner_that_is_read_together_with_the_end_of_the_connection_starts_nothing_on_it(self) -> None:
         self.vm.banner = None
         self.play("""
             expect vm CONNECT 0
