--- a/lapishaven/admission/__init__.py
+++ b/lapishaven/admission/__init__.py
@@ -1,6 +1,6 @@
-"""Admission control and load shedding for one server: a pure decision module.
+"""Admission control and load shedding for one server, as pure decision logic without I/O.
 
-``Controller.handle`` takes a batch of events with the host's clock and returns the actions to carry out.
+``Controller.handle`` takes a batch of events and the time, and returns the actions that the host has to carry out.
 """
 
 from lapishaven.admission.actions import (
--- a/lapishaven/admission/actions.py
+++ b/lapishaven/admission/actions.py
@@ -1,6 +1,6 @@
 """Actions that the controller asks its host to carry out.
 
-Times are seconds. An action on a request that has ended does nothing.
+Times are in seconds. An action for a request that has already ended is ignored.
 """
 
 from __future__ import annotations
@@ -18,31 +18,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer a request that never ran with a rejection; it may be retried."""
+    """Reject a request that never ran; the caller may retry it."""
 
     request_id: int
     """The request."""
     reason: str
-    """For people and counters, not for callers."""
+    """A short text for people and the label of a counter; callers must not interpret it."""
     retry_after: float | None = None
-    """Seconds for which the caller is to stay away; ``None`` if it is not told any."""
+    """Seconds that the caller should wait before it retries; ``None`` if no Retry-After is sent."""
     no_retry_elsewhere: bool = False
     """Whether the caller is asked not to retry at another instance."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Answer a request with an error. It may have run and had its effect."""
+    """Answer a request with an error. It may have run, and its effect may have taken place."""
 
     request_id: int
     """The request."""
     reason: str
-    """For people and counters, not for callers."""
+    """A short text for people and the label of a counter; callers must not interpret it."""
 
 
 @dataclass(frozen=True, slots=True)
 class CancelRun:
-    """Cancel a run, as ``Settings.cancellation`` says; its end comes as ``RunFinished``."""
+    """Cancel a run in the way that ``Settings.cancellation`` gives; its end is reported as ``RunFinished``."""
 
     request_id: int
     """The request."""
@@ -50,17 +50,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CallDependency:
-    """Make the dependency call that a request needs; its end comes as ``DependencyCallFinished``."""
+    """Make the dependency call that a request needs; its end is reported as ``DependencyCallFinished``."""
 
     request_id: int
     """The request."""
     timeout: float
-    """Seconds after which the call is given up."""
+    """Seconds after which the call is abandoned."""
 
 
 @dataclass(frozen=True, slots=True)
 class SkipDependency:
-    """Go on without the dependency call and give a degraded answer."""
+    """Continue the run without its dependency call; its answer is degraded."""
 
     request_id: int
     """The request."""
@@ -68,12 +68,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReserveKey:
-    """Enter a request in the idempotency key table, before its run."""
+    """Enter a request in the idempotency key table before it runs."""
 
     request_id: int
     """The request."""
     ttl: float
-    """Seconds for which the entry is kept."""
+    """Seconds after which the entry expires."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AwaitOriginal:
-    """Answer a duplicate with the result of the request that it repeats."""
+    """Answer a duplicate with the result of its original once that is known."""
 
     request_id: int
     """The request."""
@@ -94,44 +94,44 @@
 
 @dataclass(frozen=True, slots=True)
 class SetHealth:
-    """Answer health checks in this way from now on."""
+    """Change the answer to health checks."""
 
     healthy: bool
-    """Whether the checks pass."""
+    """Whether the checks pass from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class PublishLoad:
-    """Tell callers of the load from now on."""
+    """Publish a new load value to callers."""
 
     value: float
-    """A level, window or weight, as ``Settings.load_signal`` says."""
+    """A level, window or weight; ``Settings.load_signal`` gives which."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetIdleTimeout:
-    """Close connections that are idle for so long."""
+    """Change the time after which idle connections are closed."""
 
     timeout: float
-    """Seconds."""
+    """The idle timeout in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduleTimer:
-    """Send a ``LoadSample`` after a time."""
+    """Deliver a ``LoadSample`` event after a delay."""
 
     delay: float
-    """Seconds."""
+    """The delay in seconds."""
     timer_id: int
-    """Comes back with the sample."""
+    """Returned as ``LoadSample.timer_id``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """Write a line for the operators."""
+    """Write a line to the operators' log."""
 
     text: str
-    """The line, without its end."""
+    """The line, without a line terminator."""
 
 
 Action = (
--- a/lapishaven/admission/arrival.py
+++ b/lapishaven/admission/arrival.py
@@ -1,4 +1,4 @@
-"""The arrival of a request: whether it is admitted, rejected, or answered as a duplicate."""
+"""Handles arriving requests: each is admitted, rejected, or answered as a duplicate."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ArrivalHandler:
-    """Admits or rejects requests as they are read. ``rng`` ranks requests whose callers give no rank."""
+    """Admits or rejects requests as they are read. ``rng`` draws the rank of requests whose callers send none."""
 
     __slots__ = ("_ending", "_rng", "_rules", "_table")
 
@@ -29,7 +29,7 @@
         self._rng = rng
 
     def handle(self, event: RequestArrived, now: float, actions: list[Action]) -> None:
-        """Decide on a request, and append to ``actions``."""
+        """Decide on a request; the resulting actions are appended to ``actions``."""
         rules = self._rules
         settings = rules.settings
         request = self._track(event, now)
@@ -54,7 +54,7 @@
             )
 
     def _track(self, event: RequestArrived, now: float) -> TrackedRequest:
-        """Enter a request into the tables."""
+        """Record an arriving request in the request table, the caller table, the tenant quotas and the deadlines."""
         rules = self._rules
         request = TrackedRequest(event, rules.settings.classes[event.class_index], now)
         self._table.add(request)
@@ -72,9 +72,10 @@
         return request
 
     def _verdict(self, request: TrackedRequest, now: float) -> Rejection | None:
-        """Why a request is rejected: memory, its pool, or load, in this order; ``None`` if it is admitted.
+        """The reason to reject a request; ``None`` if it is admitted.
 
-        A class within the guaranteed share of its pool is not rejected for load.
+        The checks are memory, the capacity of its pool, then load. A class within the guaranteed share of its pool is
+        not rejected for load.
         """
         rules = self._rules
         pools = rules.pools
@@ -93,7 +94,7 @@
         return rejection.FLEET_OVERLOADED if rules.signal.no_retry_elsewhere() else rejection.OVERLOADED
 
     def _is_shed(self, request: TrackedRequest) -> bool:
-        """Whether a request is rejected for load: only while work waits for nearly busy cores."""
+        """Whether a request is rejected for load, which happens only while work waits and the cores are almost busy."""
         rules = self._rules
         queued = self._table.queued
         if not rules.load.has_waiting_work(len(queued)):
@@ -102,7 +103,7 @@
         return rules.shedding.is_rejected(request.rank, request.weight, current_load)
 
     def _reserve_key(self, request: TrackedRequest, now: float, actions: list[Action]) -> Rejection | None:
-        """Make the entry of an admitted request in the idempotency key table, or reject the request."""
+        """Reserve an entry in the idempotency key table for an admitted request; reject it if there is no memory."""
         ttl = self._rules.reservations.reserve(request, now)
         if ttl is None:
             return rejection.KEY_TABLE_FULL
--- a/lapishaven/admission/connection_limits.py
+++ b/lapishaven/admission/connection_limits.py
@@ -1,39 +1,40 @@
-"""How long an unused connection may stay open."""
+"""The idle timeout of connections, shortened when there are very many callers."""
 
 from __future__ import annotations
 
 from lapishaven.admission.load_measurement import POLL_INTERVAL_S
 from lapishaven.admission.settings import Settings
 
-MAX_CALLERS_PER_RUN = 2.0  # callers, over the runs at which the instance collapses, from which idle ones are closed
+# Callers per run of the concurrency at which the instance collapses; above it idle connections are closed early.
+MAX_CALLERS_PER_RUN = 2.0
 
 
 class IdleTimeout:
-    """The idle timeout of connections, which is cut to almost nothing where there are very many callers.
+    """The idle timeout of connections; it is cut to one poll interval when there are very many callers.
 
-    Connections kept open for all of them load the cores and fill the descriptor table, and callers beyond it
-    could not connect at all. Known weakness: frequent callers then need a handshake for each request.
+    Open connections to all of them would load the cores and exhaust the descriptor table, and further callers could
+    not connect at all. Known weakness: frequent callers then need a handshake for each request.
     """
 
     __slots__ = ("_settings", "current")
 
     def __init__(self, settings: Settings) -> None:
         self.current = settings.idle_timeout
-        """The timeout in seconds that the host was told last."""
+        """The timeout in seconds that the host was last given."""
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take over new limits; the timeout changes at the next ``update``."""
+        """Apply new limits; the timeout changes at the next ``update``."""
         self._settings = settings
 
     def configured(self) -> float:
-        """The timeout of the settings in seconds; 0 if connections are never closed for idleness."""
+        """The configured timeout in seconds; 0 if idle connections are never closed."""
         return self._settings.idle_timeout or 0.0
 
     def update(self, callers_seen: int) -> float | None:
-        """The timeout in seconds for so many callers; ``None`` if it has not changed.
+        """The timeout in seconds for a number of recently seen callers; ``None`` if it has not changed.
 
-        At the start, the number of callers that the settings give counts.
+        The number of callers in the settings is the minimum, for the time in which few have been seen yet.
         """
         settings = self._settings
         configured = self.configured()
--- a/lapishaven/admission/controller.py
+++ b/lapishaven/admission/controller.py
@@ -1,9 +1,9 @@
-"""The driver of admission control: passes each event to its handler and ends each batch with a dispatch.
+"""The admission controller: passes each event to its handler, and starts queued requests after each batch.
 
-Each rule stands in a module of its own. In short: load samples fill a rolling window (``load_measurement``); an
-arriving request is rejected with a probability that rises with the window's average (``rejection_probability``);
-what is admitted is queued and runs in the order of ``queue_order`` under a stepped ``concurrency_limit``. The other
-rules bound memory, dependency calls, tenants and connections, and keep deadlines and the drain.
+Each rule has its own module. Load samples fill a rolling window (``load_measurement``). An arriving request is
+rejected with a probability that rises with the window's average (``rejection_probability``). Admitted requests are
+queued and run in the order of ``queue_order``, within an adaptive ``concurrency_limit``. The other rules limit memory,
+dependency calls, tenants and connections, and enforce deadlines and the drain.
 """
 
 from __future__ import annotations
@@ -31,16 +31,17 @@
 
 
 class Controller:
-    """Decides for one incarnation of one instance. Pure: the same events and seed give the same actions.
+    """Makes the admission decisions of one incarnation of one instance.
 
-    The host calls ``handle`` with each batch of events and carries out the actions that it returns::
+    Pure: it does no I/O and reads no clock, and the same events and seed give the same actions. The host calls
+    ``handle`` with each batch of events and carries out the actions that it returns::
 
         controller = Controller(settings, seed)
         for action in controller.handle(loop.now, [LoadSample(0, 0.5, 2.0, None, None)]):
             host.carry_out(action)
 
-    ``pools`` predict run times, bound and order the runs of each pool, and preempt runs; without them all
-    classes share one queue. ``ValueError`` if the settings do not make sense.
+    ``pools`` predict run times, limit and order the runs of each pool, and preempt runs; without them all
+    classes share one queue. Raises ``ValueError`` if the settings are invalid.
     """
 
     def __init__(self, settings: Settings, seed: int, pools: AdmissionPools | None = None) -> None:
@@ -56,15 +57,16 @@
         self._has_started = False
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take over reloaded settings.
+        """Apply reloaded settings.
 
-        Classes keep their index: new ones come last, dropped ones stay listed, and open requests keep the class
-        that they came with. ``ValueError`` if classes were taken away or the number of tenants changed.
+        Classes keep their index: new classes are appended, classes that are no longer offered stay in the list, and
+        open requests keep the class that they arrived with. Raises ``ValueError`` if classes are missing or the
+        number of tenants differs.
         """
         self.rules.apply_settings(settings)
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
-        """Decide on a batch of events at ``now``, seconds of the host's clock that never goes back."""
+        """Decide on a batch of events at ``now``, in seconds on the host's monotonic clock."""
         actions: list[Action] = []
         if not self._has_started:
             self._start(now, actions)
@@ -96,7 +98,7 @@
             return
         request = self.rules.table.requests.get(event.request_id)
         if request is None:
-            return  # it ended in the meantime
+            return  # the request has already ended
         if isinstance(event, RunFinished):
             self._ending.finish_run(request, event, now, actions)
         elif isinstance(event, DependencyCallNeeded):
--- a/lapishaven/admission/deduplication.py
+++ b/lapishaven/admission/deduplication.py
@@ -1,4 +1,4 @@
-"""Execution of non-idempotent requests at most once: reservations in the idempotency key table."""
+"""At-most-once execution of non-idempotent requests: reservations in the idempotency key table."""
 
 from __future__ import annotations
 
@@ -10,14 +10,16 @@
 from lapishaven.admission.request import TrackedRequest
 from lapishaven.admission.settings import Idempotency, Settings
 
-EXPIRY_MARGIN_S = POLL_INTERVAL_S  # that an entry stays past its window, and its memory stays booked past that
+EXPIRY_MARGIN_S = (
+    POLL_INTERVAL_S  # entries expire this long after their window, and their memory is freed this much later
+)
 
 
 def can_share_result(request: TrackedRequest, event: RequestArrived, result_freshness: float) -> bool:
-    """Whether a request is answered with the result of the one that it duplicates.
+    """Whether a request is answered with the result of its original.
 
-    A request that must not run twice always is; a read is if results may be reused (``result_freshness``
-    above 0 s).
+    That holds for every duplicate that must not run twice, and for reads if results may be reused
+    (``result_freshness`` above 0 s).
     """
     if event.duplicate_of is None:
         return False
@@ -25,23 +27,23 @@
 
 
 class KeyReservations:
-    """Entries in the idempotency key table, made before a run and kept to the end of the class's window."""
+    """Entries in the idempotency key table, made before a run and kept until the class's idempotency window ends."""
 
     __slots__ = ("_entry_kb", "_expiries", "_memory", "reserved_kb")
 
     def __init__(self, settings: Settings, memory: MemoryBudget) -> None:
         self._memory = memory
-        self._expiries: list[tuple[float, int]] = []  # a heap: the windows of the classes differ
+        self._expiries: list[tuple[float, int]] = []  # heap of (time, request id); the windows of classes differ
         self.reserved_kb: dict[int, float] = {}
-        """Memory booked for each entry, by request id; 0 for classes whose callers send no key."""
+        """Memory charged for each entry, by request id; 0 for classes whose callers send no key."""
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take over the size of further entries."""
+        """Apply a new size for entries that are added from now on."""
         self._entry_kb = settings.key_entry_kb
 
     def reserve(self, request: TrackedRequest, now: float) -> float | None:
-        """Make an entry; return its time to live in seconds, or ``None`` if there is no memory for it."""
+        """Add an entry; return its time to live in seconds, or ``None`` if there is no memory for it."""
         request_class = request.request_class
         size_kb = self._entry_kb if request_class.idempotency is Idempotency.WITH_KEY else 0.0
         if not self._memory.fits(size_kb):
@@ -55,14 +57,14 @@
         return expires_at - now
 
     def release(self, request: TrackedRequest) -> bool:
-        """Drop the entry of a request that never ran; whether there was one."""
+        """Remove the entry of a request that never ran; return whether there was one."""
         if not request.has_reservation or request.has_run or request.request_id not in self.reserved_kb:
             return False
         self._memory.used_kb -= self.reserved_kb.pop(request.request_id)
         return True
 
     def expire(self, now: float) -> None:
-        """Forget the entries whose window has ended."""
+        """Remove the entries whose window has ended."""
         expiries = self._expiries
         while expiries and expiries[0][0] + EXPIRY_MARGIN_S < now:
             self._memory.used_kb -= self.reserved_kb.pop(heappop(expiries)[1], 0.0)
--- a/lapishaven/admission/dependency_handler.py
+++ b/lapishaven/admission/dependency_handler.py
@@ -1,4 +1,4 @@
-"""The path of a request through its dependency call: waits, calls, goes on, or skips the call."""
+"""Handles the dependency calls of requests: waiting for the quota, calling, retrying, skipping and failing."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from lapishaven.admission.rules import AdmissionRules
 
 NEVER_EXECUTED = (Outcome.OVERLOADED, Outcome.UNREACHABLE)
-"""Outcomes that prove that the dependency did not execute the call, so that it may be retried."""
+"""Outcomes that prove that the dependency did not execute the call, which may therefore be retried."""
 
 
 class DependencyHandler:
-    """Moves requests through their dependency calls. The methods append to ``actions``."""
+    """Starts, skips and completes dependency calls. The methods append to ``actions``."""
 
     __slots__ = ("_calls", "_ending", "_table")
 
@@ -25,7 +25,7 @@
         self._ending = ending
 
     def need_call(self, request: TrackedRequest, now: float) -> None:
-        """A running request needs a call: it waits until it may make it."""
+        """Suspend a running request until it may make the dependency call that it needs."""
         if not request.is_answered:
             self._table.move(request, AWAITING_DEPENDENCY, now)
             self._calls.waiting.append(request.request_id)
@@ -33,7 +33,7 @@
     def finish_call(
         self, request: TrackedRequest, event: DependencyCallFinished, now: float, actions: list[Action]
     ) -> None:
-        """A call ended: go on with its result, or after a failure skip it, retry it, or fail the request."""
+        """Continue the run after a successful call; after a failure skip the call, retry it, or fail the request."""
         self._calls.latency.record(event.elapsed)
         if request.state is not CALLING_DEPENDENCY or request.is_answered:
             return
@@ -51,7 +51,7 @@
             self._ending.reject(request, rejection.DEPENDENCY_FAILED, now, actions)
 
     def advance(self, now: float, actions: list[Action]) -> None:
-        """Start or skip the calls of waiting requests, in their order, until one has to go on waiting."""
+        """Start or skip the calls of waiting requests in order, up to the first one that must keep waiting."""
         self._calls.expire_lingering(now)
         waiting = self._calls.waiting
         while waiting:
--- a/lapishaven/admission/dispatcher.py
+++ b/lapishaven/admission/dispatcher.py
@@ -1,4 +1,4 @@
-"""What becomes of queued requests at the end of each batch: those that can start do, hopeless ones are rejected."""
+"""Processes queued requests after each batch: rejects those that cannot succeed and starts those that may run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Dispatcher:
-    """Starts runs. The methods append to ``actions``."""
+    """Rejects and starts queued requests. The methods append to ``actions``."""
 
     __slots__ = ("_ending", "_rules", "_table")
 
@@ -22,7 +22,7 @@
         self._ending = ending
 
     def reject_hopeless(self, now: float, actions: list[Action]) -> None:
-        """Reject what can no longer be served in time, or before the kill of a draining instance."""
+        """Reject requests that can no longer be served in time, or before a draining instance is killed."""
         if not self._table.queued:
             return
         drain = self._rules.drain
@@ -35,7 +35,7 @@
                 self._ending.reject(request, rejection.HOPELESS, now, actions)
 
     def start_runs(self, now: float, actions: list[Action]) -> None:
-        """Start requests in their order while there are free slots."""
+        """Start requests in dispatch order while there are free slots."""
         rules = self._rules
         free_slots = self._free_slots(now)
         if free_slots < 1:
@@ -55,15 +55,19 @@
                 rules.pools.run_started(now, request.request_id)
 
     def _free_slots(self, now: float) -> float:
-        """Runs that may start: under the limit, and with those at a dependency call under the ceiling."""
+        """How many runs may start.
+
+        Running requests are bounded by the limit; together with those suspended for a dependency call they are
+        bounded by the ceiling.
+        """
         rules = self._rules
         ceiling = rules.concurrency.ceiling(now)
-        # Pools bound the running requests themselves, under the same ceiling.
+        # Pools apply their own limit to running requests, under the same ceiling.
         limit = rules.concurrency.limit if rules.pools is None else ceiling
         return min(limit, ceiling - self._table.at_dependency()) - self._table.counts[RUNNING]
 
     def _candidates(self, now: float) -> Iterable[TrackedRequest]:
-        """What may start, in its order. Pools keep the order if there are any, paused requests included."""
+        """Requests that may start, in dispatch order. Pools, if any, decide the order, paused requests included."""
         pools = self._rules.pools
         if pools is not None:
             requests = self._table.requests
--- a/lapishaven/admission/load_measurement.py
+++ b/lapishaven/admission/load_measurement.py
@@ -1,4 +1,4 @@
-"""The load of the instance: how busy the cores are, and how much work waits for them."""
+"""Measures the load of the instance: how busy the cores are, and how much work waits for them."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from lapishaven.admission.run_latency import RunLatency
 from lapishaven.admission.settings import Settings
 
-POLL_INTERVAL_S = 0.1  # between load samples; the host's gauges span half a second, so five samples see each change
-WINDOW_SAMPLES = 10  # one second: short against every latency objective, long against the noise of a sample
-NEARLY_BUSY = 0.8  # CPU utilization from which the cores count as nearly all busy
-READ_DELAY_DECAY = (
-    0.7  # factor at each sample, so that one late read does not outlast the half second that the gauges span
-)
+# Interval between load samples. The host's gauges average over half a second, so five samples reflect each change.
+POLL_INTERVAL_S = 0.1
+WINDOW_SAMPLES = 10  # one second: shorter than every latency objective, long enough to average out noise
+BUSY_UTILIZATION = 0.8  # CPU utilization from which the cores count as busy
+# Factor at each sample, so that one late read loses its influence within the half second that the gauges average over.
+READ_DELAY_DECAY = 0.7
 
 
 class LoadMeasurement:
-    """A rolling window over load samples. A load of 1 means that all cores are busy and nothing waits.
+    """A rolling window of load samples. A load of 1 means that all cores are busy and nothing waits.
 
-    Full cores read 1 at any demand above that, so waiting work is added as the utilization that it will
-    become: its waiting time over the shortest latency objective. It is added only while the cores are
-    nearly all busy. Known weakness: one long run among few makes the queue look slower than it is.
+    CPU utilization cannot exceed 1 however high the demand is, so waiting work is added to it: its waiting time
+    divided by the shortest latency objective. It is added only while the cores are busy. Known weakness: if there are
+    few runs, a single long one makes the queue look slower than it is.
     """
 
     __slots__ = ("_shortest_objective", "_window", "read_delay", "utilization")
@@ -32,23 +32,23 @@
         self.utilization = 0.0
         """The latest CPU utilization, 0 to 1."""
         self.read_delay = 0.0
-        """Seconds that requests have waited to be read of late; it decays with each sample."""
+        """The recent delay in seconds between the arrival and the reading of requests; decays with each sample."""
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take over new latency objectives."""
-        self._shortest_objective = min(each.latency_objective for each in settings.classes)
+        """Apply new latency objectives."""
+        self._shortest_objective = min(request_class.latency_objective for request_class in settings.classes)
 
     def record_read(self, age: float) -> None:
-        """Note that a request was read ``age`` seconds after it had come in."""
+        """Record that a request was read ``age`` seconds after it arrived."""
         self.read_delay = max(self.read_delay, age)
 
     def record_utilization(self, cpu_utilization: float | None, stalled: bool, has_queue: bool) -> None:
-        """Take in a CPU utilization; ``None`` if the host has no gauge, then a queue counts as busy cores.
+        """Record a CPU utilization; ``None`` if the host has no gauge, in which case a queue counts as busy cores.
 
-        ``stalled`` says that all run slots are occupied. Then nothing more can start however idle the cores
-        look, as the work or the dependency stands still, and that counts as busy. Known weakness: long waits
-        for disk look like a stall.
+        ``stalled`` means that all run slots are occupied. Nothing more can start then, even if the cores look idle
+        because runs or the dependency hang, so the instance counts as busy. Known weakness: long waits for the disk
+        look like a stall.
         """
         if stalled or (cpu_utilization is None and has_queue):
             self.utilization = 1.0
@@ -65,13 +65,13 @@
         return sum(self._window) / len(self._window)
 
     def current(self, queued: Iterable[TrackedRequest], run_latency: RunLatency, concurrency_limit: float) -> float:
-        """The load at this moment, waiting work included."""
-        if self.utilization < NEARLY_BUSY:
+        """The current load, including waiting work."""
+        if self.utilization < BUSY_UTILIZATION:
             return self.utilization
         run_times = run_latency.expected_by_class()
         queue_delay = sum([run_times[request.class_index] for request in queued]) / concurrency_limit
         return self.utilization + (self.read_delay + queue_delay) / self._shortest_objective
 
     def has_waiting_work(self, queue_length: int) -> bool:
-        """Whether the cores are nearly all busy and more than the newest request waits for them."""
-        return self.utilization >= NEARLY_BUSY and (queue_length > 1 or self.read_delay > POLL_INTERVAL_S)
+        """Whether the cores are busy and requests other than the newest one wait for them."""
+        return self.utilization >= BUSY_UTILIZATION and (queue_length > 1 or self.read_delay > POLL_INTERVAL_S)
--- a/lapishaven/admission/load_sample_handler.py
+++ b/lapishaven/admission/load_sample_handler.py
@@ -1,4 +1,4 @@
-"""The load sample, ten times a second: brings every rule up to date that follows the load."""
+"""Processes load samples, ten per second: updates every rule that depends on the load."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def schedule_load_sample(actions: list[Action]) -> None:
-    """Ask for the next load sample."""
+    """Schedule the next load sample."""
     actions.append(ScheduleTimer(POLL_INTERVAL_S, LOAD_TIMER_ID))
 
 
 class LoadSampleHandler:
-    """Takes in load samples. The methods append to ``actions``."""
+    """Processes load samples. The methods append to ``actions``."""
 
     __slots__ = ("_rules", "_table")
 
@@ -26,7 +26,7 @@
         self._table = rules.table
 
     def handle(self, sample: LoadSample, now: float, actions: list[Action]) -> None:
-        """Take in a load sample."""
+        """Update the rules with a load sample."""
         rules = self._rules
         schedule_load_sample(actions)
         self._measure(sample, now)
@@ -43,7 +43,7 @@
             actions.append(SetHealth(healthy))
 
     def publish_load(self, actions: list[Action]) -> None:
-        """Tell callers of the load, if it has changed."""
+        """Publish the load to callers if it has changed enough."""
         rules = self._rules
         value = rules.signal.update(rules.shedding.probability, rules.concurrency.limit, rules.drain.is_active)
         if value is not None:
--- a/lapishaven/admission/load_signal.py
+++ b/lapishaven/admission/load_signal.py
@@ -1,21 +1,23 @@
-"""What callers are told of the load: the published signal, Retry-After, and whether to retry elsewhere."""
+"""Feedback to callers: the published load, Retry-After, and whether to retry at another instance."""
 
 from __future__ import annotations
 
 from lapishaven.admission.load_measurement import POLL_INTERVAL_S
 from lapishaven.admission.settings import Settings
 
-SMOOTHING = 0.028  # weight of the newest probability: a time constant of 3.6 s, so callers do not swing in step
-MIN_CHANGE = 0.02  # of the signal that is worth publishing
-WINDOW_SCALE = 3.0  # window of each caller without load, as a multiple of the concurrency limit
-WINDOW_NARROWING = 8.0  # how fast windows narrow: at a probability of 0.25 their sum is about the concurrency limit
-LASTING_OVERLOAD = 0.25  # smoothed probability above which a retry elsewhere counts as useless, however few the peers
-OVERLOADED_PEERS = 4.0  # expected number of rejecting peers that suffices, as a retry tries only some of the peers
-BASE_RETRY_AFTER_S = POLL_INTERVAL_S  # up to twice that at full probability: longer, and callers swing in step
+SMOOTHING = 0.028  # weight of the newest probability; its time constant of 3.6 s keeps callers from oscillating
+MIN_CHANGE = 0.02  # a smaller change of the value is not published
+WINDOW_SCALE = 3.0  # window of each caller at no load, as a multiple of the concurrency limit
+WINDOW_NARROWING = 8.0  # narrows the windows: their sum is about the concurrency limit at a probability of 0.25
+# Smoothed probability above which a retry at another instance counts as useless, however few peers there are.
+SUSTAINED_OVERLOAD = 0.25
+# Expected number of rejecting peers from which it counts as useless too, as retries reach only some of the peers.
+OVERLOADED_PEERS = 4.0
+BASE_RETRY_AFTER_S = POLL_INTERVAL_S  # doubled at full probability; longer times synchronize callers
 
 
 class LoadSignal:
-    """The rejection probability, smoothed, in the form that callers understand."""
+    """The smoothed rejection probability, converted to the form that ``Settings.load_signal`` gives."""
 
     __slots__ = ("_settings", "published", "smoothed")
 
@@ -23,20 +25,23 @@
         self.smoothed = 0.0
         """The smoothed rejection probability."""
         self.published = 0.0
-        """The value that callers were told last."""
+        """The value that was published last."""
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take over the form of the signal and the number of peers and callers."""
+        """Apply the form of the signal and the numbers of peers and callers."""
         self._settings = settings
 
     def begin(self) -> None:
-        """Start from what slow start takes off the speed, so that callers need not learn it by rejections."""
+        """Set the initial value: during slow start, the missing fraction of the full speed.
+
+        So callers need not learn by rejections that the instance is still slow.
+        """
         settings = self._settings
         self.smoothed = 1.0 - settings.slow_start_initial_speed if settings.slow_start else 0.0
 
     def update(self, probability: float, concurrency_limit: float, draining: bool) -> float | None:
-        """Take in a rejection probability; return the value to publish, ``None`` if it has hardly changed."""
+        """Add a rejection probability; return the value to publish, or ``None`` if it has hardly changed."""
         self.smoothed += SMOOTHING * (probability - self.smoothed)
         if self._settings.load_signal is None:
             return None
@@ -58,13 +63,14 @@
         return unshared_window / (1.0 + WINDOW_NARROWING * self.smoothed * self._settings.caller_count)
 
     def no_retry_elsewhere(self) -> bool:
-        """Whether a rejection says that peers would reject as well: the overload lasts, or the peers are many."""
-        return self.smoothed > min(LASTING_OVERLOAD, OVERLOADED_PEERS / max(1, self._settings.peer_count))
+        """Whether rejected callers should not try a peer: the overload is sustained, or many peers are overloaded."""
+        return self.smoothed > min(SUSTAINED_OVERLOAD, OVERLOADED_PEERS / max(1, self._settings.peer_count))
 
     def retry_after(self, probability: float, draining: bool, suggested: float) -> float | None:
-        """Seconds that a rejected caller is to stay away; ``None`` if callers follow no such advice.
+        """The Retry-After of a rejection in seconds; ``None`` if callers do not honour it.
 
-        A rule may have ``suggested`` a time (0: none). A draining instance gives the longest.
+        ``suggested`` is the time that the rejecting rule gave, 0 if none. A draining instance sends the longest time
+        that callers honour.
         """
         longest = self._settings.max_retry_after
         if draining or longest is None:
--- a/lapishaven/admission/ports.py
+++ b/lapishaven/admission/ports.py
@@ -1,4 +1,4 @@
-"""Ports through which the controller asks optional, pure components."""
+"""Interfaces of the optional components that the controller consults."""
 
 from __future__ import annotations
 
@@ -10,40 +10,40 @@
 
 
 class AdmissionPools(Protocol):
-    """Pools of classes with a capacity of their own.
+    """Pools of request classes, each with its own share of the capacity.
 
-    All methods are pure. Times are seconds of the clock that ``Controller.handle`` gets.
+    No method does I/O or reads a clock. Times are seconds on the clock that ``Controller.handle`` is called with.
     """
 
     def is_guaranteed(self, class_index: int) -> bool:
-        """Whether the class's pool is within its guaranteed share, so that load is no reason to reject."""
+        """Whether the class's pool is within its guaranteed share, so that its requests are not rejected for load."""
 
     def rejection(self, now: float, class_index: int, objective_at: float, answer_by: float) -> Rejection | None:
-        """Why the pool has no capacity for a request, which is to be answered by ``answer_by`` at the latest.
+        """The reason why the pool has no capacity for an arriving request; ``None`` if it has capacity.
 
-        ``None`` if it has.
+        The request must be answered by ``answer_by``.
         """
 
     def run_time(self, class_index: int) -> float:
-        """Seconds that a run of the class takes at present."""
+        """The duration in seconds that a run of the class is currently predicted to take."""
 
     def enqueue(self, now: float, request_id: int, class_index: int, objective_at: float, deadline: float) -> None:
-        """Queue a request that was admitted."""
+        """Queue an admitted request."""
 
     def dispatch_order(self, now: float) -> Iterator[int]:
-        """Ids of requests that may start, in their order; call ``run_started`` before taking the next."""
+        """Ids of requests that may start, in dispatch order; call ``run_started`` before taking the next one."""
 
     def run_started(self, now: float, request_id: int) -> None:
-        """Note that a request runs, for the first time or again after a pause."""
+        """Record that a run was started, or resumed after a pause."""
 
     def dequeue(self, request_id: int) -> None:
-        """Forget a queued request that will not run."""
+        """Remove a queued request that will not run."""
 
     def run_ended(self, now: float, request_id: int, succeeded: bool) -> None:
-        """Note that a run has ended; ``succeeded`` if it was completed and not cancelled or failed."""
+        """Record that a run has ended; ``succeeded`` if it completed and was neither cancelled nor failed."""
 
     def requeue_preempted(self, now: float, request_id: int) -> bool:
-        """Queue the rest of a cancelled run if the pools preempted it; whether they did."""
+        """Queue the rest of a cancelled run if the pools preempted it; return whether they did."""
 
     def sample(self, now: float, sample: LoadSample) -> list[int]:
-        """Take in a load sample; return the ids of runs to preempt."""
+        """Process a load sample; return the ids of runs to preempt."""
--- a/lapishaven/admission/rejection.py
+++ b/lapishaven/admission/rejection.py
@@ -1,4 +1,4 @@
-"""Why a request is rejected or fails."""
+"""The reasons for which a request is rejected or failed."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """The verdict of a rule that rejects a request, or fails it if it has run."""
+    """The decision of a rule to reject a request, or to fail it if it has run."""
 
     reason: str
-    """For people and counters, not for callers."""
+    """A short text for people and the label of a counter; callers must not interpret it."""
     retry_after: float = 0.0
-    """Seconds after which there will be capacity; 0 if the rule cannot say."""
+    """Seconds after which capacity is expected; 0 if the rule gives no estimate."""
     no_retry_elsewhere: bool = False
-    """Whether peers would reject the request as well."""
+    """Whether the caller should not retry at another instance, because peers would reject the request as well."""
 
 
 OUT_OF_MEMORY = Rejection("memory")
--- a/lapishaven/admission/request.py
+++ b/lapishaven/admission/request.py
@@ -1,4 +1,4 @@
-"""The record that the controller keeps of one request, and the states that a request goes through."""
+"""The controller's record of one request, and the states of a request."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class RequestState(IntEnum):
-    """Where a request stands. The values index ``RequestTable.counts``."""
+    """The state of a request. The values index ``RequestTable.counts``."""
 
     QUEUED = 0
-    """Admitted; waits for a run."""
+    """Admitted and waiting to run."""
     AWAITING_ORIGINAL = 1
-    """A duplicate; is answered with the result of the request that it repeats."""
+    """A duplicate that waits for the result of its original."""
     RUNNING = 2
-    """Uses a core."""
+    """Running on a core."""
     AWAITING_DEPENDENCY = 3
-    """Its run is suspended until it may make a dependency call."""
+    """Suspended until it may make a dependency call."""
     CALLING_DEPENDENCY = 4
-    """Its run is suspended while a dependency call is in flight."""
+    """Suspended while its dependency call is in flight."""
     PAUSED = 5
-    """Its run was preempted by the pools and is to go on later."""
+    """Preempted by the pools; its run will be resumed."""
 
 
-# Aliases for the request path: looking up an enum member by attribute is slow on Python 3.11.
+# Aliases for the hot path: looking up an enum member by attribute is slow on Python 3.11.
 QUEUED = RequestState.QUEUED
 AWAITING_ORIGINAL = RequestState.AWAITING_ORIGINAL
 RUNNING = RequestState.RUNNING
@@ -35,7 +35,7 @@
 
 
 class TrackedRequest:
-    """What the controller knows of one open request. Times are seconds of the host's clock."""
+    """One open request. Times are seconds on the host's clock."""
 
     __slots__ = (
         "arrived_at",
@@ -61,7 +61,7 @@
         self.request_id = event.request_id
         self.request_class = request_class
         self.class_index = event.class_index
-        self.memory_kb = event.memory_kb  # while it is queued; a run takes ``running_memory_factor`` times that
+        self.memory_kb = event.memory_kb  # while queued; a run takes ``running_memory_factor`` times as much
         self.arrived_at = arrived_at
         self.deadline = max(now, deadline)
         self.objective_at = (
@@ -69,11 +69,11 @@
             + request_class.latency_objective
             + (request_class.objective_per_cost or 0.0) * (event.cost_hint or 0.0)
         )
-        self.rank = 0.0  # its place among its caller's requests of the class, 0 to 1; low ranks are rejected first
-        self.weight = 1.0  # priority weight, relative to the class with the least
+        self.rank = 0.0  # position in the rejection order within its class, 0 to 1; low ranks are rejected first
+        self.weight = 1.0  # priority weight, relative to the class with the lowest weight
         self.state = QUEUED
         self.state_since = 0.0
         self.has_run = False
-        self.is_answered = False  # the answer has gone out, although its run has not ended
+        self.is_answered = False  # whether it was answered although its run has not ended
         self.has_reservation = False
         self.needs_reservation = request_class.idempotency is not Idempotency.IDEMPOTENT
--- a/lapishaven/admission/request_ending.py
+++ b/lapishaven/admission/request_ending.py
@@ -1,4 +1,4 @@
-"""How requests end: rejected, failed, cancelled or completed."""
+"""Ends requests that were rejected, failed, cancelled or completed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RequestEnding:
-    """Ends requests. The methods append to ``actions``."""
+    """Ends requests and releases what they hold. The methods append to ``actions``."""
 
     __slots__ = ("_rules", "_table")
 
@@ -20,7 +20,7 @@
         self._table = rules.table
 
     def reject(self, request: TrackedRequest, verdict: Rejection, now: float, actions: list[Action]) -> None:
-        """Reject a request that never ran, with advice when to come back; fail any other."""
+        """Reject a request that never ran, with a Retry-After if callers honour one; fail any other request."""
         if request.has_run or request.state is not QUEUED:
             actions.append(Fail(request.request_id, verdict.reason))
         else:
@@ -31,7 +31,7 @@
         self.abandon(request, now, actions)
 
     def abandon(self, request: TrackedRequest, now: float, actions: list[Action]) -> None:
-        """Nobody waits for the request any more: forget it, or cancel its run if the host can do that."""
+        """Remove a request that no caller waits for, or cancel its run if the host supports that."""
         rules = self._rules
         state = request.state
         if state in (QUEUED, AWAITING_ORIGINAL, PAUSED):
@@ -50,14 +50,14 @@
             actions.append(CancelRun(request.request_id))
 
     def reject_expired(self, now: float, actions: list[Action]) -> None:
-        """Reject or fail what must be answered by now."""
+        """Reject or fail the requests whose deadline for an answer has passed."""
         for request_id in self._rules.deadlines.pop_expired(now):
             request = self._table.requests.get(request_id)
             if request is not None and not request.is_answered:
                 self.reject(request, rejection.DEADLINE_EXPIRED, now, actions)
 
     def finish_run(self, request: TrackedRequest, event: RunFinished, now: float, actions: list[Action]) -> None:
-        """Take in the end of a run, or of the wait for the original of a duplicate."""
+        """Process the end of a run, or of a duplicate's wait for its original."""
         rules = self._rules
         succeeded = event.outcome is Outcome.OK
         was_cancelled = event.outcome is Outcome.CANCELLED and not request.is_answered
--- a/lapishaven/admission/request_table.py
+++ b/lapishaven/admission/request_table.py
@@ -15,7 +15,7 @@
 
 
 class RequestTable:
-    """The one place where a request changes its state, so that counts, queue and memory always agree."""
+    """Performs every state change of a request, so that counts, queue and memory stay consistent."""
 
     __slots__ = ("_memory", "counts", "queued", "requests")
 
@@ -23,12 +23,12 @@
         self._memory = memory
         self.requests: dict[int, TrackedRequest] = {}
         self.queued: dict[int, TrackedRequest] = {}
-        """Requests in state ``QUEUED``, in the order in which they entered it."""
+        """Requests in state ``QUEUED``, in the order in which they entered that state."""
         self.counts = [0] * len(RequestState)
         """Requests by state."""
 
     def add(self, request: TrackedRequest) -> None:
-        """Take in a request that was read; its state is ``QUEUED``."""
+        """Add an arriving request in state ``QUEUED``."""
         self.requests[request.request_id] = request
         self.queued[request.request_id] = request
         self.counts[request.state] += 1
@@ -45,16 +45,16 @@
             self.queued[request.request_id] = request
 
     def remove(self, request: TrackedRequest) -> None:
-        """Forget a request that has ended."""
+        """Remove a request that has ended."""
         self._exit_state(request)
         del self.requests[request.request_id]
 
     def occupied_slots(self) -> int:
-        """Requests whose run has started and is not paused, those at a dependency call included."""
+        """The number of requests whose run has started and is not paused, including those at a dependency call."""
         return sum(self.counts[RUNNING:PAUSED])
 
     def at_dependency(self) -> int:
-        """Requests whose run is suspended for a dependency call."""
+        """The number of requests whose run is suspended for a dependency call."""
         return self.counts[AWAITING_DEPENDENCY] + self.counts[CALLING_DEPENDENCY]
 
     def _exit_state(self, request: TrackedRequest) -> None:
--- a/lapishaven/admission/rules.py
+++ b/lapishaven/admission/rules.py
@@ -1,4 +1,4 @@
-"""All rules of one instance in one place; each has a module of its own."""
+"""The admission rules of one instance, each implemented in its own module."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self.quotas = TenantQuotas(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take over reloaded settings in every rule; see ``Controller.apply_settings``."""
+        """Apply reloaded settings to every rule; see ``Controller.apply_settings``."""
         check_reload(self.settings, settings)
         self.settings = settings
         for rule in (
--- a/lapishaven/admission/tenant_quota.py
+++ b/lapishaven/admission/tenant_quota.py
@@ -1,15 +1,15 @@
-"""The quota of each tenant, which lowers the priority weight of what goes beyond it."""
+"""Tenant quotas: requests that exceed the quota of their tenant get a lower priority weight."""
 
 from __future__ import annotations
 
 from lapishaven.admission.load_measurement import POLL_INTERVAL_S
 from lapishaven.admission.settings import Settings
 
-RATE_WINDOW_S = 5.0  # span of a tenant's mean rate: about thirty requests, so its noise is about a sixth
+RATE_WINDOW_S = 5.0  # averages about 30 requests of a tenant, for a relative error of about 1/6
 
 
 class TenantQuotas:
-    """The rate of each tenant at this instance, against an equal part of its quota over the fleet."""
+    """Compares each tenant's request rate at this instance with an equal share of its fleet-wide quota."""
 
     __slots__ = ("_rates", "_settings", "_weights", "arrived")
 
@@ -17,12 +17,12 @@
         count = len(settings.tenants)
         self.arrived = [0] * count
         """Requests by tenant since the last load sample."""
-        self._rates = [0.0] * count  # requests a second
+        self._rates = [0.0] * count  # requests per second
         self._weights = [1.0] * count
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take over new quotas; the tenants stay the same."""
+        """Apply new quotas; the tenants stay the same."""
         self._settings = settings
 
     def record(self, tenant_index: int) -> float:
@@ -33,9 +33,10 @@
         return self._weights[tenant_index]
 
     def update(self) -> None:
-        """Bring rates and factors up to date at a load sample.
+        """Update rates and factors at a load sample.
 
-        The factor is 1 for the share of the rate that is inside the quota and ``over_quota_weight`` for the rest.
+        The factor is the average over a tenant's requests of 1 for those within the quota and ``over_quota_weight``
+        for those beyond it.
         """
         settings = self._settings
         for index, tenant in enumerate(settings.tenants):
@@ -44,5 +45,5 @@
             self._rates[index] = rate
             self.arrived[index] = 0
             local_quota = tenant.quota / max(1, settings.peer_count)
-            inside = min(1.0, local_quota / rate) if rate > 0 else 1.0
-            self._weights[index] = inside + settings.over_quota_weight * (1.0 - inside)
+            within_quota = min(1.0, local_quota / rate) if rate > 0 else 1.0
+            self._weights[index] = within_quota + settings.over_quota_weight * (1.0 - within_quota)
--- a/lapishaven/pools/__init__.py
+++ b/lapishaven/pools/__init__.py
@@ -1,6 +1,7 @@
-"""Pools of request classes with guaranteed shares, and limits that follow the instance's measured capacity. Pure.
+"""Pools of request classes with guaranteed shares, and limits that follow the instance's measured capacity.
 
-``Pools`` implements ``lapishaven.admission.AdmissionPools``: the controller goes on deciding, and asks the pools.
+Pure: nothing here does I/O, apart from loading the settings, or reads a clock. ``Pools`` implements
+``lapishaven.admission.AdmissionPools``: the controller makes the decisions and consults the pools.
 """
 
 from lapishaven.pools.pools import Pools
--- a/lapishaven/pools/capacity.py
+++ b/lapishaven/pools/capacity.py
@@ -1,9 +1,9 @@
-"""What an instance can do, measured online: its speed, the concurrency that it bears, how long runs take. Pure.
+"""Online estimates of an instance's capacity: its speed, its sustainable concurrency and run times. Pure.
 
-The unit of work is a second on a free core of this instance at its usual speed. A run of a class has a mean work,
-learnt as the core time that its runs attain. Core time is counted by a virtual clock that advances by
-``min(1, cores / runs)`` a second, as in processor sharing, so that a run that shares its core is not taken for a
-slower instance. Work done over core time spent is the speed, 1 at the usual one.
+The unit of work is one second on a free core of this instance at its normal speed. The mean work of a class is
+estimated from the core time that its runs attain. Core time is measured by a virtual clock that advances by
+``min(1, cores / runs)`` per second, as in processor sharing, so that runs that share a core are not mistaken for a
+slower instance. The speed is the work done divided by the core time spent; it is 1 at normal speed.
 """
 
 from __future__ import annotations
@@ -14,34 +14,34 @@
 from lapishaven.pools.speed_detector import SpeedDetector
 from lapishaven.pools.work_estimate import WorkEstimates
 
-MIN_SPEED = 0.02  # the speed never counts as less, so that times stay finite
-MAX_SPEED = 4.0  # the speed never counts as more
-MIN_SPEED_CHANGE = 0.25  # part of the speed by which it must differ to count as another
-USUAL_SPEED = (0.75, 1.33)  # between which the speed counts as the usual one
+MIN_SPEED = 0.02  # lower bound of the speed estimate, so that times stay finite
+MAX_SPEED = 4.0  # upper bound of the speed estimate
+MIN_SPEED_CHANGE = 0.25  # fraction of the speed by which a measured speed must differ to be adopted
+NORMAL_SPEED_RANGE = (0.75, 1.33)  # a speed within it counts as normal
 
 
 @dataclass(slots=True)
 class _Run:
-    """A run in progress."""
+    """One run in progress."""
 
     class_index: int
-    attained_at_start: float  # the virtual clock at its start
-    work: float  # expected at its start
+    attained_at_start: float  # virtual clock when it started
+    work: float  # work that was expected when it started
 
 
 class Capacity:
-    """The estimate for one instance. All times are seconds of one clock, which never goes back."""
+    """The capacity estimate of one instance. All times are in seconds on one monotonic clock."""
 
     __slots__ = (
         "_active",
         "_attained",
         "_cores",
         "_detector",
-        "_done",
+        "_work_done",
         "_now",
         "_profile",
         "_runs",
-        "_spent",
+        "_core_time_spent",
         "_started_at",
         "_slow_start_initial_speed",
         "_slow_start_span",
@@ -59,16 +59,17 @@
         slow_start_span: float = 0.0,
         started_at: float = 0.0,
     ) -> None:
-        """``initial_work`` is the work of a run by class until runs were seen.
+        """``initial_work`` is the assumed work of a run by class until runs have been measured.
 
-        An instance that warms up starts with a part of its usual speed and has all of it after a span in seconds.
+        An instance in slow start begins with the fraction ``slow_start_initial_speed`` of its normal speed and reaches
+        its normal speed after ``slow_start_span`` seconds.
         """
         self.speed = 1.0
-        """As a part of the usual speed, slow start apart."""
+        """The speed as a fraction of the normal speed, not counting slow start."""
         self.speed_changes = 0
-        """How often the speed was found to have changed."""
+        """The number of detected changes of speed."""
         self.speed_changed_at: float | None = None
-        """When that was last; ``None`` if never."""
+        """The time of the latest detected change; ``None`` if there was none."""
         self._cores = cores
         self._slow_start_initial_speed = slow_start_initial_speed
         self._slow_start_span = slow_start_span
@@ -76,9 +77,9 @@
         self._now = started_at
         self._runs: dict[int, _Run] = {}
         self._active = 0
-        self._attained = 0.0  # the virtual clock: core time that a run in progress all along has attained
-        self._spent = 0.0  # core time since the last sample
-        self._done = 0.0  # work since the last sample
+        self._attained = 0.0  # virtual clock: core time attained by a run that has been in progress since the start
+        self._core_time_spent = 0.0  # since the last sample
+        self._work_done = 0.0  # since the last sample
         self._work = WorkEstimates(initial_work)
         self._detector = SpeedDetector()
         self._profile = ConcurrencyProfile()
@@ -86,14 +87,14 @@
     # Measurement
 
     def run_started(self, now: float, request_id: int, class_index: int) -> None:
-        """Note that a run has started."""
+        """Record the start of a run."""
         self._advance(now)
         if request_id not in self._runs:
             self._runs[request_id] = _Run(class_index, self._attained, self._work.work(class_index))
             self._active += 1
 
     def run_ended(self, now: float, request_id: int, succeeded: bool) -> float:
-        """Note that a run has ended; return the core time that it attained. Only completed runs are learnt from."""
+        """Record the end of a run; return the core time that it attained. Only completed runs update the estimates."""
         self._advance(now)
         run = self._runs.pop(request_id, None)
         if run is None:
@@ -101,28 +102,28 @@
         self._active -= 1
         attained = self._attained - run.attained_at_start
         if succeeded:
-            # A run of a class that is not known yet is no evidence of anything.
+            # A run of a class that is not known yet is no evidence of a change of speed.
             is_known = self._work.is_known(run.class_index)
-            self._done += run.work if is_known else attained * self.current_speed()
+            self._work_done += run.work if is_known else attained * self.current_speed()
             work = attained * self._slow_start_speed(now)
-            at_usual_speed = self.speed == 1.0 and self._detector.is_calm()
-            self._work.record(run.class_index, work, self.speed, at_usual_speed, now)
+            at_normal_speed = self.speed == 1.0 and self._detector.is_stable()
+            self._work.record(run.class_index, work, self.speed, at_normal_speed, now)
         return attained
 
     def sample(self, now: float) -> bool:
         """Evaluate the runs since the last load sample; return whether the speed has changed."""
         self._advance(now)
-        spent = self._spent
-        done = self._done
-        self._spent = 0.0
-        self._done = 0.0
+        spent = self._core_time_spent
+        done = self._work_done
+        self._core_time_spent = 0.0
+        self._work_done = 0.0
         self._detector.record(now, spent, done)
         if not spent:
             self._detector.reset()
             return False
         expected = spent * self.current_speed()
         self._profile.record(self._active / self._cores, spent, done / expected)
-        if not self._detector.is_alarmed(expected, done, self._work.mean()):
+        if not self._detector.detects_change(expected, done, self._work.mean()):
             return False
         self._detector.reset()
         return self._adopt_speed(now)
@@ -134,10 +135,10 @@
         self._now = now
         if self._active:
             self._attained += elapsed * min(1.0, self._cores / self._active)
-            self._spent += elapsed * min(self._active, self._cores)
+            self._core_time_spent += elapsed * min(self._active, self._cores)
 
     def _adopt_speed(self, now: float) -> bool:
-        """Adopt the speed measured in the detector's window if it differs enough; return whether it does."""
+        """Adopt the speed measured in the detector's window if it differs enough; return whether it was adopted."""
         if self._work.adopt_changed_classes(now):
             return False
         measured = self._detector.measured_speed()
@@ -147,7 +148,7 @@
         if abs(speed - self.speed) < MIN_SPEED_CHANGE * self.speed:
             return False
         self.speed = min(max(speed, MIN_SPEED), MAX_SPEED)
-        if USUAL_SPEED[0] < self.speed < USUAL_SPEED[1]:
+        if NORMAL_SPEED_RANGE[0] < self.speed < NORMAL_SPEED_RANGE[1]:
             self.speed = 1.0
         self.speed_changes += 1
         self.speed_changed_at = now
@@ -162,21 +163,21 @@
     # Estimates
 
     def current_speed(self) -> float:
-        """Speed of a core as a part of its usual one, slow start included."""
+        """The speed of a core as a fraction of its normal speed, including slow start."""
         return max(MIN_SPEED, self.speed * self._slow_start_speed(self._now))
 
     def work(self, class_index: int) -> float:
-        """Usual work of a run of the class."""
+        """The work of a run of the class at normal speed."""
         return self._work.work(class_index)
 
     def run_time(self, class_index: int, running: int) -> float:
-        """Seconds that a run would take among so many in progress, itself included."""
+        """The expected duration in seconds of a run when ``running`` runs, including it, are in progress."""
         return self._work.work(class_index) / self.current_speed() * max(1.0, running / self._cores)
 
     def work_rate(self) -> float:
-        """Work that the whole instance does in a second."""
+        """The work that the whole instance does per second."""
         return self._cores * self.current_speed()
 
     def max_concurrency(self) -> float:
-        """Runs per core past which the instance does less in total; infinite if that was not seen."""
+        """Runs per core above which the total throughput falls; infinite if that has not been observed."""
         return self._profile.max_concurrency()
--- a/lapishaven/pools/pool.py
+++ b/lapishaven/pools/pool.py
@@ -1,4 +1,4 @@
-"""The live state of one pool and of one run in it. Pure."""
+"""The runtime state of a pool and of a run in a pool. Pure."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 
 @dataclass(slots=True)
 class Pool:
-    """One pool."""
+    """The state of one pool."""
 
     name: str
-    """From the settings."""
+    """Its name in the settings."""
     share: float
-    """Part of the instance's work that is guaranteed to it, 0 to 1."""
+    """Fraction of the instance's work that is guaranteed to it, 0 to 1."""
     ceiling: float
-    """Part of the running limit that it may use by borrowing, 0 to 1."""
+    """Fraction of the run limit that it may use, including what it borrows from other pools, 0 to 1."""
     running: int = 0
-    """Requests of the pool that run."""
-    short_since: float | None = None
-    """When it began to have less than its share with something queued; ``None`` if it has its share."""
+    """Number of its requests that are running."""
+    starved_since: float | None = None
+    """Since when it has had requests queued but less than its share; ``None`` if it is not starved."""
     started: int = 0
     """Runs started so far."""
     rejected: int = 0
     """Requests rejected so far."""
     preempted: int = 0
-    """Runs preempted so far, for pools that were short."""
+    """Runs preempted so far in favour of starved pools."""
     longest_wait: float = 0.0
-    """Seconds that any request was queued before it ran, at most."""
+    """The longest time in seconds that a request was queued before it ran."""
 
     def copy_counters(self, other: Pool) -> None:
-        """Take over the counters of the pool of this name before a reload."""
+        """Copy the counters of the pool with the same name from before a reload."""
         self.started = other.started
         self.rejected = other.rejected
         self.preempted = other.preempted
@@ -38,19 +38,19 @@
 
 @dataclass(slots=True)
 class PoolRun:
-    """A run as the pools account for it."""
+    """One run in progress."""
 
     class_index: int
-    """Its request class."""
+    """Index of its request class."""
     pool: int
     """Index of its pool."""
     work: float
-    """Seconds on a free core that the run was expected to take from ``started_at`` on."""
+    """Expected work after ``started_at``, in seconds on a free core."""
     objective_at: float
-    """When its latency objective ends."""
+    """The time at which its latency objective ends."""
     deadline: float
-    """When it must be answered."""
+    """The time by which it must be answered."""
     started_at: float
-    """When it started or was resumed."""
+    """The time at which it started or was resumed."""
     is_preempted: bool = False
-    """Whether the pools have asked for its cancellation, to go on with it later."""
+    """Whether the pools have requested its cancellation in order to resume it later."""
--- a/lapishaven/pools/pools.py
+++ b/lapishaven/pools/pools.py
@@ -1,7 +1,4 @@
-"""The pools of one instance, as ``AdmissionPools``: whether a pool has capacity, what runs next, what is preempted.
-
-Pure.
-"""
+"""The pools of one instance: whether a pool has capacity, which request runs next, which run is preempted. Pure."""
 
 from __future__ import annotations
 
@@ -10,17 +7,17 @@
 from lapishaven.admission import Idempotency, LoadSample, Rejection, Settings
 from lapishaven.pools.capacity import Capacity
 from lapishaven.pools.pool import Pool, PoolRun
-from lapishaven.pools.preemption import choose_victim, has_waited, is_short
+from lapishaven.pools.preemption import choose_victim, is_preemption_due, is_starved
 from lapishaven.pools.ready_queue import Entry, ReadyQueue
 from lapishaven.pools.run_limit import RunLimit
 from lapishaven.pools.settings import PoolSettings
 
-OBJECTIVE_MARGIN = 0.9  # part of the time to its latency objective that a request may be predicted to take
-INITIAL_OBJECTIVE_SHARE = 0.2  # of a class's latency objective: the work of its runs until one was seen
-MIN_RETRY_AFTER_S = 0.05  # the least Retry-After of a rejection, however soon there is capacity
-DEFAULT_RETRY_AFTER_S = 1.0  # where callers follow no Retry-After
-SLOW_SPEED = 0.6  # of the usual one, under which an instance counts as slow
-MIN_REMAINING_WORK = 0.1  # part of a run's work that counts as left when it is preempted
+OBJECTIVE_MARGIN = 0.9  # a request is admitted if it is predicted to take at most this fraction of its objective
+INITIAL_OBJECTIVE_SHARE = 0.2  # fraction of its latency objective: assumed work of a class until a run was measured
+MIN_RETRY_AFTER_S = 0.05  # lower bound of a Retry-After, even if capacity is expected sooner
+DEFAULT_RETRY_AFTER_S = 1.0  # used if callers honour no Retry-After
+SLOW_SPEED = 0.6  # fraction of the normal speed below which an instance counts as slow
+MIN_REMAINING_WORK = 0.1  # fraction of a run's work that remains at least when it is preempted
 
 POOL_FULL = "pool full"
 INSTANCE_SLOW = "slow box"
@@ -28,33 +25,33 @@
 
 
 class Pools:
-    """Limits in units of work, a reserve, and rejections with the time after which there is capacity.
+    """Implements ``AdmissionPools``: shares in units of work, a reserve, and rejections with a Retry-After.
 
-    The times of all methods are seconds of the clock that the controller gets; it calls them as
-    ``AdmissionPools`` says. ``settings`` are the instance's, ``rules`` the operator's for the pools.
+    All times are seconds on the clock that is passed to the controller. ``settings`` are those of the instance,
+    ``rules`` are the operator's settings for the pools.
     """
 
     def __init__(self, rules: PoolSettings, settings: Settings, now: float = 0.0) -> None:
         self.settings = settings
         self.capacity = Capacity(
             settings.cores,
-            [INITIAL_OBJECTIVE_SHARE * each.latency_objective for each in settings.classes],
+            [INITIAL_OBJECTIVE_SHARE * request_class.latency_objective for request_class in settings.classes],
             settings.slow_start_initial_speed if settings.slow_start else 1.0,
             settings.slow_start_span if settings.slow_start else 0.0,
             now,
         )
         self.running: dict[int, PoolRun] = {}
-        """Runs in progress, by request id."""
+        """Runs in progress by request id."""
         self.run_limit = RunLimit(settings.cores, settings.collapse_concurrency)
         self.worst_concurrency = 0.0
-        """The most runs per core so far."""
-        self._arrange(rules)
+        """The highest number of runs per core so far."""
+        self._build_pools(rules)
 
-    def _arrange(self, rules: PoolSettings) -> None:
+    def _build_pools(self, rules: PoolSettings) -> None:
         self.rules = rules
         self.pools = [Pool(rule.name, rule.share, rule.ceiling) for rule in rules.pools]
         self.ready = ReadyQueue([rule.share for rule in rules.pools])
-        class_names = [each.name for each in self.settings.classes]
+        class_names = [request_class.name for request_class in self.settings.classes]
         self._pool_of_class = {
             class_names.index(name): index for index, rule in enumerate(rules.pools) for name in rule.classes
         }
@@ -65,14 +62,14 @@
             pool.ceiling = min(pool.ceiling, rules.reserve.ceiling)
 
     def apply_settings(self, now: float, rules: PoolSettings) -> None:
-        """Take over reloaded rules.
+        """Apply reloaded rules.
 
-        What is queued keeps its place. What runs counts for the new pool of its class, which may so be over its
-        new share: it starts nothing until it is below.
+        Queued requests stay queued. Running requests count for the new pool of their class. If that pool thereby
+        exceeds its new share, it starts no run until it is below it.
         """
         queued = self.ready.entries()
         previous = {pool.name: pool for pool in self.pools}
-        self._arrange(rules)
+        self._build_pools(rules)
         for pool in self.pools:
             if pool.name in previous:
                 pool.copy_counters(previous[pool.name])
@@ -87,16 +84,16 @@
 
     @property
     def reserve_slots(self) -> int:
-        """Runs on top of the limit that only the pool with the reserve may use.
+        """Runs beyond the limit that only the pool with the reserve may use.
 
-        They share the cores with the rest, so no core is idle for them while nobody asks.
+        They share the cores with other runs, so an unused reserve leaves no core idle.
         """
         if self.rules.reserve is None:
             return 0
         return max(1, round(self.rules.reserve.share * self.settings.cores))
 
     def can_start(self, pool_index: int) -> bool:
-        """Whether a pool may start one more run now; it may borrow what other pools do not use, up to its ceiling."""
+        """Whether a pool may start one more run; it may borrow what other pools do not use, up to its ceiling."""
         pool = self.pools[pool_index]
         limit = self.run_limit.limit
         running = len(self.running)
@@ -110,7 +107,7 @@
         return running - on_reserve + 1 <= limit
 
     def work_share(self, pool_index: int) -> float:
-        """Part of the instance's work that a pool gets while all that have something to do go on."""
+        """The fraction of the instance's work that a pool gets among the pools that currently have work."""
         busy_shares = sum(
             pool.share
             for index, pool in enumerate(self.pools)
@@ -121,7 +118,7 @@
     # Admission
 
     def is_guaranteed(self, class_index: int) -> bool:
-        """Whether the class's pool is within its guaranteed share, so that load is no reason to reject."""
+        """Whether the class's pool is within its guaranteed share, so that its requests are not rejected for load."""
         pool_index = self._pool_of_class[class_index]
         if pool_index == self._reserved:
             return True
@@ -131,10 +128,11 @@
         return pool.running + queued + 1 <= max(1.0, pool.share * self.run_limit.limit)
 
     def rejection(self, now: float, class_index: int, objective_at: float, answer_by: float) -> Rejection | None:
-        """Why a request that has just arrived cannot meet its latency objective; ``None`` if it can.
+        """The reason why an arriving request cannot meet its latency objective; ``None`` if it is admitted.
 
-        If even an idle instance would miss the objective, an idempotent class with a late weight is admitted while
-        nothing waits and its deadline can be met: its runs also tell when the instance is fast again.
+        If even an idle instance would miss the objective, a request of an idempotent class with a late weight is
+        admitted while nothing is queued and its deadline can be met. Such runs also show when the instance is fast
+        again.
         """
         pool_index = self._pool_of_class[class_index]
         run_time = self.run_time(class_index)
@@ -154,31 +152,31 @@
         return Rejection(reason, self.settings.max_retry_after or DEFAULT_RETRY_AFTER_S)
 
     def _queue_time(self, pool_index: int, class_index: int) -> float:
-        """Seconds that a request would be queued: the pool's queued work at the rate that the pool gets."""
+        """The expected queueing time in seconds: the pool's queued work divided by the pool's work rate."""
         if not self.ready.count(pool_index) and self.can_start(pool_index):
             return 0.0
         work = self.ready.work(pool_index) + self.capacity.work(class_index) / 2
         return work / (self.capacity.work_rate() * self.work_share(pool_index))
 
     def run_time(self, class_index: int) -> float:
-        """Seconds that a run of the class takes on this instance at present."""
+        """The duration in seconds that a run of the class is currently predicted to take on this instance."""
         return self.capacity.run_time(class_index, min(len(self.running) + 1, self.settings.cores))
 
     # Queue and runs
 
     def enqueue(self, now: float, request_id: int, class_index: int, objective_at: float, deadline: float) -> None:
-        """Queue a request that was admitted."""
+        """Queue an admitted request."""
         pool_index = self._pool_of_class[class_index]
         work = self.capacity.work(class_index)
         self.ready.push(Entry(request_id, pool_index, work, objective_at, deadline, class_index, now))
 
     def dispatch_order(self, now: float) -> Iterator[int]:
-        """Ids of requests that may start, in their order; each is to be started, dequeued or left."""
+        """Ids of requests that may start, in dispatch order; the caller may start, dequeue or skip each."""
         for entry in self.ready.order(now, self.can_start):
             yield entry.request_id
 
     def run_started(self, now: float, request_id: int) -> None:
-        """Note that a queued request runs."""
+        """Record that a queued request was started or resumed."""
         entry = self.ready.start(request_id)
         if entry is None:
             return
@@ -186,7 +184,7 @@
         pool.running += 1
         pool.started += 1
         pool.longest_wait = max(pool.longest_wait, now - entry.queued_at)
-        pool.short_since = None
+        pool.starved_since = None
         self.running[request_id] = PoolRun(
             entry.class_index, entry.pool, entry.work, entry.objective_at, entry.deadline, now
         )
@@ -194,18 +192,18 @@
         self.worst_concurrency = max(self.worst_concurrency, len(self.running) / self.settings.cores)
 
     def dequeue(self, request_id: int) -> None:
-        """Forget a queued request that will not run."""
+        """Remove a queued request that will not run."""
         self.ready.remove(request_id)
 
     def run_ended(self, now: float, request_id: int, succeeded: bool) -> None:
-        """Note that a run has ended; ``succeeded`` if it was completed."""
+        """Record that a run has ended; ``succeeded`` if it completed."""
         run = self.running.pop(request_id, None)
         if run is not None:
             self.pools[run.pool].running -= 1
             self.capacity.run_ended(now, request_id, succeeded)
 
     def requeue_preempted(self, now: float, request_id: int) -> bool:
-        """Queue the rest of a cancelled run if the pools preempted it; whether they did."""
+        """Queue the rest of a cancelled run if the pools preempted it; return whether they did."""
         run = self.running.get(request_id)
         if run is None or not run.is_preempted:
             return False
@@ -219,7 +217,7 @@
     # Load samples
 
     def sample(self, now: float, sample: LoadSample) -> list[int]:
-        """Bring capacity and limit up to date; return the ids of runs to preempt."""
+        """Update the capacity estimate and the run limit; return the ids of runs to preempt."""
         self.capacity.sample(now)
         self.run_limit.step(
             sample.cpu_utilization, len(self.running), bool(len(self.ready)), self.capacity.max_concurrency()
@@ -227,13 +225,13 @@
         return self.preempt(now) if self.settings.cancellation == "pause" else []
 
     def preempt(self, now: float) -> list[int]:
-        """Choose a run to pause for each pool that has been below its share for too long."""
+        """Choose a run to pause for each pool that has been starved for too long."""
         victims: list[int] = []
         limit = self.run_limit.limit
         for index, pool in enumerate(self.pools):
-            if not is_short(pool, self.ready.count(index) > 0, self.can_start(index), limit):
-                pool.short_since = None
-            elif has_waited(pool, now, self.rules.preempt_after_s):
+            if not is_starved(pool, self.ready.count(index) > 0, self.can_start(index), limit):
+                pool.starved_since = None
+            elif is_preemption_due(pool, now, self.rules.preempt_after_s):
                 victim = self._choose_victim(now, index)
                 if victim is not None:
                     self.running[victim].is_preempted = True
@@ -241,10 +239,10 @@
                     victims.append(victim)
         return victims
 
-    def _choose_victim(self, now: float, short_pool: int) -> int | None:
+    def _choose_victim(self, now: float, starved_pool: int) -> int | None:
         return choose_victim(
             now,
-            short_pool,
+            starved_pool,
             self.pools,
             self.running,
             self.settings.classes,
@@ -253,11 +251,11 @@
             self.rules.preempt_after_s,
         )
 
-    # Operation
+    # Metrics
 
     def state(self) -> dict[str, float | int]:
-        """Gauges by the names that the metrics have."""
-        found: dict[str, float | int] = {
+        """Gauges by metric name."""
+        gauges: dict[str, float | int] = {
             "speed": round(self.capacity.current_speed(), 3),
             "limit": round(self.run_limit.limit, 1),
             "running": len(self.running),
@@ -266,7 +264,7 @@
             "worst_concurrency": round(self.worst_concurrency, 2),
         }
         for index, pool in enumerate(self.pools):
-            found |= {
+            gauges |= {
                 f"{pool.name} running": pool.running,
                 f"{pool.name} held": self.ready.count(index),
                 f"{pool.name} started": pool.started,
@@ -274,4 +272,4 @@
                 f"{pool.name} taken back": pool.preempted,
                 f"{pool.name} longest ms": round(pool.longest_wait * 1000),
             }
-        return found
+        return gauges
--- a/lapishaven/pools/preemption.py
+++ b/lapishaven/pools/preemption.py
@@ -1,4 +1,4 @@
-"""Which runs are paused so that a pool that lent its share gets it back. Pure."""
+"""Chooses the runs that are paused so that a starved pool gets its lent share back. Pure."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 from lapishaven.admission import Idempotency, RequestClass
 from lapishaven.pools.pool import Pool, PoolRun
 
-MIN_SHARE_RUNS = 1e-9  # the least divisor, so that a ratio stays finite
+MIN_SHARE_RUNS = 1e-9  # lower bound of a divisor, so that the ratio stays finite
 
 
-def is_short(pool: Pool, has_queue: bool, can_start: bool, limit: float) -> bool:
-    """Whether a pool has something queued and is below its share of the limit, and yet may not start a run."""
+def is_starved(pool: Pool, has_queue: bool, can_start: bool, limit: float) -> bool:
+    """Whether a pool has requests queued and is below its share of the limit, but may not start a run."""
     return has_queue and pool.running + 1 <= pool.share * limit and not can_start
 
 
-def has_waited(pool: Pool, now: float, preempt_after_s: float) -> bool:
-    """Whether a pool that is short has been so for ``preempt_after_s`` seconds.
+def is_preemption_due(pool: Pool, now: float, preempt_after_s: float) -> bool:
+    """Whether a starved pool has been starved for ``preempt_after_s`` seconds.
 
-    Starts the wait if the pool has just become short, and anew each time that it has passed.
+    Starts the wait if the pool has just become starved, and restarts it each time that it has passed.
     """
-    if pool.short_since is None:
-        pool.short_since = now
+    if pool.starved_since is None:
+        pool.starved_since = now
         return False
-    if now - pool.short_since < preempt_after_s:
+    if now - pool.starved_since < preempt_after_s:
         return False
-    pool.short_since = now
+    pool.starved_since = now
     return True
 
 
 def choose_victim(
     now: float,
-    short_pool: int,
+    starved_pool: int,
     pools: Sequence[Pool],
     runs: Mapping[int, PoolRun],
     classes: Sequence[RequestClass],
@@ -39,15 +39,15 @@
     speed: float,
     min_remaining_s: float,
 ) -> int | None:
-    """The id of the run to pause for the pool ``short_pool``; ``None`` if there is none.
+    """The id of the run to pause in favour of the pool ``starved_pool``; ``None`` if there is none.
 
-    It is the newest idempotent run of the pool that is furthest above its share, unless less than
-    ``min_remaining_s`` seconds of it are left at the instance's ``speed``; then the next such pool is tried.
+    It is the newest idempotent run of the pool that exceeds its share by the highest ratio. If no more than
+    ``min_remaining_s`` seconds of that run remain at the instance's ``speed``, the next such pool is tried.
     """
     over_share = [
         (pool.running / max(pool.share * limit, MIN_SHARE_RUNS), index)
         for index, pool in enumerate(pools)
-        if index != short_pool and pool.running > max(1.0, pool.share * limit)
+        if index != starved_pool and pool.running > max(1.0, pool.share * limit)
     ]
     for _, index in sorted(over_share, reverse=True):
         candidates = [
--- a/lapishaven/pools/work_estimate.py
+++ b/lapishaven/pools/work_estimate.py
@@ -1,19 +1,19 @@
-"""How much work a run of each class is, learnt from the core time that its runs attain. Pure."""
+"""Estimates the work of a run of each class from the core time that its runs attain. Pure."""
 
 from __future__ import annotations
 
-FIRST_RUNS = 8  # of a class, in whose plain mean its work is learnt first
-WORK_SMOOTHING = 0.01  # weight of a new run in a class's work after that
-RATIO_SMOOTHING = 0.25  # weight of a new run in the ratio of a class's latest runs to its work
-MAX_RATIO = 5.0  # of one run to its class's work that is taken into the ratio
-RATIO_VALID_S = 1.0  # since a class's latest run, in which its ratio says something
-MIN_WORK_S = 1e-6  # so that a ratio stays finite
-USUAL_RATIO = (0.8, 1.25)  # between which a class's runs take as long as usual
-CHANGED_RATIO = (0.7, 1.4)  # outside which the work of a class's runs has changed
+FIRST_RUNS = 8  # runs of a class whose plain mean is the first estimate of its work
+WORK_SMOOTHING = 0.01  # weight of each later run in the work of its class
+RATIO_SMOOTHING = 0.25  # weight of the newest run in the ratio of a class's recent runs to its estimated work
+MAX_RATIO = 5.0  # upper bound of the ratio of a single run
+RATIO_VALID_S = 1.0  # time after the latest run of a class during which its ratio is used
+MIN_WORK_S = 1e-6  # lower bound of a divisor, so that the ratio stays finite
+NORMAL_RATIO_RANGE = (0.8, 1.25)  # within it, runs of a class take as long as estimated
+UNCHANGED_RATIO_RANGE = (0.7, 1.4)  # outside it, the work of a class counts as changed
 
 
 class WorkEstimates:
-    """The usual work of a run by class, in seconds on a free core at the usual speed."""
+    """The work of a run by class, in seconds on a free core at normal speed."""
 
     __slots__ = ("_ratio", "_ratio_at", "_runs", "_work")
 
@@ -21,25 +21,26 @@
         count = len(initial_work)
         self._work = list(initial_work)
         self._runs = [0] * count
-        self._ratio = [1.0] * count  # of the latest runs to the usual work
+        self._ratio = [1.0] * count  # of recent runs to the estimated work
         self._ratio_at = [float("-inf")] * count
 
     def work(self, class_index: int) -> float:
-        """Usual work of a run of the class."""
+        """The work of a run of the class at normal speed."""
         return self._work[class_index]
 
     def mean(self) -> float:
-        """Mean over the classes; 1 if nothing is known of any."""
+        """The mean over all classes; 1 if it is 0."""
         return sum(self._work) / len(self._work) or 1.0
 
     def is_known(self, class_index: int) -> bool:
-        """Whether enough runs of the class were seen for one to be evidence of the instance's speed."""
+        """Whether enough runs of the class were measured for another one to be evidence of the instance's speed."""
         return self._runs[class_index] >= FIRST_RUNS
 
-    def record(self, class_index: int, work: float, speed: float, at_usual_speed: bool, now: float) -> None:
-        """Take in a completed run that attained ``work`` seconds while the instance had a ``speed``.
+    def record(self, class_index: int, work: float, speed: float, at_normal_speed: bool, now: float) -> None:
+        """Add a completed run that attained ``work`` seconds while the instance had a ``speed``.
 
-        Only runs ``at_usual_speed`` change the work: what a slow instance attains says nothing of it.
+        Once a class is known, only runs ``at_normal_speed`` change its work, because the core time that runs attain on
+        a slow instance does not show their work.
         """
         if not self.is_known(class_index):
             self._runs[class_index] += 1
@@ -48,18 +49,20 @@
         ratio = work * speed / max(self._work[class_index], MIN_WORK_S)
         self._ratio[class_index] += RATIO_SMOOTHING * (min(ratio, MAX_RATIO) - self._ratio[class_index])
         self._ratio_at[class_index] = now
-        if at_usual_speed:
+        if at_normal_speed:
             self._work[class_index] += WORK_SMOOTHING * (work - self._work[class_index])
 
     def adopt_changed_classes(self, now: float) -> bool:
-        """Adopt the new work of classes that have changed while the instance has not; return whether there are any.
+        """Adopt the new work of classes that changed while the instance did not; return whether there are any.
 
-        That is so if the runs of some classes take as long as usual while those of others do not.
+        That is the case if the runs of some classes take as long as estimated while those of others do not.
         """
         recent = [index for index, at in enumerate(self._ratio_at) if now - at < RATIO_VALID_S]
-        changed = [index for index in recent if not CHANGED_RATIO[0] < self._ratio[index] < CHANGED_RATIO[1]]
-        usual = [index for index in recent if USUAL_RATIO[0] < self._ratio[index] < USUAL_RATIO[1]]
-        if not changed or not usual:
+        changed = [
+            index for index in recent if not UNCHANGED_RATIO_RANGE[0] < self._ratio[index] < UNCHANGED_RATIO_RANGE[1]
+        ]
+        normal = [index for index in recent if NORMAL_RATIO_RANGE[0] < self._ratio[index] < NORMAL_RATIO_RANGE[1]]
+        if not changed or not normal:
             return False
         for index in changed:
             self._work[index] *= self._ratio[index]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -60,33 +60,33 @@
     return replace(BASE, **changes)
 
 
-def arrival(id: int, cls: int = 0, **changes: Any) -> RequestArrived:
-    base = RequestArrived(id, 30.0, 0, None, 0, 0.0, False, False, cls, 0.5, None, None, None)
+def arrival(request_id: int, class_index: int = 0, **changes: Any) -> RequestArrived:
+    base = RequestArrived(request_id, 30.0, 0, None, 0, 0.0, False, False, class_index, 0.5, None, None, None)
     return replace(base, **changes)
 
 
-def poll(cpu: float = 0.5, on_cores: float = 1.0) -> LoadSample:
-    return LoadSample(0, cpu, on_cores, 0.1, 5.0)
+def load_sample(cpu_utilization: float = 0.5, runnable: float = 1.0) -> LoadSample:
+    return LoadSample(0, cpu_utilization, runnable, 0.1, 5.0)
 
 
-def of(actions: list[Action], *kinds: type) -> list[Any]:
-    return [a for a in actions if isinstance(a, kinds)]
+def actions_of(actions: list[Action], *types: type) -> list[Any]:
+    return [action for action in actions if isinstance(action, types)]
 
 
-def ids(actions: list[Action], *kinds: type) -> list[int]:
-    return [a.request_id for a in of(actions, *kinds)]
+def request_ids(actions: list[Action], *types: type) -> list[int]:
+    return [action.request_id for action in actions_of(actions, *types)]
 
 
-def started(**changes: Any) -> Controller:
+def started_controller(**changes: Any) -> Controller:
     controller = Controller(settings(**changes), 1)
     controller.handle(0.0, [])
     return controller
 
 
-def saturate(c: Controller, now: float = 0.0, held: int = 40, first: int = 10_000) -> float:
-    """Fill the cores and the queue, then send load samples until the window is full of busy ones; return the time."""
-    c.handle(now, [arrival(first + n, rank=0.999) for n in range(held)])
+def saturate(controller: Controller, now: float = 0.0, queued: int = 40, first_id: int = 10_000) -> float:
+    """Fill the cores and the queue, then send samples of busy cores for a whole window; return the new time."""
+    controller.handle(now, [arrival(first_id + n, rank=0.999) for n in range(queued)])
     for _ in range(10):
         now += 0.1
-        c.handle(now, [poll(1.0, 8.0)])
+        controller.handle(now, [load_sample(1.0, 8.0)])
     return now
--- a/tests/test_admission_package.py
+++ b/tests/test_admission_package.py
@@ -1,4 +1,4 @@
-"""The admission module: small, and pure."""
+"""The modules of the admission package are small and pure."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def imported(path: Path) -> set[str]:
-    """The dotted names of all modules that a file imports."""
+    """The dotted names of the modules that a file imports."""
     names = set[str]()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.name)
-def test_each_module_is_pure_and_imports_nothing_else_of_the_program(path: Path) -> None:
+def test_each_module_is_pure_and_imports_no_other_package_of_the_program(path: Path) -> None:
     for name in imported(path):
-        top = name.partition(".")[0]
-        assert name.startswith("lapishaven.admission") or top in sys.stdlib_module_names - IMPURE, name
+        top_level = name.partition(".")[0]
+        assert name.startswith("lapishaven.admission") or top_level in sys.stdlib_module_names - IMPURE, name
--- a/tests/test_admission_reload.py
+++ b/tests/test_admission_reload.py
@@ -1,4 +1,4 @@
-"""Settings at SIGHUP: classes added and dropped while requests are open, and files that are turned down whole."""
+"""Reloading settings on SIGHUP: classes are added and removed, and an invalid file changes nothing."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
     return configuration(vm="127.0.0.1:2", settings=data)
 
 
-class Retune(World):
-    # Guards against an open request that loses its class, and a new class that callers cannot use.
-    def test_a_class_is_added_and_one_dropped_while_a_request_of_it_is_open(self) -> None:
+class SettingsReload(World):
+    # Guards against a reload after which an open request has lost its class, or callers cannot use a new class.
+    def test_a_class_is_added_and_another_removed_while_one_of_its_requests_is_open(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit
             expect vm APPLY c1.1
         """)
-        self.files = changed(lambda s: s.__setitem__("profiles", [NEW, s["profiles"][0]]))
+        self.files = changed(lambda settings: settings.__setitem__("profiles", [NEW, settings["profiles"][0]]))
         self.play("""
             send server HUP
             send c1 2 segment-save
@@ -39,14 +39,14 @@
             ({"fuzzy-match": 0, "segment-save": 2}, 1),
         )
 
-    # Guards against a bad file that changes part of the settings, or is not counted as turned down.
-    def test_each_kind_of_bad_file_is_turned_down_whole_mid_flow(self) -> None:
-        good, before = configuration(vm="127.0.0.1:2"), self.server.config.settings
+    # Guards against an invalid file that is applied in part, or is not counted as rejected.
+    def test_an_invalid_file_is_rejected_as_a_whole_while_requests_are_open(self) -> None:
+        valid, before = configuration(vm="127.0.0.1:2"), self.server.config.settings
         self.play("expect vm CONNECT 0")
-        for n, text in enumerate(
+        for request_id, text in enumerate(
             [
                 "",
-                good[: len(good) // 2],
+                valid[: len(valid) // 2],
                 changed(lambda s: s["profiles"][1].pop("aim")),
                 changed(lambda s: s["profiles"][0].__setitem__("deadline", 0)),
                 changed(lambda s: s["profiles"][0].__setitem__("deadline", "x")),
@@ -54,6 +54,6 @@
             1,
         ):
             self.files = text
-            self.play(f"send server HUP\nsend c1 {n} approve-commit\nexpect vm APPLY c1.{n}")
+            self.play(f"send server HUP\nsend c1 {request_id} approve-commit\nexpect vm APPLY c1.{request_id}")
         self.assertIs(self.server.config.settings, before)
         self.play("send h1 GET /v1/metrics\nexpect h1 200 server_cfg_invalid 5")
