--- a/lapishaven/backends/balanced_run.py
+++ b/lapishaven/backends/balanced_run.py
@@ -9,21 +9,21 @@
 
 @dataclass(slots=True, eq=False)
 class BalancedRun:
-    """A run that the core has asked for. Times are seconds of the event loop's clock.
+    """A run that the core has started. Times are seconds on the event loop's clock.
 
     Attributes:
-        attempt_id: its attempt id in the core.
+        attempt_id: the core's attempt id.
         class_name: class of the request.
-        body: of the request.
-        at_most_once: whether the request is not idempotent, so that it must not be sent where it may have run before.
-        started_at: when the core asked for it.
-        deadline: when it fails if no endpoint has answered.
-        connection: to its endpoint, once there is one.
-        endpoint: the endpoint that it was last sent to; empty before.
-        sent_at: when that was.
-        attempt_number: grows with each attempt and at the end, so that late events of earlier attempts are recognized.
-        excluded: endpoints that it was sent to and is not sent to again.
-        cancelled: whether the core no longer wants it.
+        body: body of the request.
+        at_most_once: whether the request is not idempotent, so that it is not retried once it may have run.
+        started_at: when the core started the run.
+        deadline: when the run fails if no endpoint has answered.
+        connection: the connection of the current attempt; None before it is established.
+        endpoint: the endpoint of the latest attempt; empty before the first.
+        sent_at: when the latest attempt began.
+        attempt_number: increased by each attempt and at the end, to recognize late events of earlier attempts.
+        excluded: endpoints of earlier attempts, which are not tried again.
+        cancelled: whether the core has cancelled the run.
     """
 
     attempt_id: str
--- a/lapishaven/backends/endpoint_prober.py
+++ b/lapishaven/backends/endpoint_prober.py
@@ -1,4 +1,4 @@
-"""Sends the load balancer's probes over one UDP socket, and checks when they go unanswered."""
+"""Sends the load balancer's probes over one UDP socket and detects unresponsive endpoints."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
     Parameters:
         addresses: host and port by endpoint.
-        choice_completed: is called with a choice when the last of its probes is answered.
-        endpoint_suspected: is called with the name of each suspected endpoint at each check.
+        choice_completed: called with a choice when the last of its probes is answered.
+        endpoint_suspected: called at each check with the name of each suspected endpoint.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._counters = counters
         self._choice_completed = choice_completed
         self._endpoint_suspected = endpoint_suspected
-        self._check_at = NEVER
+        self._next_check_at = NEVER
         self._datagrams = Datagrams(loop, ANY_ADDRESS, self._receive)
 
     def send(self, probes: Sequence[Probe]) -> None:
@@ -58,18 +58,18 @@
             self._choice_completed(choice)
 
     def schedule_check(self) -> None:
-        """Check when the balancer asks for it; to be called after each probe and attempt."""
-        when = self._balancer.next_check_at()
-        if when < self._check_at:
-            self._check_at = when
-            self._loop.at(when, self._check)
+        """Schedule the balancer's next responsiveness check; to be called after each probe and attempt."""
+        check_at = self._balancer.next_check_at()
+        if check_at < self._next_check_at:
+            self._next_check_at = check_at
+            self._loop.at(check_at, self._check_responsiveness)
 
-    def _check(self) -> None:
-        """Probe endpoints that have not been heard from, and report the suspected ones."""
+    def _check_responsiveness(self) -> None:
+        """Probe endpoints that have not responded lately, and report the suspected ones."""
         now = self._loop.now
-        if now < self._check_at:
+        if now < self._next_check_at:
             return
-        self._check_at = NEVER
+        self._next_check_at = NEVER
         probes, newly_suspected = self._balancer.check_responsiveness(now)
         self.send(probes)
         if newly_suspected:
--- a/lapishaven/backends/load_balanced.py
+++ b/lapishaven/backends/load_balanced.py
@@ -1,8 +1,8 @@
-"""A backend of many endpoints behind the uwsgi protocol: each attempt goes where the ``LoadBalancer`` says.
+"""A backend that balances attempts over several uwsgi endpoints, as the ``LoadBalancer`` chooses.
 
 An attempt that was rejected or could not be sent is retried at another endpoint, within its deadline and the retry
-budget. One that waits on an unresponsive endpoint is retried too if the request is idempotent, else it fails with an
-uncertain outcome. One that failed is not retried. Each attempt has a connection of its own.
+budget. An attempt at an unresponsive endpoint is retried as well if the request is idempotent; otherwise it fails with
+an uncertain outcome. A failed attempt is not retried. Each attempt has its own connection.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 
 
 class LoadBalancedBackend:
-    """A core backend. It cannot pause: to pause a run is to close its connection.
+    """A load-balanced core backend. It cannot pause a run: pausing closes its connection.
 
     Parameters:
         loop: the event loop.
         settings: endpoints and limits.
-        cores: number of cores of all endpoints together, from which their utilization is estimated.
-        deadlines: seconds by class.
-        listener: is notified of results.
+        cores: total number of cores of all endpoints, from which their utilization is estimated.
+        deadlines: in seconds, by class.
+        listener: receives the ends of runs and load samples.
         counters: for operators.
-        random: seeded differently in each server, so that servers with the same view choose differently.
+        random: seeded differently in each server, so that servers with the same load data choose differently.
         dial: opens connections.
     """
 
@@ -64,30 +64,30 @@
         self.set_addresses(settings.addresses)
 
     def run(self) -> Generator[Wait, Any, None]:
-        """There is no connection to hold: the backend is up at once."""
+        """Report that the backend is up immediately, as there is no persistent connection."""
         self.listener.backend_up(False, 0.0)
         return
         yield
 
     def set_addresses(self, addresses: Sequence[tuple[str, int]]) -> None:
-        """Make these the endpoints; what is in flight at others goes on."""
+        """Replace the endpoints; attempts in flight at removed ones continue."""
         self._addresses.update({f"{host}:{port}": (host, port) for host, port in addresses})
         self.balancer.set_endpoints(f"{host}:{port}" for host, port in addresses)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Make this the only endpoint: a reload named one address and no list."""
+        """Make this the only endpoint, for a reload that gives one address instead of a list."""
         self.set_addresses((address,))
 
-    # ---- The core's port
+    # ---- Commands
     def start(self, attempt_id: str, class_name: str, body: bytes, send_once: bool) -> None:
-        """Run a request; ``once``: it is not idempotent."""
+        """Run a request; ``send_once`` if it is not idempotent."""
         now = self.loop.now
         self._dispatcher.dispatch(
             BalancedRun(attempt_id, class_name, body, send_once, now, now + self.deadlines[class_name])
         )
 
     def pause(self, attempt_id: str) -> None:
-        """Cancel a run."""
+        """Cancel a run by closing its connection."""
         run = self._dispatcher.runs.get(attempt_id)
         if run is None:
             return
@@ -96,13 +96,13 @@
             run.connection.close(ConnectionEnd.ABANDONED, unsent=False)
 
     def resume(self, attempt_id: str) -> None:
-        """There is nothing to go on with: the run ended when it was paused."""
+        """End the run as cancelled unless it has ended, as it cannot be continued."""
         run = self._dispatcher.runs.get(attempt_id)
         if run is not None:
             self._dispatcher.finish(run, Outcome.CANCELLED)
 
     def request_load_sample(self) -> None:
-        """Publish what this side can see: each run in flight uses a core of the endpoints."""
+        """Deliver a load sample estimated from the runs in flight, assuming that each uses one core."""
         in_flight = len(self._dispatcher.runs)
         values = {
             "core_use": min(1.0, in_flight / self.cores),
@@ -112,23 +112,23 @@
         self.loop.at(self.loop.now + SAMPLE_DELAY_S, lambda: self.listener.load_sampled(values))
 
     def health_check(self, callback: Callable[[bool], None]) -> None:
-        """Find out whether any endpoint can be reached."""
-        self.loop.spawn(self._dial_any(callback))
+        """Check whether the endpoint that the balancer would choose accepts a connection."""
+        self.loop.spawn(self._check_reachable(callback))
 
-    def _dial_any(self, callback: Callable[[bool], None]) -> Generator[Wait, Any, None]:
+    def _check_reachable(self, callback: Callable[[bool], None]) -> Generator[Wait, Any, None]:
         choice = self.balancer.begin_choice(self.loop.now, first=False)
-        name = self.balancer.finish_choice(self.loop.now, choice)
+        endpoint = self.balancer.finish_choice(self.loop.now, choice)
         sock: Any = ConnectionEnd.UNREACHED
-        if name is not None:
-            sock = yield from self._dial(self.loop, self._addresses[name], DIAL_TIMEOUT_S)
+        if endpoint is not None:
+            sock = yield from self._dial(self.loop, self._addresses[endpoint], DIAL_TIMEOUT_S)
         reached = not isinstance(sock, ConnectionEnd)
         if reached:
             sock.close()
         callback(reached)
 
-    # ---- For operators, and the end
+    # ---- State for operators, and closing
     def state(self) -> dict[str, Any]:
-        """What is known of each endpoint, the candidates of the last choices, and the counts."""
+        """The state of each endpoint, the latest choices with their candidates' costs, and the counts."""
         now = self.loop.now
         balancer = self.balancer
         return {
@@ -141,15 +141,15 @@
                 {
                     "ago_s": round(now - choice.at, 3),
                     "chosen": choice.endpoint,
-                    "costs": {name: round(cost, 4) for name, cost in choice.costs},
+                    "costs": {endpoint: round(cost, 4) for endpoint, cost in choice.costs},
                 }
                 for choice in balancer.selector.recent
             ],
         }
 
     def failed(self) -> None:
-        """There is no connection that could be left behind."""
+        """Do nothing: there is no persistent connection to release."""
 
     def close(self) -> None:
-        """End for good."""
+        """Abort all runs in flight."""
         self._dispatcher.close()
--- a/lapishaven/backends/pending_health_checks.py
+++ b/lapishaven/backends/pending_health_checks.py
@@ -1,4 +1,4 @@
-"""Deep health checks that wait for the interpreter's answer."""
+"""Deep health checks that await the interpreter's answer."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class PendingHealthChecks:
-    """Callbacks by the tag of the question that they wait for.
+    """Callbacks by the tag of the query whose answer they await.
 
-    Checks that come while one is outstanding share its answer, so that a flood of checks is no flood of work.
+    Checks that arrive while a query is outstanding share its answer, so that many checks cause one query.
     """
 
     def __init__(self) -> None:
@@ -16,21 +16,21 @@
 
     @property
     def tags(self) -> list[str]:
-        """The tags of the outstanding questions."""
+        """The tags of the outstanding queries."""
         return list(self._callbacks)
 
     def join(self, callback: Callable[[bool], None]) -> bool:
-        """Have ``callback`` wait for the outstanding question; returns false if there is none."""
+        """Add ``callback`` to the outstanding query; returns false if there is none."""
         for callbacks in self._callbacks.values():
             callbacks.append(callback)
             return True
         return False
 
     def add(self, tag: str, callback: Callable[[bool], None]) -> None:
-        """Have ``callback`` wait for a new question."""
+        """Register ``callback`` for a new query."""
         self._callbacks[tag] = [callback]
 
     def settle(self, tag: str, healthy: bool) -> None:
-        """Call all that wait for a question; does nothing the second time."""
+        """Pass the result to all callbacks of a query; later calls for the same tag do nothing."""
         for callback in self._callbacks.pop(tag, ()):
             callback(healthy)
--- a/lapishaven/backends/run_dispatcher.py
+++ b/lapishaven/backends/run_dispatcher.py
@@ -1,4 +1,4 @@
-"""Takes a run through its attempts: chooses an endpoint, sends the request, and retries it elsewhere if it may."""
+"""Dispatches runs to endpoints: chooses an endpoint, sends the request and retries it elsewhere if allowed."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 from lapishaven.net.loop import Loop, Wait
 from lapishaven.proto import uwsgi as proto
 
-MAX_ATTEMPTS = 4  # of one run, at all endpoints
-MIN_TIME_FOR_RETRY_S = 0.05  # left until a run's deadline; with less it is not retried
-MAX_RETRY_AFTER_S = 60.0  # that an endpoint's answer can ask for; longer ones are cut to it
-# What the balancer is told of an attempt; outcomes that are not listed count as failures.
+MAX_ATTEMPTS = 4  # of one run, over all endpoints
+MIN_TIME_FOR_RETRY_S = 0.05  # a run with less time left until its deadline is not retried
+MAX_RETRY_AFTER_S = 60.0  # longer times in an endpoint's response are cut to this
+# The outcomes reported to the balancer; all others are reported as failures.
 ATTEMPT_OUTCOMES = {
     Outcome.OK: AttemptOutcome.SERVED,
     Outcome.OVERLOADED: AttemptOutcome.REJECTED,
     Outcome.UNREACHABLE: AttemptOutcome.UNREACHABLE,
     Outcome.CANCELLED: AttemptOutcome.ABANDONED,
 }
-NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE)  # outcomes that prove that the attempt did nothing
-Finished = Callable[[str, Outcome, float, bytes], None]  # attempt id, outcome, seconds that it took, result
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.UNREACHABLE)  # outcomes which prove that the attempt had no effect
+FinishedCallback = Callable[[str, Outcome, float, bytes], None]  # attempt id, outcome, elapsed seconds, result
 
 
 class RunDispatcher:
-    """Holds the runs in flight and the attempts of each.
+    """Tracks the runs in flight and makes their attempts.
 
     Parameters:
         balancer: chooses endpoints.
         addresses: host and port by endpoint.
-        settings: path of requests, and limits.
-        finished: is called with the end of each run.
+        settings: request path and limits.
+        finished: called at the end of each run.
         dial: opens connections.
 
     Attributes:
-        runs: in flight, by attempt id.
+        runs: the runs in flight, by attempt id.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         balancer: LoadBalancer,
         addresses: Mapping[str, tuple[str, int]],
         settings: BalancingSettings,
-        finished: Finished,
+        finished: FinishedCallback,
         counters: Counters,
         dial: Dial,
     ) -> None:
@@ -65,14 +65,14 @@
         self._addresses = addresses
         self._finished = finished
         self._dial = dial
-        self._runs_at: dict[str, set[BalancedRun]] = {}  # by the endpoint that has them
-        self._choosing: dict[Choice, BalancedRun] = {}
+        self._runs_by_endpoint: dict[str, set[BalancedRun]] = {}  # the runs with an attempt in flight, by endpoint
+        self._runs_by_choice: dict[Choice, BalancedRun] = {}
         self._prober = EndpointProber(
             loop, balancer, addresses, counters, self._finish_choice, self._handle_unresponsive
         )
 
     def dispatch(self, run: BalancedRun) -> None:
-        """Begin a run."""
+        """Begin a run, or fail it if the limit of concurrent attempts is reached."""
         self.runs[run.attempt_id] = run
         if len(self.runs) > self.settings.attempts:
             self.counters.add("spread", "no descriptor")
@@ -85,74 +85,74 @@
         choice = self.balancer.begin_choice(self.loop.now, run.excluded, first)
         self._prober.send(choice.probes)
         if choice.probes:
-            self._choosing[choice] = run
+            self._runs_by_choice[choice] = run
             self.loop.at(choice.deadline, lambda: self._finish_choice(choice))
         else:
             self._send(run, choice)
         self._prober.schedule_check()
 
     def _finish_choice(self, choice: Choice) -> None:
-        run = self._choosing.pop(choice, None)
+        run = self._runs_by_choice.pop(choice, None)
         if run is not None and self.runs.get(run.attempt_id) is run:
             self._send(run, choice)
 
     def _send(self, run: BalancedRun, choice: Choice) -> None:
         if run.cancelled:
             return self.finish(run, Outcome.CANCELLED)
-        name = self.balancer.finish_choice(self.loop.now, choice)
-        if name is None:
+        endpoint = self.balancer.finish_choice(self.loop.now, choice)
+        if endpoint is None:
             self.counters.add("spread", "nobody to be used")
             return self.finish(run, Outcome.UNREACHABLE)
         run.attempt_number += 1
-        run.endpoint = name
+        run.endpoint = endpoint
         run.sent_at = self.loop.now
-        self._runs_at.setdefault(name, set()).add(run)
-        self.balancer.attempt_started(self.loop.now, name)
+        self._runs_by_endpoint.setdefault(endpoint, set()).add(run)
+        self.balancer.attempt_started(self.loop.now, endpoint)
         self.counters.add("spread", "sent")
-        number = run.attempt_number
-        self.loop.spawn(self._attempt(run, number), lambda error: self._attempt_broke(run, number))
+        attempt_number = run.attempt_number
+        self.loop.spawn(self._attempt(run, attempt_number), lambda error: self._attempt_crashed(run, attempt_number))
         self._prober.schedule_check()
 
     # ---- One attempt
-    def _attempt(self, run: BalancedRun, number: int) -> Generator[Wait, Any, None]:
+    def _attempt(self, run: BalancedRun, attempt_number: int) -> Generator[Wait, Any, None]:
         timeout_s = min(DIAL_TIMEOUT_S, run.deadline - self.loop.now)
         sock = yield from self._dial(self.loop, self._addresses[run.endpoint], timeout_s)
-        if run.attempt_number != number:  # given up meanwhile
+        if run.attempt_number != attempt_number:  # the attempt was abandoned while dialling
             if not isinstance(sock, ConnectionEnd):
                 sock.close()
             return
         if isinstance(sock, ConnectionEnd):
-            # Whether it was refused or timed out, nothing was sent, so it never ran.
-            return self._attempt_ended(run, number, outcome_of(ConnectionEnd.UNREACHED), b"", None)
+            # Refused or timed out: nothing was sent, so the attempt never ran.
+            return self._attempt_ended(run, attempt_number, outcome_of(ConnectionEnd.UNREACHED), b"", None)
         connection = Connection(self.loop, sock, lambda end: self.counters.add("ends", f"uwsgi backend {end.value}"))
         run.connection = connection
         if run.cancelled:
             connection.close(ConnectionEnd.ABANDONED, unsent=False)
-        connection.write(self._request(run, number))
+        connection.write(self._request(run, attempt_number))
         outcome, result, response = yield from read_response(self.loop, connection, run.deadline)
-        self._attempt_ended(run, number, outcome, result, response)
+        self._attempt_ended(run, attempt_number, outcome, result, response)
 
-    def _request(self, run: BalancedRun, number: int) -> bytes:
+    def _request(self, run: BalancedRun, attempt_number: int) -> bytes:
         variables = {
             "REQUEST_METHOD": "POST",
             "PATH_INFO": self.settings.path + run.class_name,
             "HTTP_X_REQUEST_ID": run.attempt_id,
         }
-        if number > 1:
+        if attempt_number > 1:
             variables["HTTP_X_RETRY"] = "1"
         return proto.encode_request(variables, run.body)
 
-    def _attempt_broke(self, run: BalancedRun, number: int) -> None:
-        """An error of this program."""
-        if run.connection is not None and run.attempt_number == number:
+    def _attempt_crashed(self, run: BalancedRun, attempt_number: int) -> None:
+        """The attempt's coroutine has ended by an unexpected exception."""
+        if run.connection is not None and run.attempt_number == attempt_number:
             run.connection.abort(ConnectionEnd.FAULT)
-        self._attempt_ended(run, number, outcome_of(ConnectionEnd.FAULT), b"", None)
+        self._attempt_ended(run, attempt_number, outcome_of(ConnectionEnd.FAULT), b"", None)
 
     def _attempt_ended(
-        self, run: BalancedRun, number: int, outcome: Outcome, result: bytes, response: proto.Response | None
+        self, run: BalancedRun, attempt_number: int, outcome: Outcome, result: bytes, response: proto.Response | None
     ) -> None:
-        if run.attempt_number != number or self.runs.get(run.attempt_id) is not run:
-            return  # given up before
+        if run.attempt_number != attempt_number or self.runs.get(run.attempt_id) is not run:
+            return  # the attempt was abandoned or the run has finished
         now = self.loop.now
         self._release(run, ATTEMPT_OUTCOMES.get(outcome, AttemptOutcome.FAILED), _retry_after_s(response))
         if response is not None:
@@ -163,20 +163,20 @@
             self.finish(run, outcome, result)
 
     def _release(self, run: BalancedRun, outcome: AttemptOutcome, retry_after_s: float = 0.0) -> None:
-        """The run is no longer at its endpoint."""
+        """Detach the run from its endpoint and report the attempt's end to the balancer."""
         run.connection = None
-        self._runs_at[run.endpoint].discard(run)
+        self._runs_by_endpoint[run.endpoint].discard(run)
         self.balancer.attempt_ended(self.loop.now, run.endpoint, run.sent_at, outcome, retry_after_s)
 
     def finish(self, run: BalancedRun, outcome: Outcome, result: bytes = b"") -> None:
-        """The run is over, if it was not before."""
+        """Report the end of a run, once."""
         if self.runs.pop(run.attempt_id, None) is not None:
             run.attempt_number += 1
             self._finished(run.attempt_id, outcome, self.loop.now - run.started_at, result)
 
     # ---- Retries
     def _may_retry(self, run: BalancedRun) -> bool:
-        """Whether the run may go to another endpoint; if so, this has charged the retry budget for it."""
+        """Whether the run may be retried at another endpoint; if so, the retry budget has been charged."""
         now = self.loop.now
         if run.cancelled or run.attempt_number >= MAX_ATTEMPTS or now + MIN_TIME_FOR_RETRY_S > run.deadline:
             return False
@@ -187,11 +187,11 @@
         run.excluded |= {run.endpoint}
         self._begin_choice(run, first=False)
 
-    def _handle_unresponsive(self, name: str) -> None:
-        """Retry what waits on a suspected endpoint if it is idempotent; fail the rest after ``uncertain_after_s``."""
+    def _handle_unresponsive(self, endpoint: str) -> None:
+        """Retry the idempotent runs of a suspected endpoint; fail the others after ``uncertain_after_s``."""
         now = self.loop.now
-        suspected_since = self.balancer.suspected_since(name)
-        for run in sorted(self._runs_at.get(name, ()), key=lambda run: run.sent_at):
+        suspected_since = self.balancer.suspected_since(endpoint)
+        for run in sorted(self._runs_by_endpoint.get(endpoint, ()), key=lambda run: run.sent_at):
             if suspected_since is None or run.cancelled:
                 continue
             if not run.at_most_once:
@@ -204,7 +204,7 @@
                 self.finish(run, Outcome.TIMEOUT)
 
     def _abandon_attempt(self, run: BalancedRun) -> None:
-        """Close the connection: an endpoint that goes on later finds no client, and does not run the request."""
+        """Close the attempt's connection, so that an endpoint that resumes later does not run the request."""
         connection = run.connection
         self._release(run, AttemptOutcome.ABANDONED)
         run.attempt_number += 1
@@ -212,7 +212,7 @@
             connection.close(ConnectionEnd.ABANDONED, unsent=False)
 
     def close(self) -> None:
-        """End all runs for good."""
+        """Abort all runs in flight."""
         for run in list(self.runs.values()):
             if run.connection is not None:
                 run.connection.abort(ConnectionEnd.SHUTDOWN)
@@ -220,7 +220,7 @@
 
 
 def _retry_after_s(response: proto.Response | None) -> float:
-    """Seconds for which the endpoint asks for no requests; the header in milliseconds precedes ``Retry-After``."""
+    """Seconds for which the endpoint asks for no requests; ``X-Pushback-Ms`` takes precedence over ``Retry-After``."""
     if response is None:
         return 0.0
     milliseconds = response.headers.get("x-pushback-ms", "")
--- a/lapishaven/backends/unconfirmed_commands.py
+++ b/lapishaven/backends/unconfirmed_commands.py
@@ -1,70 +1,73 @@
-"""Commands on the interpreter's link of which it is not proven that the interpreter read them."""
+"""Tracks commands sent to the interpreter that it is not yet proven to have read."""
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass
 
-LOSS_WINDOW_S = 0.1  # before a break; a command written in it counts as uncertain even if a later one was answered
+# A command written this shortly before a break counts as uncertain even if a later query was answered.
+LOSS_WINDOW_S = 0.1
 
 
 @dataclass(slots=True)
 class Command:
-    """A command about a run."""
+    """A command to the interpreter about one attempt."""
 
-    attempt_id: str  # the attempt id
-    data: bytes  # the line as it is sent
-    starts: bool = False  # whether it starts the run
-    once: bool = False  # whether it starts what must not be started twice, or probes whether that runs
-    end: int = 0  # where it ends, in bytes written on its link
-    at: float = 0.0  # when it was written, in seconds on the loop's clock
+    attempt_id: str
+    data: bytes  # as encoded on the wire
+    starts_run: bool = False  # whether it starts the run
+    at_most_once: bool = False  # whether it starts, or pauses as a probe, a run that must not be started twice
+    end_offset: int = 0  # offset of its end in the bytes written on the link
+    written_at: float = 0.0  # loop time of the write
 
 
 @dataclass(frozen=True, slots=True)
 class UnconfirmedAtEnd:
-    """What became of the unconfirmed commands of a link that ended."""
+    """The unconfirmed commands of a link that ended."""
 
-    unsent: list[Command]  # not every byte was taken by the kernel, so they never ran
-    uncertain: list[Command]  # they may have been read, or lost
+    unsent: list[Command]  # the kernel did not accept all their bytes, so they cannot have been executed
+    uncertain: list[Command]  # may have been read by the interpreter, or lost
 
 
 class UnconfirmedCommands:
-    """The commands on one link, in their order; answers to questions prove that what was sent before was read."""
+    """The commands on one link, in order; the answer to a query proves that all sent before it was read."""
 
     def __init__(self) -> None:
         self._commands: deque[Command] = deque()
-        self._question_ends: dict[str, int] = {}  # by tag, where the question ends, in bytes written on the link
-        self._written = 0  # bytes written on the link
-        self._proven = 0  # bytes of them that were proven to be read
+        self._query_end_offsets: dict[str, int] = {}  # offset of each query's end, by tag
+        self._written_bytes = 0  # bytes written on the link
+        self._confirmed_bytes = 0  # how many of them the interpreter is proven to have read
 
     def add(self, now: float, command: Command) -> None:
-        """Note a command that is written now."""
-        self._written += len(command.data)
-        command.end = self._written
-        command.at = now
+        """Record a command that is written now."""
+        self._written_bytes += len(command.data)
+        command.end_offset = self._written_bytes
+        command.written_at = now
         self._commands.append(command)
 
-    def add_question(self, tag: str, size: int) -> None:
-        """Note a question of ``size`` bytes, whose answer proves that all before it was read."""
-        self._written += size
-        self._question_ends[tag] = self._written
+    def add_query(self, tag: str, size: int) -> None:
+        """Record a query of ``size`` bytes that is written now."""
+        self._written_bytes += size
+        self._query_end_offsets[tag] = self._written_bytes
 
     def answered(self, now: float, tag: str) -> None:
-        """A question was answered: drop the commands that this confirms, except those within ``LOSS_WINDOW_S``."""
-        self._proven = max(self._proven, self._question_ends.get(tag, 0))
-        self._question_ends = {tag: end for tag, end in self._question_ends.items() if end > self._proven}
+        """Handle the answer to a query: drop the commands it confirms, except those within ``LOSS_WINDOW_S``."""
+        self._confirmed_bytes = max(self._confirmed_bytes, self._query_end_offsets.get(tag, 0))
+        self._query_end_offsets = {
+            tag: offset for tag, offset in self._query_end_offsets.items() if offset > self._confirmed_bytes
+        }
         while self._commands and self._is_confirmed(now, self._commands[0]):
             self._commands.popleft()
 
     def _is_confirmed(self, now: float, command: Command) -> bool:
-        return command.end <= self._proven and command.at < now - LOSS_WINDOW_S
+        return command.end_offset <= self._confirmed_bytes and command.written_at < now - LOSS_WINDOW_S
 
-    def settle(self, sent: int) -> UnconfirmedAtEnd:
-        """The link has ended after the kernel took ``sent`` bytes: what is unconfirmed; then start over empty."""
-        unsent = [command for command in self._commands if command.end > sent]
-        uncertain = [command for command in self._commands if command.end <= sent]
+    def take_unconfirmed(self, sent_bytes: int) -> UnconfirmedAtEnd:
+        """Return the unconfirmed commands of a link that ended after ``sent_bytes``, and reset for the next link."""
+        unsent = [command for command in self._commands if command.end_offset > sent_bytes]
+        uncertain = [command for command in self._commands if command.end_offset <= sent_bytes]
         self._commands.clear()
-        self._question_ends.clear()
-        self._written = 0
-        self._proven = 0
+        self._query_end_offsets.clear()
+        self._written_bytes = 0
+        self._confirmed_bytes = 0
         return UnconfirmedAtEnd(unsent, uncertain)
--- a/lapishaven/frontends/__init__.py
+++ b/lapishaven/frontends/__init__.py
@@ -1,4 +1,4 @@
-"""Frontends: each maps one protocol to the core's requests, and the core's answers back to that protocol."""
+"""Frontends: each maps one protocol to the core's requests, and the core's answers back to the protocol."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from lapishaven.net.connection import Connection
 from lapishaven.net.loop import Loop, Wait
 
-MAX_CLOCK_DIFFERENCE_S = 60.0  # of a stated time from this host's clock, far beyond any deadline; beyond it, malformed
+MAX_CLOCK_DIFFERENCE_S = 60.0  # a stated time further from this host's clock is malformed; far above any deadline
 
 
-def age(now: float, stated: float | None) -> float | None:
-    """Seconds since the time that a request states; 0 if it states none, ``None`` if that time is out of range.
+def age(now: float, stated_at: float | None) -> float | None:
+    """Seconds since the time stated in a request; 0 if it states none, ``None`` if the time is out of range.
 
-    The bound protects the controller's measure of how late requests are read: a request that stated a time in 1970
-    would make it look as if everything waited past its latency objective, and the server would be taken off the
-    endpoint list. A clock that is a little ahead gives a negative age, which the core counts as 0.
+    The bound protects the controller's measurement of how late requests are read: a request that states a time in 1970
+    would make all requests appear to have waited past their latency objective, and the server would be removed from
+    the endpoint list. A peer's clock that is slightly ahead gives a negative age, which the core counts as 0.
     """
-    span = now - stated if stated is not None else 0.0
+    span = now - stated_at if stated_at is not None else 0.0
     return span if abs(span) <= MAX_CLOCK_DIFFERENCE_S else None
 
 
@@ -30,49 +30,49 @@
 
     conn: Connection
     awaiting_since: float | None
-    """When the wait for the rest of a message began, on the loop's clock; ``None`` while no message is incomplete.
+    """Loop time since which an incomplete message is awaited; ``None`` while no message is incomplete.
 
-    For the first message the wait begins with the connection.
+    For the first message this is the time of the accept.
     """
 
     @property
     def busy(self) -> bool:
-        """Whether something that was read is still to be processed or answered."""
+        """Whether input that was read is still to be processed or answered."""
 
     def run(self) -> Generator[Wait, Any, None]:
         """Read and serve until the input ends."""
 
     def drain(self) -> None:
-        """Tell the peer that nothing new is to be sent here, where its protocol has a message for that."""
+        """Tell the peer to send no new requests here, if the protocol has a message for that."""
 
     def close_gracefully(self, end: ConnectionEnd) -> None:
-        """Process nothing more, and close once all that is open is answered."""
+        """Process no further input, and close once all open requests are answered."""
 
 
 class Host(Protocol):
-    """What a frontend needs of the server around it."""
+    """The server as a frontend uses it."""
 
     loop: Loop
     counters: Counters
 
     @property
     def broker(self) -> Broker | None:
-        """The core; ``None`` until the backend is up."""
+        """The broker; ``None`` until the backend is up."""
 
     @property
     def classes(self) -> dict[str, int]:
-        """The classes that callers may name, by name their places in the settings."""
+        """Indexes of the classes that callers may use in the settings, by class name."""
 
     @property
     def tenants(self) -> dict[str, int]:
-        """The tenants, by name their places in the settings."""
+        """Indexes of the tenants in the settings, by tenant name."""
 
     @property
     def draining(self) -> bool:
-        """Whether the notice to shut down has come."""
+        """Whether the shutdown notice has been received."""
 
     def health_check(self, deep: bool, callback: Callable[[bool], None]) -> None:
-        """Answer a health check through ``callback``, at once or later; a deep one asks the backend too."""
+        """Answer a health check through ``callback``, now or later; a deep one also checks the backend."""
 
     def connection_ended(self, session: Session, end: ConnectionEnd) -> None:
-        """The session's connection has ended and its descriptor is free."""
+        """Handle the end of a session's connection, whose descriptor is released."""
--- a/lapishaven/frontends/load_endpoint.py
+++ b/lapishaven/frontends/load_endpoint.py
@@ -1,7 +1,7 @@
-"""Publishes this server's load: a report with each response, and one for each probe that comes as a datagram.
+"""Publishes this server's load: a report in each response, and one in answer to each UDP probe.
 
-Off by default (``front.load``). A probe takes a datagram each way and no descriptor, and is answered in the round of
-the event loop in which it is read, whatever the cores do: no answer means that the process does not run.
+Off by default (``front.load``). A probe takes one datagram each way and no descriptor. It is answered in the round of
+the event loop that reads it, however busy the cores are, so a missing answer means that the process does not run.
 """
 
 from __future__ import annotations
@@ -20,17 +20,18 @@
 from lapishaven.proto import ProtocolError
 from lapishaven.proto import load as load_protocol
 
-FAILURES = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.UNREACHABLE)  # outcomes reported as failed runs
+# Reported as failed runs.
+FAILED_OUTCOMES = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.UNREACHABLE)
 
 
 class LoadEndpoint:
-    """Answers probes, and renders the load report for the header of a response.
+    """Answers probes and renders the load report for response headers.
 
     Parameters:
-        address: host and port for probes.
-        random: draws the incarnation.
-        slots: requests that this server works on at one time.
-        broker: returns ``None`` until the server is up; until then the report asks for no requests.
+        address: host and port on which probes are received.
+        random: source of the incarnation number.
+        slots: number of requests that this server runs concurrently.
+        broker: returns ``None`` until the backend is up; until then the report asks for no requests.
     """
 
     def __init__(
@@ -51,11 +52,11 @@
         self._datagrams = Datagrams(loop, address, self._answer_probe)
 
     def start_reporting(self, initial_share: float, slow_start_s: float) -> None:
-        """The server is up: it asks for ``initial_share`` at first, and for its full share after ``slow_start_s``."""
+        """Report load from now on; the share asked for grows from ``initial_share`` to 1 within ``slow_start_s``."""
         self.reporter = LoadReporter(self._incarnation, self._slots, self._loop.now, initial_share, slow_start_s)
 
     def header_value(self) -> str:
-        """The present report, for the header of a response."""
+        """The current report in text form, for a response header."""
         return encode_text(self._report())
 
     def _report(self) -> LoadReport:
@@ -74,16 +75,16 @@
         self._counters.add("load", "questions")
         self._datagrams.send(load_protocol.encode_answer(probe_id, encode(self._report())), sender)
 
-    def run_started(self, handle: str, class_index: int) -> None:
-        """A run of the class began."""
-        self.reporter.run_started(self._loop.now, handle, class_index)
+    def run_started(self, attempt_id: str, class_index: int) -> None:
+        """Record the start of a run."""
+        self.reporter.run_started(self._loop.now, attempt_id, class_index)
 
-    def run_ended(self, handle: str, outcome: Outcome) -> None:
-        """A run ended."""
-        self.reporter.run_ended(self._loop.now, handle, outcome is Outcome.OK, outcome in FAILURES)
+    def run_ended(self, attempt_id: str, outcome: Outcome) -> None:
+        """Record the end of a run."""
+        self.reporter.run_ended(self._loop.now, attempt_id, outcome is Outcome.OK, outcome in FAILED_OUTCOMES)
 
     def drain(self) -> None:
-        """Ask for no more requests."""
+        """Report that this server takes no new requests."""
         self.reporter.draining = True
 
     def close(self) -> None:
--- a/lapishaven/frontends/platform.py
+++ b/lapishaven/frontends/platform.py
@@ -1,4 +1,4 @@
-"""The platform's frontend: callers' JSON-RPC lines to core requests, and answers back."""
+"""The platform frontend: maps callers' JSON-RPC lines to core requests, and answers back."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
 from lapishaven.net.loop import Wait
 from lapishaven.proto import TooLargeError, jsonrpc
 
-MAX_OPEN_REQUESTS = 64  # on one connection, above which more are an error; the protocol allows 32
-BODY_DIGEST_BYTES = 16  # the chance that two bodies with one key have one digest is 2^-128
-MESSAGES_PER_ROUND = 16  # of one connection, so that a flood on one does not delay the others
+MAX_OPEN_REQUESTS = 64  # on one connection; more are answered with an error; the protocol allows 32
+BODY_DIGEST_BYTES = 16  # two different bodies with the same key collide with a probability of 2^-128
+MESSAGES_PER_ROUND = 16  # processed for one connection, so that a flood on one does not delay the others
 NOT_UP_RETRY_AFTER_S = 1.0  # Retry-After until the backend is up
 
 
 class Session:
     """One caller's connection.
 
-    The end of a caller's input is not the end of the caller: what is open is still answered. See
+    A caller that half-closes its connection still gets the answers to its open requests. See
     ``docs/design/closing.md``.
     """
 
     def __init__(self, host: Host, sock: socket.socket) -> None:
         self.host = host
         self.conn = Connection(host.loop, sock, self._ended)
-        self.open: dict[int, Request | None] = {}  # by the id on this connection; None: a check, or not entered yet
-        self.awaiting_since: float | None = host.loop.now  # when the rest of a message began to be awaited
-        self._ids_by_call: dict[str, int] = {}  # ids on this connection by the caller's name of the attempt
-        self._feeding = False  # whether messages that were read are still to be processed
-        self._closing_as: ConnectionEnd | None = None  # how it ends once nothing is open
+        self.open: dict[int, Request | None] = {}  # by JSON-RPC id; None: a health check, or not held by the core
+        self.awaiting_since: float | None = host.loop.now  # loop time since which an incomplete message is awaited
+        self._ids_by_attempt: dict[str, int] = {}  # JSON-RPC ids by the caller's attempt id
+        self._feeding = False  # whether messages that were read are still being processed
+        self._closing_as: ConnectionEnd | None = None  # the end to close with once no request is open
         if host.draining:
             self.conn.write(jsonrpc.DRAINING_NOTICE)
 
     @property
     def busy(self) -> bool:
-        """Whether something that was read is still to be processed or answered."""
+        """Whether input that was read is still to be processed or answered."""
         return bool(self.open) or self._feeding
 
     # ---- Input
@@ -57,13 +57,13 @@
                 return
             if not (yield from self._feed(parser, data or b"")):
                 return
-            self._note_partial_message(parser)
+            self._update_awaiting_since(parser)
             if self._closing_as is not None:
                 self.close_gracefully(self._closing_as)
                 return
 
     def _feed(self, parser: jsonrpc.ServerParser, data: bytes) -> Generator[Wait, Any, bool]:
-        """Process the messages that some bytes complete; returns false if the connection ended before one of them."""
+        """Process the messages that ``data`` completes; returns false if the connection ended before one of them."""
         self._feeding = True
         try:
             for count, message in enumerate(parser.feed(data), 1):
@@ -79,18 +79,18 @@
             self._feeding = False
         return True
 
-    def _note_partial_message(self, parser: jsonrpc.ServerParser) -> None:
-        """Note since when the rest of a message is awaited."""
+    def _update_awaiting_since(self, parser: jsonrpc.ServerParser) -> None:
+        """Update the time since which an incomplete message is awaited."""
         if parser.at_message_boundary:
             self.awaiting_since = None
         elif self.awaiting_since is None:
             self.awaiting_since = self.host.loop.now
 
     def _input_ended(self, end: ConnectionEnd) -> None:
-        """The peer sends no more; it may still wait for its answers, or have gone.
+        """Handle the end of the peer's input: a half-close, whose peer awaits its answers, or a full close.
 
-        If it has gone, what is written comes back as a reset. So it is told at once what holds anyhow: nothing more is
-        to be sent on this connection.
+        Writing shows which one it is, as a peer that has closed fully answers with a reset. The draining notice is
+        written for that: no further request is possible on this connection anyway.
         """
         if self.open and end is ConnectionEnd.PEER_CLOSED:
             self.host.counters.add("platform", "half-closed with requests open")
@@ -124,7 +124,7 @@
             self.conn.write(jsonrpc.encode_error(message.id, jsonrpc.NO_METHOD, "no such class"))
             return
         if len(self.open) >= MAX_OPEN_REQUESTS:
-            # The connection is still read, as what comes next may cancel some of them.
+            # Keep reading the connection: the next messages may cancel open requests.
             self.host.counters.add("platform", "too many open")
             self.conn.write(jsonrpc.encode_error(message.id, jsonrpc.INVALID_REQUEST, "too many open requests"))
             return
@@ -139,7 +139,8 @@
             self.conn.write(jsonrpc.encode_error(message.id, jsonrpc.REJECTED_CODE, "not up yet", NOT_UP_RETRY_AFTER_S))
             return
         self.open[message.id] = None
-        self._ids_by_call.setdefault(message.attempt_id, message.id)  # the core fails the second of two with one name
+        # The first request keeps the entry: the core fails a second one with the same attempt id.
+        self._ids_by_attempt.setdefault(message.attempt_id, message.id)
         submission = self._submission(message, class_index, request_age)
         request = broker.submit(self.host.loop.now, submission, lambda answer: self._answer(message, answer))
         if request is not None:
@@ -167,9 +168,9 @@
         )
 
     def _cancel_named(self, message: jsonrpc.CancelRequest) -> None:
-        """Cancel the request that a message names by its attempt, or else by its id on this connection."""
+        """Cancel the request that a message names by its attempt id, or else by its JSON-RPC id."""
         by_id = message.id if message.attempt_id is None else None
-        request_id = self._ids_by_call.get(message.attempt_id or "", by_id)
+        request_id = self._ids_by_attempt.get(message.attempt_id or "", by_id)
         self.host.counters.add("platform", "forget")
         if request_id is not None and request_id in self.open:
             self._cancel(request_id)
@@ -179,13 +180,13 @@
     def _cancel(self, request_id: int) -> None:
         request = self.open.pop(request_id)
         if request is not None and self.host.broker is not None:
-            self._ids_by_call.pop(request.submission.attempt_id, None)
+            self._ids_by_attempt.pop(request.submission.attempt_id, None)
             self.host.broker.cancel(request)
 
     # ---- Output
     def _answer(self, message: jsonrpc.RunRequest, answer: Answer) -> None:
-        if self._ids_by_call.get(message.attempt_id) == message.id:
-            del self._ids_by_call[message.attempt_id]
+        if self._ids_by_attempt.get(message.attempt_id) == message.id:
+            del self._ids_by_attempt[message.attempt_id]
         if answer.kind is AnswerKind.SERVED:
             line = jsonrpc.encode_result(message.id, answer.body)
         elif answer.kind is AnswerKind.REJECTED:
@@ -201,28 +202,28 @@
         if request_id in self.open:
             del self.open[request_id]
             self.conn.write(line)
-            self._close_if_done()
+            self._close_if_answered()
 
-    # ---- The end
+    # ---- Closing
     def drain(self) -> None:
-        """Tell the caller that nothing new is to be sent here."""
+        """Tell the caller to send no new requests here."""
         self.conn.write(jsonrpc.DRAINING_NOTICE)
 
     def close_gracefully(self, end: ConnectionEnd) -> None:
-        """Process nothing more, and close once all that is open is answered."""
+        """Process no further input, and close once all open requests are answered."""
         self._closing_as = end
         if self._feeding:
-            return  # what was read is processed first
+            return  # input that was read is processed first
         self.conn.discard()
         if not self.open:
             self.conn.close(end)
 
-    def _close_if_done(self) -> None:
+    def _close_if_answered(self) -> None:
         if self._closing_as is not None and not self.open and not self._feeding:
             self.conn.close(self._closing_as)
 
     def _ended(self, end: ConnectionEnd) -> None:
-        """The connection is gone, and with it the caller of all that is open."""
+        """Handle the end of the connection: nobody waits for the open requests, so cancel them."""
         for request_id in list(self.open):
             self._cancel(request_id)
         self.host.connection_ended(self, end)
--- a/lapishaven/server/__init__.py
+++ b/lapishaven/server/__init__.py
@@ -1,4 +1,4 @@
-"""The match server: its parts put together, from start to the end of a graceful shutdown."""
+"""The match server: assembles its components and runs them until a graceful shutdown is complete."""
 
 from lapishaven.server.server import Server, ServerOptions
 
--- a/lapishaven/server/assembly.py
+++ b/lapishaven/server/assembly.py
@@ -1,4 +1,4 @@
-"""Builds the server's descriptor budget, its backends and its load endpoint from the files."""
+"""Builds the server's descriptor budget, backends and load endpoint from the configuration files."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
     from lapishaven.backends.load_balanced import LoadBalancedBackend
     from lapishaven.frontends.load_endpoint import LoadEndpoint
 
-UWSGI = "uwsgi"  # name of the route to the uwsgi backend, or to the processes that it is balanced over
-INTERPRETER = "interpreter"  # name of the route to the interpreter
+UWSGI = "uwsgi"  # route name of the uwsgi backend, single or load-balanced
+INTERPRETER = "interpreter"  # route name of the interpreter backend
 
-RESERVED_DESCRIPTORS = 32  # for the program itself: streams, epoll, listeners, links and connections being closed
-UWSGI_ATTEMPT_DESCRIPTORS = 64  # for attempts of the uwsgi backend, where there is one
-RESERVE_PART = 4  # divisor of all descriptors that gives the largest reserve
-RESERVE_PART_LOAD_BALANCED = 2  # likewise, where attempts are balanced over processes
+RESERVED_DESCRIPTORS = 32  # standard streams, epoll, listeners, backend and catalog links, connections being closed
+UWSGI_ATTEMPT_DESCRIPTORS = 64  # for concurrent attempts of a uwsgi backend that is not load-balanced
+RESERVE_DIVISOR = 4  # the reserve is at most this fraction (1/4) of all descriptors
+LOAD_BALANCED_RESERVE_DIVISOR = 2  # the same limit (1/2) with a load-balanced backend
 
 
 @dataclass(frozen=True, slots=True)
 class Backends:
     """The backends of one server."""
 
-    by_name: dict[str, BackendDriver]  # by the names that contracts route to, the primary one first
-    load_balanced: LoadBalancedBackend | None  # the uwsgi backend, where it is balanced over processes
+    by_name: dict[str, BackendDriver]  # by route name, the primary backend first
+    load_balanced: LoadBalancedBackend | None  # the uwsgi backend if it is load-balanced, else None
 
     @property
     def primary(self) -> BackendDriver:
-        """The one that runs what no contract routes elsewhere, and whose gauges the controller sees."""
+        """The backend of requests without a contract route; its load samples go to the admission controller."""
         return next(iter(self.by_name.values()))
 
 
 def descriptor_budget(files: ConfigFiles) -> DescriptorBudget:
-    """The descriptors for callers' connections: the configured number without the program's own reserve."""
+    """The descriptors for callers' connections: the configured number minus the reserve of the process."""
     if files.spread is not None:
         attempts = files.spread.attempts
     elif files.backend is not None:
@@ -56,15 +56,15 @@
         attempts = 0
     admin_connections = MAX_ADMIN_CONNECTIONS if files.config.control else 0
     reserve = RESERVED_DESCRIPTORS + attempts + admin_connections
-    part = RESERVE_PART_LOAD_BALANCED if files.spread is not None else RESERVE_PART
+    divisor = LOAD_BALANCED_RESERVE_DIVISOR if files.spread is not None else RESERVE_DIVISOR
     descriptors = files.config.descriptors
-    return DescriptorBudget(descriptors, min(reserve, descriptors // part))
+    return DescriptorBudget(descriptors, min(reserve, descriptors // divisor))
 
 
 def build_backends(
     files: ConfigFiles, loop: Loop, listener: BackendListener, counters: Counters, dial: Dial
 ) -> Backends:
-    """The backends that the files name, and the interpreter where there is no other or a contract routes to it."""
+    """Build the configured backends, and the interpreter if there is no other or a contract routes to it."""
     config = files.config
     by_name: dict[str, BackendDriver] = {}
     load_balanced: LoadBalancedBackend | None = None
@@ -96,7 +96,8 @@
     assert files.spread is not None
     config = files.config
     deadlines = {spec.name: spec.deadline for spec in config.settings.classes}
-    # Servers with the same configuration must choose differently, or all would pick the same endpoint at once.
+    # The seed includes the process id and the time: servers that share a configuration and a random sequence would
+    # all choose the same endpoint at the same moment.
     random = Random(f"{config.seed}/{config.name}/{os.getpid()}/{time.time()}")
     return LoadBalancedBackend(loop, files.spread, config.settings.cores, deadlines, listener, counters, random, dial)
 
@@ -104,7 +105,9 @@
 def build_load_endpoint(
     files: ConfigFiles, loop: Loop, broker: Callable[[], Broker | None], counters: Counters
 ) -> LoadEndpoint | None:
-    """The endpoint that publishes this server's load, if the uwsgi frontend is to have one. Raises ``OSError``."""
+    """Build the load endpoint if the uwsgi frontend has load reports enabled.
+
+    Raises ``OSError`` if its address cannot be bound."""
     if files.front is None or not files.front.load_reports:
         return None
     from lapishaven.frontends.load_endpoint import LoadEndpoint
--- a/lapishaven/server/attempt_reporting.py
+++ b/lapishaven/server/attempt_reporting.py
@@ -1,4 +1,4 @@
-"""Reports starts and answers to the parts of the server that record or count them."""
+"""Forwards run starts and answers to the components that record or count them."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class AttemptEvent(Enum):
-    """What is recorded of an attempt; the values are stored."""
+    """An event in the attempt log; the values are stored."""
 
     STARTED = "started"
-    NOT_RUN = "unrun"  # it was started, and provably did nothing
+    NOT_RUN = "unrun"  # started, but proven to have had no effect
     ANSWERED = "answered"
 
 
 class AttemptReporting:
-    """The core's attempt recorder: notifies the fleet member, the load endpoint and the attempt log, if configured."""
+    """The core's attempt recorder: notifies the fleet member, the load endpoint and the attempt log."""
 
     def __init__(
         self,
@@ -40,17 +40,17 @@
         self._attempt_log = attempt_log
 
     def run_started(self, submission: Submission) -> None:
-        """Its run is about to be handed to the backend."""
+        """Record that the run is about to be handed to the backend."""
         if self._load_endpoint is not None:
             self._load_endpoint.run_started(submission.attempt_id, submission.class_index)
         self._log(AttemptEvent.STARTED, submission, "")
 
     def run_disproved(self, submission: Submission, outcome: Outcome) -> None:
-        """The run that was started provably did nothing."""
+        """Record that a started run is proven to have had no effect."""
         self._log(AttemptEvent.NOT_RUN, submission, OUTCOME_LABELS[outcome])
 
     def answered(self, submission: Submission, kind: AnswerKind) -> None:
-        """It gets its answer."""
+        """Record that the request is answered."""
         if self._fleet is not None:
             self._notify_fleet(self._fleet, submission, kind)
         self._log(AttemptEvent.ANSWERED, submission, kind.value)
--- a/lapishaven/server/broker_host.py
+++ b/lapishaven/server/broker_host.py
@@ -1,4 +1,4 @@
-"""Builds the broker once the backend is up, and passes the backend's reports on to it."""
+"""Builds the broker once a backend is up, and forwards the backends' events to it."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 
 class BrokerHost:
-    """The listener of the backends. ``broker`` is ``None`` until the primary backend reports that it is up.
+    """Listens to the backends; ``broker`` is ``None`` until the first backend reports that it is up.
 
-    ``connect`` comes before the loop runs.
+    ``connect`` must be called before the loop runs.
     """
 
     def __init__(
@@ -40,9 +40,9 @@
         attempt_log: AttemptLog | None,
         result_store: DurableResultStore | None,
     ) -> None:
-        """``listener`` receives what the controller decides apart from answers."""
+        """``listener`` receives the controller's decisions that are not answers: health, idle timeout and remarks."""
         self.broker: Broker | None = None
-        self.pools: Pools | None = None  # None without pools, and before the backend is up
+        self.pools: Pools | None = None  # None if pools are not configured or the backend is not up yet
         self.result_store = result_store
         self._loop = loop
         self._running = running
@@ -58,20 +58,20 @@
         load_endpoint: LoadEndpoint | None,
         started: Callable[[], None],
     ) -> None:
-        """Set the backends, who records attempts, and the load endpoint; ``started`` is called with the broker up."""
+        """Set the collaborators that are built later; ``started`` is called once the broker exists."""
         self._backends = backends
         self._recorder = recorder
         self._load_endpoint = load_endpoint
         self._started = started
 
-    # ---- What the backends report
+    # ---- Backend events
     def backend_up(self, cold: bool, up_for: float) -> None:
-        """The backend has been up for ``up_for`` seconds, and is slow at first if it is ``cold``."""
+        """Build the broker, once; the backend has been up for ``up_for`` seconds and is slow at first if ``cold``."""
         if self.broker is not None:
             return
         settings = replace(self._running.config.settings, slow_start=cold)
         self.broker = self._build_broker(settings)
-        self._remember_runs(self.broker)
+        self._restore_started_effects(self.broker)
         self._started()
         if self._load_endpoint is not None:
             initial_share = settings.slow_start_initial_speed if cold else 1.0
@@ -79,14 +79,14 @@
             self._load_endpoint.start_reporting(initial_share, remaining_span)
 
     def run_finished(self, attempt_id: str, outcome: Outcome, elapsed: float, result: bytes) -> None:
-        """A run ended after ``spent`` seconds."""
+        """Forward the end of a run that took ``elapsed`` seconds."""
         if self._load_endpoint is not None:
             self._load_endpoint.run_ended(attempt_id, outcome)
         if self.broker is not None:
             self.broker.run_finished(attempt_id, outcome, elapsed, result)
 
     def load_sampled(self, gauges: dict[str, float]) -> None:
-        """The gauges by name that were requested."""
+        """Forward a load sample: gauge values by name."""
         if self.broker is not None:
             self.broker.load_sampled(gauges)
 
@@ -116,8 +116,8 @@
         self.pools = Pools(self._running.pools, settings, self._loop.now)
         return self.pools
 
-    def _remember_runs(self, broker: Broker) -> None:
-        """Have no effect started again that an earlier process started, or may have."""
+    def _restore_started_effects(self, broker: Broker) -> None:
+        """Keep the broker from repeating effects that an earlier process started or may have started."""
         started: list[tuple[str, str, float]] = []
         if self._attempt_log is not None:
             started += self._attempt_log.started(EFFECT_RETENTION_S)
--- a/lapishaven/server/catalog_reporter.py
+++ b/lapishaven/server/catalog_reporter.py
@@ -1,4 +1,4 @@
-"""Reports health to the service registry: periodically, at once on a change, and again after a failure."""
+"""Reports health to the service registry: periodically, immediately on a change, and again after a failure."""
 
 from __future__ import annotations
 
@@ -12,51 +12,51 @@
 from lapishaven.proto import ProtocolError
 from lapishaven.proto import catalog as proto
 
-REPORT_INTERVAL_S = 0.8  # an entry lapses after 3 s, so two reports may be lost
-RESPONSE_TIMEOUT_S = 0.6  # for a connection, and for one report's response
-RETRY_DELAY_S = 0.1  # after a report that failed
-NO_CONTENT = 204  # status of a report that was accepted
+REPORT_INTERVAL_S = 0.8  # an entry expires after 3 s, so two consecutive reports may be lost
+RESPONSE_TIMEOUT_S = 0.6  # for dialling, and again for the response to a report
+RETRY_DELAY_S = 0.1  # after a failed report
+NO_CONTENT = 204  # HTTP status of an accepted report
 
 
 class CatalogReporter:
-    """Holds one connection to the registry and reports on it, once ``set_passing`` has said what."""
+    """Reports over one persistent connection to the registry, once ``set_passing`` has been called."""
 
     def __init__(
         self, loop: Loop, address: tuple[str, int], name: str, counters: Counters, dial: Dial = connect
     ) -> None:
-        """``name`` is this server's name in the registry."""
+        """``name`` is this server's entry in the registry."""
         self.address = address
-        self.passing: bool | None = None  # what is reported; None until that is known
+        self.passing: bool | None = None  # the status to report; None before the first set_passing
         self._loop = loop
         self._name = name
         self._counters = counters
         self._dial = dial
-        self._report_pause: Wait | None = None  # the wait between two reports
+        self._report_wait: Wait | None = None  # the wait before the next report, while it lasts
         self._conn: Connection | None = None
         self._http: proto.ReportClient | None = None
         self._awaits_response = False
         self._stopped = False
 
     def set_passing(self, passing: bool) -> None:
-        """Report this from now on, at once if it is a change."""
+        """Set the status to report; a change is reported immediately."""
         if passing == self.passing:
             return
         self.passing = passing
-        if self._report_pause is not None:
-            self._report_pause.wake()
+        if self._report_wait is not None:
+            self._report_wait.wake()
         elif self._conn is not None and self._awaits_response:
-            # The response that is awaited may never come, and callers rely on the old report meanwhile.
+            # Do not wait for the outstanding response, which may never come while callers act on the old status.
             self._conn.close(ConnectionEnd.ABANDONED)
 
     def move(self, address: tuple[str, int]) -> None:
-        """The registry is at this address from now on; the next report is sent there at once."""
+        """Switch to a new registry address and report there immediately."""
         if address == self.address:
             return
         self.address = address
         if self._conn is not None:
             self._conn.close(ConnectionEnd.MOVED)
-        if self._report_pause is not None:
-            self._report_pause.wake()
+        if self._report_wait is not None:
+            self._report_wait.wake()
 
     def run(self) -> Generator[Wait, Any, None]:
         """Report until ``close``."""
@@ -65,8 +65,8 @@
             address = self.address
             reported: bool | None = None
             if self.passing is not None:
-                succeeded = yield from self._connected()
-                # It may have changed, or the server may have ended, while the connection was dialled.
+                succeeded = yield from self._ensure_connected()
+                # The status may have changed, or close() been called, while the connection was dialled.
                 reported = self.passing
                 if self._stopped:
                     return
@@ -74,18 +74,18 @@
                     succeeded = yield from self._report(reported is True)
                 self._counters.add("catalog", "reports" if succeeded else "failed reports")
             if (self.passing, self.address) == (reported, address) and not self._stopped:
-                self._report_pause = Wait(REPORT_INTERVAL_S if succeeded else RETRY_DELAY_S)
-                yield self._report_pause
-                self._report_pause = None
+                self._report_wait = Wait(REPORT_INTERVAL_S if succeeded else RETRY_DELAY_S)
+                yield self._report_wait
+                self._report_wait = None
 
     def _has_usable_connection(self) -> bool:
-        """Whether a report can be sent on the connection, which the registry may have closed since the last one."""
+        """Whether a report can be sent on the current connection; the registry may have closed it meanwhile."""
         if self._conn is None or self._conn.closing is not None or self._conn.peer_has_closed():
             return False
         return self._http is not None and self._http.reusable
 
-    def _connected(self) -> Generator[Wait, Any, bool]:
-        """Whether there is a connection to the registry's present address, which is dialled if need be."""
+    def _ensure_connected(self) -> Generator[Wait, Any, bool]:
+        """Dial the current address unless there is a usable connection; returns whether there is one then."""
         if self._has_usable_connection():
             return True
         if self._conn is not None:
@@ -113,10 +113,10 @@
             self._awaits_response = False
 
     def _read_response(self, conn: Connection, http: proto.ReportClient) -> Generator[Wait, Any, bool]:
-        """Whether the response accepts the report; closes the connection if there is none in time, or a bad one."""
-        read_until = self._loop.now + RESPONSE_TIMEOUT_S
+        """Return whether the response accepts the report; close the connection on a timeout or malformed response."""
+        response_deadline = self._loop.now + RESPONSE_TIMEOUT_S
         while True:
-            data = yield from conn.read(max(0.0, read_until - self._loop.now))
+            data = yield from conn.read(max(0.0, response_deadline - self._loop.now))
             if data is None or isinstance(data, ConnectionEnd):
                 conn.close(ConnectionEnd.TIMED_OUT if data is None else data)
                 return False
@@ -129,14 +129,14 @@
                 return status == NO_CONTENT
 
     def failed(self) -> None:
-        """``run`` has ended by a fault of this program: close the connection, as it is started again."""
+        """``run`` has ended by an unexpected exception: abort the connection before ``run`` is restarted."""
         if self._conn is not None:
             self._conn.abort(ConnectionEnd.FAULT)
 
     def close(self) -> None:
-        """Send no further report, not even one that is about to be sent."""
+        """Stop reporting; a report that is waiting for a dial is not sent either."""
         self._stopped = True
-        if self._report_pause is not None:
-            self._report_pause.wake()
+        if self._report_wait is not None:
+            self._report_wait.wake()
         if self._conn is not None:
             self._conn.close(ConnectionEnd.SHUTDOWN)
--- a/lapishaven/server/client_connections.py
+++ b/lapishaven/server/client_connections.py
@@ -1,4 +1,4 @@
-"""The callers' connections of all frontends: within the descriptor budget, without silent and idle ones."""
+"""Tracks the callers' connections of all frontends: enforces the descriptor budget and closes idle connections."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from lapishaven.net.listener import DescriptorBudget
 from lapishaven.net.loop import Loop
 
-MESSAGE_TIMEOUT_S = 2.0  # for a message to arrive completely, the first one counted from the accept
-SWEEP_INTERVAL_S = 0.05  # between checks for idle and silent connections
-EVICTION_PART = 16  # divisor of the limit that gives how many are evicted at once, so that a burst waits less
+MESSAGE_TIMEOUT_S = 2.0  # for a message to arrive completely; the first one is timed from the accept
+SWEEP_INTERVAL_S = 0.05  # between checks for idle connections and incomplete messages
+EVICTION_BATCH_DIVISOR = 16  # one eviction closes up to 1/16 of the limit, so that a burst of new callers waits less
 
 
 class ClientConnections:
-    """Every session from its accept until its descriptor is free again."""
+    """Holds each session from its accept until its descriptor is released."""
 
     def __init__(self, loop: Loop, budget: DescriptorBudget, counters: Counters, idle_timeout: float) -> None:
         """``idle_timeout`` is in seconds."""
-        self.idle_timeout = idle_timeout  # seconds after which a connection with nothing open is closed
-        self.sessions: dict[Session, float] = {}  # when each was last examined, the least recent first
+        self.idle_timeout = idle_timeout  # in seconds; a connection without open requests is closed after it
+        self.sessions: dict[Session, float] = {}  # time of the last eviction check (clock algorithm), oldest first
         self._loop = loop
         self._budget = budget
         self._counters = counters
@@ -28,32 +28,32 @@
         self.sweep()
 
     def add(self, session: Session) -> None:
-        """Start a session that was just accepted."""
+        """Run the session of a newly accepted connection."""
         self._counters.add("connections", "accepted")
         self.sessions[session] = self._loop.now
         self._loop.spawn(session.run(), lambda error: self._failed(session))
 
     def _failed(self, session: Session) -> None:
-        """Its coroutine has ended by a fault of this program: close it once what is open there is answered."""
+        """The session's coroutine ended by an unexpected exception: close it once its open requests are answered."""
         self._counters.add("faults", "session")
         session.close_gracefully(ConnectionEnd.FAULT)
 
     def ended(self, session: Session, end: ConnectionEnd) -> None:
-        """Its connection has ended and its descriptor is free."""
+        """Remove a session whose connection has ended and whose descriptor is released."""
         if self.sessions.pop(session, None) is not None:
             self._budget.used -= 1
             self._counters.add("ends", f"caller {end.value}")
 
     # ---- Eviction
     def make_room(self) -> bool:
-        """Begin to evict connections that have long been idle, and return whether a descriptor is free by now.
+        """Begin to evict idle connections; returns whether a descriptor is free now.
 
-        The order is that of the clock algorithm (second chance): a connection that was used since it was last examined
-        is passed over once, so that those which never send anything go before callers that come back.
+        Uses the clock (second-chance) algorithm: a connection that was used since it was last examined is skipped
+        once, so that connections that never send anything are evicted before those of returning callers.
         """
         if self._evictions.free():
             return True
-        wanted = max(1, self._budget.limit // EVICTION_PART) - len(self._evictions)
+        wanted = max(1, self._budget.limit // EVICTION_BATCH_DIVISOR) - len(self._evictions)
         for session in list(self.sessions):
             if wanted <= 0:
                 break
@@ -61,15 +61,15 @@
             del self.sessions[session]
             self.sessions[session] = session.conn.last_active
             is_evictable = not was_used and not session.conn.send_buffer.size
-            if is_evictable and self._close_at_rest(session, ConnectionEnd.EVICTED):
+            if is_evictable and self._close_if_unused(session, ConnectionEnd.EVICTED):
                 self._evictions.add(session.conn)
                 wanted -= 1
         return not self._budget.full
 
-    def _close_at_rest(self, session: Session, end: ConnectionEnd) -> bool:
-        """Close a connection unless something is open or on its way there, in the kernel's buffer too.
+    def _close_if_unused(self, session: Session, end: ConnectionEnd) -> bool:
+        """Close a connection that has no open request and no unread input, the kernel's buffer included.
 
-        What its peer has not read yet is still sent, if it reads at all. Returns whether it was closed.
+        Queued output is still sent if the peer reads it. Returns whether the close was begun.
         """
         conn = session.conn
         if session.busy or conn.closing is not None or conn.end is not None or conn.read_available():
@@ -79,26 +79,26 @@
 
     # ---- Timeouts
     def sweep(self) -> None:
-        """Close idle connections, and those whose message did not arrive completely in time; again at each interval."""
+        """Close idle connections and those with an overdue incomplete message; reschedules itself."""
         idle_since = self._loop.now - self.idle_timeout
-        silent_since = self._loop.now - MESSAGE_TIMEOUT_S
+        overdue_since = self._loop.now - MESSAGE_TIMEOUT_S
         for session in list(self.sessions):
             if session.awaiting_since is not None:
-                # Silent or half-open: it is of no use, and other callers may need its descriptor.
-                if session.awaiting_since <= silent_since:
-                    self._close_at_rest(session, ConnectionEnd.TIMED_OUT)
+                # No complete message within the timeout: the descriptor may be needed by other callers.
+                if session.awaiting_since <= overdue_since:
+                    self._close_if_unused(session, ConnectionEnd.TIMED_OUT)
             elif session.conn.last_active < idle_since:
-                self._close_at_rest(session, ConnectionEnd.IDLE)
+                self._close_if_unused(session, ConnectionEnd.IDLE)
         self._loop.at(self._loop.now + SWEEP_INTERVAL_S, self.sweep)
 
     # ---- Shutdown
     def drain(self) -> None:
-        """Tell all peers that nothing new is to be sent here."""
+        """Tell all peers to send no new requests here."""
         for session in self.sessions:
             session.drain()
 
     def close_gracefully(self) -> None:
-        """Close all, each once what is open there is answered; what the kernel has received by now is read first."""
+        """Close each connection once its open requests are answered; input already in the kernel is read first."""
         for session in list(self.sessions):
             session.conn.read_available()
         for session in list(self.sessions):
--- a/lapishaven/server/config_reload.py
+++ b/lapishaven/server/config_reload.py
@@ -1,4 +1,7 @@
-"""Reloads the configuration on SIGHUP. What is open, runs or is connected goes on; a bad file changes nothing."""
+"""Reloads the configuration on SIGHUP.
+
+Open requests, runs and connections continue. If any file is invalid, nothing changes.
+"""
 
 from __future__ import annotations
 
@@ -17,11 +20,12 @@
 from lapishaven.server.graceful_shutdown import GracefulShutdown
 from lapishaven.server.running_config import RunningConfig
 
-RESTART_ONLY = ("name", "listen", "descriptors", "memory_mb")  # fields of ``NodeConfig``; a change is logged as ignored
+# Fields of ``NodeConfig``. A changed value is ignored until a restart, and logged.
+RESTART_ONLY_FIELDS = ("name", "listen", "descriptors", "memory_mb")
 
 
 class ConfigReload:
-    """Reads the files again and applies them part by part."""
+    """Reads the configuration files again and applies them to each component."""
 
     def __init__(
         self,
@@ -36,7 +40,7 @@
         counters: Counters,
         log: Callable[[str], None],
     ) -> None:
-        """``read_files`` raises ``ConfigError``; ``None`` where the server was started without files."""
+        """``read_files`` raises ``ConfigError``; it is ``None`` if the server was started without files."""
         self._read_files = read_files
         self._running = running
         self._loop = loop
@@ -49,18 +53,18 @@
         self._log = log
 
     def reload(self) -> None:
-        """Read the files again and apply them; nothing changes if one of them is bad."""
+        """Read the files again and apply them; if one is invalid, log why and change nothing."""
         try:
             files = self._read()
             settings = keep_class_numbers(self._running.config.settings, files.config.settings)
         except ConfigError as error:
             self._counters.add("reloads", "failed")
-            self._log(f"reload: {error}; the old configuration stays")
+            self._log(f"configuration reload failed, the previous configuration stays in force: {error}")
             return
         self._counters.add("reloads", "done")
         before = self._running.config
         self._apply_settings(settings, files.config)
-        self._move_backends(files)
+        self._update_backend_addresses(files)
         self._reporter.move(files.config.catalog)
         self._replace_contracts(files)
         self._replace_pools(files)
@@ -72,29 +76,34 @@
             settings=settings,
         )
         self._shutdown.shorten(files.config.stop_span)
-        self._log_done(before, files.config)
+        self._log_completed(before, files.config)
 
     def _read(self) -> ConfigFiles:
-        """The checked files. Raises ``ConfigError``."""
+        """Read and validate the files. Raises ``ConfigError``."""
         if self._read_files is None:
-            raise ConfigError("no file to read again")
+            raise ConfigError("the server was started without configuration files")
         files = self._read_files()
         if any(contract.route not in self._backends.by_name for contract in files.contracts or []):
-            raise ConfigError("a contract names a backend that is not there before a restart")
+            raise ConfigError(
+                "contracts name backends that were not configured at startup, which needs a restart: "
+                f"{sorted({contract.route for contract in files.contracts or []} - set(self._backends.by_name))}"
+            )
         return files
 
     def _apply_settings(self, settings: Settings, config: NodeConfig) -> None:
-        """Hand the settings, with classes numbered as before, to the core; callers may name just the new classes."""
+        """Apply settings whose classes keep their indexes; callers may use only the classes of the new file."""
         if settings == self._running.config.settings:
             return
         if self._core.broker is not None:
             self._core.broker.apply_settings(settings)
-        served = {spec.name for spec in config.settings.classes}
-        self._running.classes = {spec.name: index for index, spec in enumerate(settings.classes) if spec.name in served}
-        self._log(f"reload: classes now {', '.join(self._running.classes)}")
+        configured_classes = {spec.name for spec in config.settings.classes}
+        self._running.classes = {
+            spec.name: index for index, spec in enumerate(settings.classes) if spec.name in configured_classes
+        }
+        self._log(f"configuration reload: request classes are now {', '.join(self._running.classes)}")
 
-    def _move_backends(self, files: ConfigFiles) -> None:
-        """Point the backends to their new addresses."""
+    def _update_backend_addresses(self, files: ConfigFiles) -> None:
+        """Give the backends their new addresses."""
         addresses = {INTERPRETER: files.config.interpreter}
         if files.backend is not None:
             addresses[UWSGI] = files.backend.address
@@ -118,6 +127,8 @@
         if self._core.pools is not None:
             self._core.pools.apply_settings(self._loop.now, files.pools)
 
-    def _log_done(self, before: NodeConfig, after: NodeConfig) -> None:
-        ignored = [name for name in RESTART_ONLY if getattr(after, name) != getattr(before, name)]
-        self._log("reload: done" + (f"; only a restart changes {', '.join(ignored)}" if ignored else ""))
+    def _log_completed(self, before: NodeConfig, after: NodeConfig) -> None:
+        ignored = [name for name in RESTART_ONLY_FIELDS if getattr(after, name) != getattr(before, name)]
+        self._log(
+            "configuration reload: done" + (f"; ignored until a restart: {', '.join(ignored)}" if ignored else "")
+        )
--- a/lapishaven/server/controller_listener.py
+++ b/lapishaven/server/controller_listener.py
@@ -1,4 +1,4 @@
-"""Carries what the controller decides apart from answers to the parts of the server."""
+"""Applies the admission controller's decisions on health, idle timeout and remarks to the server."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from lapishaven.server.client_connections import ClientConnections
 from lapishaven.server.running_config import RunningConfig
 
-DEFAULT_IDLE_TIMEOUT_S = 15.0  # for unused connections, where the settings name no time
+DEFAULT_IDLE_TIMEOUT_S = 15.0  # for connections without open requests, if the settings give none
 
 
 class ControllerListener:
-    """Publishes health to the service registry and the fleet, sets the idle timeout, and logs remarks."""
+    """Publishes health to the service registry and the fleet, sets the idle timeout and logs remarks."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         fleet: FleetMember | None,
         log: Callable[[str], None],
     ) -> None:
-        self.healthy = False  # what health checks are answered
+        self.healthy = False  # the answer to health checks
         self._running = running
         self._reporter = reporter
         self._callers = callers
@@ -31,16 +31,16 @@
         self._log = log
 
     def set_health(self, healthy: bool) -> None:
-        """Answer health checks as healthy, or as unhealthy, from now on."""
+        """Set the answer to health checks, and publish it to the registry and the fleet."""
         self.healthy = healthy
         self._reporter.set_passing(healthy)
         if self._fleet is not None:
             self._fleet.set_overloaded(not healthy)
 
     def set_idle_timeout(self, timeout: float) -> None:
-        """Set for how many seconds an unused connection may stay open; 0 for the setting, or else the default."""
+        """Set the idle timeout in seconds; 0 selects the configured one, or the default if none is configured."""
         self._callers.idle_timeout = timeout or self._running.config.settings.idle_timeout or DEFAULT_IDLE_TIMEOUT_S
 
     def log_remark(self, text: str) -> None:
-        """Log a line for the operators."""
-        self._log(f"remark: {text}")
+        """Log a remark of the admission controller."""
+        self._log(f"admission controller: {text}")
--- a/lapishaven/server/counter_report.py
+++ b/lapishaven/server/counter_report.py
@@ -1,4 +1,4 @@
-"""Logs the counters, with the figures that other parts of the server keep by themselves."""
+"""Logs the counters together with the figures that other components keep themselves."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CounterReport:
-    """Collects the figures of all parts into the counters."""
+    """Collects the figures of all components into the counters and logs them."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._log(self._counters.line())
 
     def _collect(self) -> None:
-        """Set the groups that are not counted as things happen."""
+        """Set the counter groups that are read from components instead of being counted event by event."""
         groups = self._counters.groups
         groups["bytes"] = Counter(received=self._loop.received, sent=self._loop.sent)
         if self._core.pools is not None:
--- a/lapishaven/server/graceful_shutdown.py
+++ b/lapishaven/server/graceful_shutdown.py
@@ -1,9 +1,9 @@
-"""Graceful shutdown: from the notice to the end of the process, with all that was read answered before the kill.
+"""Graceful shutdown: answers every request that was read before the supervisor kills the process.
 
-At the notice callers are told, and the service registry through the controller. The listeners stay open for the grace,
-in which what crosses the notice is read and answered like the rest. ``FINAL_ANSWER_MARGIN_S`` before the kill
-everything is answered, whatever it waits for, and the connections are closed in order; the process ends when the last
-one has, or ``EXIT_MARGIN_S`` before the kill.
+On the shutdown notice callers are notified, and the service registry through the controller. The listeners stay open
+for the grace period, in which requests that crossed the notice are still read and served. ``FINAL_ANSWER_MARGIN_S``
+before the kill all open requests are answered, whatever their state, and the connections are closed gracefully. The
+process exits when the last connection has ended, at the latest ``EXIT_MARGIN_S`` before the kill.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from lapishaven.net.loop import Loop
 from lapishaven.server.client_connections import ClientConnections
 
-EXIT_MARGIN_S = 0.03  # before the kill the process ends, even if connections are still open
-NEVER_UP_LIMIT_S = 1.0  # for the end of a server whose backend never came up, as its callers have nothing open
-CLOSED_POLL_INTERVAL_S = 0.01  # between checks whether the last connection has ended
+EXIT_MARGIN_S = 0.03  # the process exits this long before the kill, even with open connections
+NEVER_UP_LIMIT_S = 1.0  # maximum shutdown time if the backend never came up, as no request is open
+CLOSED_POLL_INTERVAL_S = 0.01  # between checks whether all connections have ended
 
 
 class BrokerHolder(Protocol):
-    """Has the core once there is one."""
+    """Provides the broker once it exists."""
 
     @property
     def broker(self) -> Broker | None:
@@ -46,20 +46,20 @@
 
     @property
     def requested(self) -> bool:
-        """Whether the notice has come."""
+        """Whether the shutdown notice has been received."""
         return self._requested_at is not None
 
     def begin(self, noticed_at: float, stop_span: float, grace: float) -> None:
-        """The notice came at ``noticed_at``, and the kill follows ``stop_span`` seconds after it.
+        """Begin the shutdown: the notice came at ``noticed_at``, and the kill follows ``stop_span`` seconds later.
 
-        For ``grace`` seconds after the notice, what arrives is still served.
+        New requests are still served for ``grace`` seconds after the notice.
         """
         self._requested_at = noticed_at
         self._kill_at = noticed_at + stop_span
         self._callers.drain()
         broker = self._core.broker
         if broker is None:
-            # Nothing can run, so nothing is gained by waiting.
+            # No request can run without a backend, so there is nothing to wait for.
             self._kill_at = min(self._kill_at, self._loop.now + NEVER_UP_LIMIT_S)
             self._finish()
             return
@@ -68,7 +68,7 @@
         self._loop.at(self._kill_at - FINAL_ANSWER_MARGIN_S, self._finish)
 
     def shorten(self, stop_span: float) -> None:
-        """A reload may bring the kill forward; one that puts it off is not relied upon."""
+        """Apply a reloaded ``stop_span`` if it brings the kill forward; a later kill is not relied upon."""
         if self._requested_at is None or self._closing or self._requested_at + stop_span >= self._kill_at:
             return
         self._kill_at = self._requested_at + stop_span
@@ -77,17 +77,17 @@
         self._loop.at(self._kill_at - FINAL_ANSWER_MARGIN_S, self._finish)
 
     def _close_listeners(self) -> None:
-        """Close each listener once it has accepted all that waited there."""
+        """Close each listener once its backlog is accepted; retry while descriptors are missing."""
         if not all([listener.close() for listener in self._listeners]):
             self._loop.at(self._loop.now + DESCRIPTOR_RETRY_S, self._close_listeners)
 
     def _finish(self) -> None:
-        """Begin to answer and close everything, the first time that it is called."""
+        """Close the listeners, then answer all requests and close all connections; does so only once."""
         if self._closing:
             return
         self._closing = True
         self._close_listeners()
-        # What the listeners and the last reads brought in is processed in this round's turn, or the next.
+        # Requests from the listeners and the last reads are processed in this round's turn or the next one.
         self._loop.at(self._loop.now, self._close_callers)
 
     def _close_callers(self) -> None:
--- a/lapishaven/server/running_config.py
+++ b/lapishaven/server/running_config.py
@@ -1,4 +1,4 @@
-"""The configuration in force, shared by the parts of the server."""
+"""The configuration in force, shared by the components of the server."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class RunningConfig:
-    """What the files of the start said, with what the reloads since have changed."""
+    """The configuration of the last successful load; reloads change it in place."""
 
     def __init__(self, files: ConfigFiles) -> None:
         self.config: NodeConfig = files.config
-        self.contracts: list[Contract] | None = files.contracts  # None: contracts are not checked
-        self.pools: PoolSettings | None = files.pools  # None: all classes share the capacity
+        self.contracts: list[Contract] | None = files.contracts  # None: contracts are off
+        self.pools: PoolSettings | None = files.pools  # None: all classes share one capacity
         self.classes = {spec.name: index for index, spec in enumerate(files.config.settings.classes)}
-        """The classes that callers may name, by name their places in the settings."""
+        """Indexes of the classes that callers may use in the settings, by class name."""
         self.tenants = {tenant.name: index for index, tenant in enumerate(files.config.settings.tenants)}
-        """The tenants, by name their places in the settings."""
+        """Indexes of the tenants in the settings, by tenant name."""
--- a/lapishaven/server/server.py
+++ b/lapishaven/server/server.py
@@ -1,4 +1,4 @@
-"""The server: one loop, one core, its frontends and its backends, from the start to the end of its shutdown."""
+"""The server: one event loop with the core, its frontends and its backends, until a shutdown is complete."""
 
 from __future__ import annotations
 
@@ -27,42 +27,42 @@
 from lapishaven.server.broker_host import BYTES_PER_MB, BrokerHost
 from lapishaven.server.catalog_reporter import CatalogReporter
 from lapishaven.server.client_connections import ClientConnections
+from lapishaven.server.component_supervisor import ComponentSupervisor
 from lapishaven.server.config_reload import ConfigReload
 from lapishaven.server.controller_listener import DEFAULT_IDLE_TIMEOUT_S, ControllerListener
 from lapishaven.server.counter_report import CounterReport
 from lapishaven.server.graceful_shutdown import GracefulShutdown
-from lapishaven.server.part_supervisor import PartSupervisor
 from lapishaven.server.running_config import RunningConfig
 from lapishaven.server.signals import SignalDispatcher, Signals
 from lapishaven.server.status import ServerStatus
 
-UNSENT_PART = 8  # divisor of the memory that gives the limit of answers that callers have not read
-INHERITED_SOCKET_DELAY_S = 2.0  # the longest time for which a new process leaves an inherited socket to the old one
+UNSENT_MEMORY_DIVISOR = 8  # answers that callers have not read may take up 1/8 of the memory limit
+INHERITED_SOCKET_DELAY_S = 2.0  # after which a new process accepts on an inherited socket even without its backend
 
 
 def log_to_stderr(text: str) -> None:
-    """Print a line at once."""
+    """Print a line to stderr, unbuffered."""
     print(text, file=sys.stderr, flush=True)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerOptions:
-    """What a server is given beside its files; each part is optional."""
+    """What a server is given besides its configuration files; all of it is optional."""
 
-    loop: Loop | None = None  # the event loop; None: a new one on the monotonic clock
-    log: Callable[[str], None] = log_to_stderr  # takes each line of the log
-    dial: Dial = connect  # opens connections to backends and to the registry
-    counters: Counters | None = None  # None: new ones
-    read_files: Callable[[], ConfigFiles] | None = None  # reads the files again for a reload; None: reloads fail
-    attempt_log: AttemptLog | None = None  # records starts and answers; None: they are not recorded
-    result_store: DurableResultStore | None = None  # keeps results over restarts; None: they are not kept
-    fleet: FleetMember | None = None  # its part in the fleet's duties; None: it has none
+    loop: Loop | None = None  # None: a new event loop on the monotonic clock
+    log: Callable[[str], None] = log_to_stderr  # receives each log line
+    dial: Dial = connect  # opens connections to backends and to the service registry
+    counters: Counters | None = None  # None: a new set
+    read_files: Callable[[], ConfigFiles] | None = None  # reads the files for a reload; None: reloads fail
+    attempt_log: AttemptLog | None = None  # None: starts and answers are not recorded
+    result_store: DurableResultStore | None = None  # None: results are not kept over restarts
+    fleet: FleetMember | None = None  # this server's share of the fleet's duties; None: it has none
 
 
 class Server:
     """An embeddable match server.
 
-    It listens from its construction, which raises ``OSError``; ``run`` serves until it is told to shut down::
+    The constructor binds the listening sockets and raises ``OSError`` if it cannot; ``run`` serves until a shutdown::
 
         server = Server(load_files("server.json"))
         sys.exit(server.run())
@@ -72,7 +72,7 @@
         options = options or ServerOptions()
         self.running = RunningConfig(files)
         self.loop = options.loop or Loop()
-        self.loop.unsent_limit = files.config.memory_mb * BYTES_PER_MB // UNSENT_PART
+        self.loop.unsent_limit = files.config.memory_mb * BYTES_PER_MB // UNSENT_MEMORY_DIVISOR
         self.log = options.log
         self.counters = options.counters or Counters()
         self.attempt_log = options.attempt_log
@@ -89,7 +89,7 @@
 
     # ---- Building
     def _build_core(self, files: ConfigFiles, options: ServerOptions) -> None:
-        """The broker's host and the backends."""
+        """Build the broker's host and the backends."""
         self.core = BrokerHost(
             loop=self.loop,
             running=self.running,
@@ -105,7 +105,7 @@
         self.backends = build_backends(files, self.loop, self.core, self.counters, options.dial)
 
     def _build_frontends(self, files: ConfigFiles) -> None:
-        """The callers' listeners: that of the platform's protocol first, then uwsgi if it is on."""
+        """Build the callers' listeners: first the platform protocol's, then the uwsgi frontend's if it is enabled."""
         config = files.config
 
         def platform_session(sock: socket.socket) -> Session:
@@ -113,28 +113,28 @@
 
         self.listeners = [self._listen(config.listen, platform_session, config.inherited)]
         if config.inherited is not None:
-            # Until the backend is up this process could only reject, while an older one may serve.
+            # Until its backend is up this process could only reject requests, while the old process can serve them.
             self.loop.at(self.loop.now + INHERITED_SOCKET_DELAY_S, self.listeners[0].open)
         self.load_endpoint = build_load_endpoint(files, self.loop, lambda: self.broker, self.counters)
         if files.front is not None:
             self.listeners.append(self._build_uwsgi_listener(config, files.front))
 
     def _build_uwsgi_listener(self, config: NodeConfig, front: UwsgiFrontendConfig) -> Listener:
-        # Different in every process of one configuration, as the interpreter still knows the ids of its earlier runs.
+        # The seed differs in every process: the interpreter still knows the attempt ids of earlier processes.
         random = Random(f"{config.seed}/{os.getpid()}/{time.time_ns()}")
         load_report = self.load_endpoint.header_value if self.load_endpoint is not None else None
         return self._listen(front.listen, lambda sock: uwsgi.Session(self, sock, front, random, load_report))
 
     def _listen(
-        self, address: tuple[str, int], session_of: Callable[[socket.socket], Session], inherited: int | None = None
+        self, address: tuple[str, int], create_session: Callable[[socket.socket], Session], inherited: int | None = None
     ) -> Listener:
-        def accepted(sock: socket.socket) -> None:
-            self.callers.add(session_of(sock))
+        def start_session(sock: socket.socket) -> None:
+            self.callers.add(create_session(sock))
 
-        return Listener(self.loop, address, self.budget, accepted, self.callers.make_room, inherited)
+        return Listener(self.loop, address, self.budget, start_session, self.callers.make_room, inherited)
 
     def _build_control(self, options: ServerOptions) -> None:
-        """Shutdown, reload, signals, and what operators see."""
+        """Build shutdown, reload, signal handling, the admin server and the counter report."""
         self.shutdown = GracefulShutdown(self.loop, self.callers, self.listeners, self.core)
         self.status = ServerStatus(self.running, self.core, self.backends, self.shutdown, self.fleet, self.counters)
         control = self.running.config.control
@@ -160,10 +160,10 @@
         )
 
     def _connect_core(self) -> None:
-        """Connect the core to its surroundings and start the coroutines of backends and registry."""
+        """Connect the core to the other components and start the coroutines of backends and catalog reporter."""
         recorder = AttemptReporting(self.running, self.fleet, self.load_endpoint, self.attempt_log)
         self.core.connect(self.backends, recorder, self.load_endpoint, self._broker_started)
-        supervisor = PartSupervisor(self.loop, self.counters)
+        supervisor = ComponentSupervisor(self.loop, self.counters)
         for name, driver in self.backends.by_name.items():
             supervisor.keep_running(name, driver)
         supervisor.keep_running("catalog", self.reporter)
@@ -172,10 +172,10 @@
         if not self.draining:
             self.listeners[0].open()
 
-    # ---- What frontends ask
+    # ---- The frontends' host
     @property
     def broker(self) -> Broker | None:
-        """The core; ``None`` until the backend is up."""
+        """The broker; ``None`` until the backend is up."""
         return self.core.broker
 
     @property
@@ -185,46 +185,46 @@
 
     @property
     def classes(self) -> dict[str, int]:
-        """The classes that callers may name, by name their places in the settings."""
+        """Indexes of the classes that callers may use in the settings, by class name."""
         return self.running.classes
 
     @property
     def tenants(self) -> dict[str, int]:
-        """The tenants, by name their places in the settings."""
+        """Indexes of the tenants in the settings, by tenant name."""
         return self.running.tenants
 
     @property
     def draining(self) -> bool:
-        """Whether the notice to shut down has come."""
+        """Whether the shutdown notice has been received."""
         return self.shutdown.requested
 
     def health_check(self, deep: bool, callback: Callable[[bool], None]) -> None:
-        """Answer a health check through ``callback``; a deep one also asks the backend, if the server is healthy."""
+        """Answer a health check through ``callback``; a deep one also checks the backend if the server is healthy."""
         if not self.listener.healthy or not deep:
             callback(self.listener.healthy)
         else:
             self.backends.primary.health_check(callback)
 
     def connection_ended(self, session: Session, end: ConnectionEnd) -> None:
-        """A caller's connection has ended and its descriptor is free."""
+        """Handle the end of a caller's connection, whose descriptor is released."""
         self.callers.ended(session, end)
         for listener in self.listeners:
             listener.descriptor_freed()
 
     # ---- Running
     def turn(self, now: float) -> None:
-        """One turn of the core, after all that a wake-up of the loop brought in was read."""
+        """Run one turn of the core, after all input of a loop round has been read."""
         if self.broker is not None:
             self.broker.turn(now)
 
     def next_at(self) -> float | None:
-        """When ``turn`` has something to do without further input; ``None`` for never."""
+        """The loop time at which ``turn`` has work without further input; ``None`` if there is none."""
         return self.broker.next_turn_at() if self.broker is not None else None
 
     def run(self, signals: Signals | None = None) -> int:
-        """Serve until a shutdown is complete and return the exit code.
+        """Serve until a shutdown is complete; returns the exit code.
 
-        ``signals`` may have been received since before the server was built; without it the server receives its own.
+        ``signals`` lets the caller install the handlers before building the server; without it they are installed here.
         """
         own_signals = Signals() if signals is None else None
         received = signals or own_signals
@@ -232,21 +232,21 @@
         self.loop.watch(received.ready, 1, lambda mask: self.signal_dispatcher.dispatch(received.take()))
         addresses = " and ".join("{}:{}".format(*listener.address) for listener in self.listeners)
         self.log(f"lapishaven {self.config.name} pid {os.getpid()} at {addresses}")
-        # What is there at the start stays, so the garbage collector need not walk it again.
+        # Objects that exist at startup live as long as the process; freezing keeps the collector from scanning them.
         gc.collect()
         gc.freeze()
         try:
             self.loop.run(self.turn, self.next_at)
         finally:
             self.loop.unwatch(received.ready)
-            self._close_parts()
+            self._close_components()
             if own_signals is not None:
                 own_signals.close()
         return 0
 
     # ---- Shutdown
-    def drain(self, noticed: float | None = None) -> None:
-        """Begin the shutdown; ``noticed`` is when the notice came by the loop's clock, ``None`` for now."""
+    def drain(self, noticed_at: float | None = None) -> None:
+        """Begin the shutdown; ``noticed_at`` is the loop time of the shutdown notice, ``None`` for now."""
         if self.draining:
             return
         if self.fleet is not None:
@@ -254,14 +254,14 @@
         if self.load_endpoint is not None:
             self.load_endpoint.drain()
         if self.config.inherited is not None:
-            # An upgrade: the new process serves the shared socket and reports to the registry from now on.
+            # An upgrade: from now on the new process accepts on the shared socket and reports to the registry.
             self.listeners[0].close()
             self.reporter.close()
-        noticed_at = self.loop.now if noticed is None else noticed
-        self.shutdown.begin(noticed_at, self.config.stop_span, self.config.settings.drain_grace)
+        began_at = self.loop.now if noticed_at is None else noticed_at
+        self.shutdown.begin(began_at, self.config.stop_span, self.config.settings.drain_grace)
 
-    def _close_parts(self) -> None:
-        """Release everything, the admin server first, whose metrics are read until the end, and log the counters."""
+    def _close_components(self) -> None:
+        """Close all components, the admin server first as its metrics read the others, and log the counters."""
         if self.admin is not None:
             self.admin.close()
         for driver in self.backends.by_name.values():
--- a/lapishaven/server/signals.py
+++ b/lapishaven/server/signals.py
@@ -1,4 +1,4 @@
-"""The signals that control the process, each with the moment at which it came."""
+"""Receives the signals that control the process, with the time at which each arrived."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 
 
 class ReceivedSignal(NamedTuple):
-    """A signal and when it came."""
+    """A signal and the time of its arrival."""
 
     number: int
-    at: float  # seconds on the clock of ``Signals``
+    received_at: float  # seconds on the clock of ``Signals``
 
 
 class Signals:
     """Receives signals from its construction until ``close``.
 
-    The loop is woken through a pipe (``signal.set_wakeup_fd``). The handler notes the time itself, since the loop may
-    be in the middle of a long round, and the time until the kill counts from the signal.
+    The event loop is woken through a pipe (``signal.set_wakeup_fd``). The handler records the time of arrival itself:
+    the loop may be in a long round, and the time until the kill counts from the signal.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
-        self._received_at: dict[int, float] = {}  # by signal number, of those not yet taken
+        self._received_at: dict[int, float] = {}  # first arrival by signal number, of signals not yet taken
         self._wake = Wake()
         self._previous_wakeup_fd = signal.set_wakeup_fd(self._wake.writer, warn_on_full_buffer=False)
-        self._previous_handlers = {number: signal.signal(number, self._note) for number in HANDLED_SIGNALS}
+        self._previous_handlers = {number: signal.signal(number, self._record_arrival) for number in HANDLED_SIGNALS}
 
-    def _note(self, number: int, frame: FrameType | None) -> None:
+    def _record_arrival(self, number: int, frame: FrameType | None) -> None:
         self._received_at.setdefault(number, self._clock())
 
     @property
     def ready(self) -> int:
-        """The descriptor that is readable once a signal came."""
+        """The descriptor that becomes readable when a signal arrives."""
         return self._wake.reader
 
     def take(self) -> list[ReceivedSignal]:
-        """The signals since the last call, in their order."""
+        """Return the signals since the last call, in order of arrival."""
         return [ReceivedSignal(number, self._received_at.pop(number, self._clock())) for number in self._wake.drain()]
 
     def close(self) -> None:
-        """Restore the handlers that were there before."""
+        """Restore the previous handlers and wake-up descriptor."""
         signal.set_wakeup_fd(self._previous_wakeup_fd)
         for number, handler in self._previous_handlers.items():
             signal.signal(number, handler if handler is not None else signal.SIG_DFL)
@@ -55,7 +55,7 @@
 
 
 class SignalDispatcher:
-    """Logs each signal and calls what it asks for: SIGUSR1 the counters, SIGHUP a reload, others the shutdown."""
+    """Logs each signal and acts on it: SIGUSR1 logs the counters, SIGHUP reloads, any other shuts down."""
 
     def __init__(
         self,
@@ -64,22 +64,22 @@
         reload: Callable[[], None],
         drain: Callable[[float], None],
     ) -> None:
-        """``drain`` is called with the time of the signal."""
+        """``drain`` is called with the time of the signal's arrival."""
         self._log = log
         self._log_counters = log_counters
         self._reload = reload
         self._drain = drain
 
     def dispatch(self, received: list[ReceivedSignal]) -> None:
-        """Handle signals in their order."""
-        for number, at in received:
-            self._log(f"signal {number} at {time.time():.3f}")
+        """Handle signals in order of arrival."""
+        for number, received_at in received:
+            self._log(f"handling signal {number} ({signal.Signals(number).name}) at {time.time():.3f}")
             if number == signal.SIGUSR1:
                 self._log_counters()
             elif number == signal.SIGHUP:
                 self._reload()
             else:
-                self._drain(at)
+                self._drain(received_at)
 
 
 __all__ = ["HANDLED_SIGNALS", "ReceivedSignal", "SignalDispatcher", "Signals"]
--- a/lapishaven/server/status.py
+++ b/lapishaven/server/status.py
@@ -1,4 +1,4 @@
-"""What the admin server shows of the server: readiness, metrics, and the processes behind it."""
+"""Provides the admin server with readiness, metrics and the state of the load-balanced endpoints."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ServerStatus:
-    """The admin server's host."""
+    """The data source of the admin server."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._counters = counters
 
     def ready(self) -> bool:
-        """Whether the backend is up, the broker runs, and no notice to shut down has come."""
+        """Whether the backend is up and no shutdown notice has been received."""
         return self._core.broker is not None and not self._shutdown.requested
 
     def metrics(self) -> bytes:
@@ -49,6 +49,6 @@
         )
 
     def spread_state(self) -> dict[str, Any] | None:
-        """The state of each process that attempts are balanced over; ``None`` if they are not."""
+        """The state of each load-balanced endpoint; ``None`` without a load-balanced backend."""
         load_balanced = self._backends.load_balanced
         return load_balanced.state() if load_balanced is not None else None
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -18,7 +18,7 @@
 
 from lapishaven.core.drain_state import FINAL_ANSWER_MARGIN_S
 from lapishaven.net.listener import MAX_ACCEPTS_PER_WAKEUP
-from lapishaven.server.client_connections import EVICTION_PART
+from lapishaven.server.client_connections import EVICTION_BATCH_DIVISOR
 from lapishaven.server.graceful_shutdown import EXIT_MARGIN_S
 from lapishaven.server.signals import ReceivedSignal, Signals
 
@@ -63,8 +63,8 @@
 
     # Guards against a door that shuts on callers as there was no descriptor for them in that moment.
     def test_with_no_descriptor_at_the_end_of_the_grace_the_door_waits_for_one(self) -> None:
-        self.server.budget.limit = EVICTION_PART
-        busy = [self.connect() for _ in range(EVICTION_PART)]
+        self.server.budget.limit = EVICTION_BATCH_DIVISOR
+        busy = [self.connect() for _ in range(EVICTION_BATCH_DIVISOR)]
         for n, caller in enumerate(busy, 1):
             self.send(caller, self.message(f"t{n}", "1", "fuzzy-match"))
         self.until(lambda: all(f"t{n}.1" in self.vm.handles for n in range(1, 6)), "runs")
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -15,7 +15,7 @@
 from lapishaven.core.idempotency_keys import IdempotencyKeyTable
 from lapishaven.net.ring_buffer import RingBuffer, RingBufferFullError
 from lapishaven.proto import ProtocolError, catalog, interpreter, jsonrpc, uwsgi
-from lapishaven.server.client_connections import EVICTION_PART
+from lapishaven.server.client_connections import EVICTION_BATCH_DIVISOR
 
 LINES = (
     b'{"jsonrpc":"2.0","id":1,"method":"m","params":{"call":"9b1f03aa5c7e2d41","heap":24.5,"arg":"AAH/"}}\n'
@@ -157,7 +157,7 @@
         # are than are needed, and one batch.
         evicted = self.server.counters.get("ends", "caller evicted")
         self.assertGreaterEqual(evicted, 41)
-        self.assertLessEqual(evicted, 41 + room // EVICTION_PART)
+        self.assertLessEqual(evicted, 41 + room // EVICTION_BATCH_DIVISOR)
         self.play("send vm OK c1.1\nexpect c1 result 1")
         for sock in many:
             sock.close()
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -10,7 +10,7 @@
 from lapishaven import config
 from lapishaven.backends.unconfirmed_commands import Command, UnconfirmedAtEnd, UnconfirmedCommands
 from lapishaven.net.loop import Loop
-from lapishaven.server.client_connections import EVICTION_PART
+from lapishaven.server.client_connections import EVICTION_BATCH_DIVISOR
 
 
 class Platform(World):
@@ -124,15 +124,15 @@
     # Guards against a second run after a break in mid-command: what the kernel took whole may have run.
     def test_a_command_counts_as_sent_with_its_last_byte(self) -> None:
         unconfirmed = UnconfirmedCommands()
-        unconfirmed.add_question("", 11)
+        unconfirmed.add_query("", 11)
         for now, handle in enumerate("abcd"):
             unconfirmed.add(now, Command(handle, b"APPLY " + handle.encode() + b" x 0\r\n\r\n"))
-            unconfirmed.add_question(handle, 10)
+            unconfirmed.add_query(handle, 10)
         unconfirmed.answered(2.05, "b")  # proves a, but c was written too short a time before to be safe
-        at_end = unconfirmed.settle(11 + 25 * 2 + 15 + 10 + 14)
+        at_end = unconfirmed.take_unconfirmed(11 + 25 * 2 + 15 + 10 + 14)
         self.assertEqual([command.attempt_id for command in at_end.uncertain], ["c"])
         self.assertEqual([command.attempt_id for command in at_end.unsent], ["d"])
-        self.assertEqual(unconfirmed.settle(1000), UnconfirmedAtEnd([], []))
+        self.assertEqual(unconfirmed.take_unconfirmed(1000), UnconfirmedAtEnd([], []))
 
     # Guards against requests that seem to run for a minute as a break took their commands along: each held a
     # place and its caller until its due time. What is safe is sent again, a commit never is.
@@ -261,14 +261,17 @@
             expect vm nothing
         """)
         self.assertEqual(sorted(self.dialled), [4, 5])
-        self.assertEqual(self.said[-1], "reload: done; only a restart changes name")
+        self.assertEqual(self.said[-1], "configuration reload: done; ignored until a restart: name")
         self.files = "{"
         self.play("""
             send server HUP
             send c1 4 fuzzy-match
             expect vm APPLY c1.4
         """)
-        self.assertEqual(self.said[-1], "reload: the configuration is not JSON; the old configuration stays")
+        self.assertEqual(
+            self.said[-1],
+            "configuration reload failed, the previous configuration stays in force: the configuration is not JSON",
+        )
         self.assertEqual(sorted(self.dialled), [4, 5])
 
     # Guards against a link to an address that a second reload took back while the first one was dialled.
@@ -427,7 +430,7 @@
             send c2 raw {"id":1
             send c3 raw {"id":1
         """)
-        self.server.budget.limit = EVICTION_PART  # so that one at a time is closed
+        self.server.budget.limit = EVICTION_BATCH_DIVISOR  # so that one at a time is closed
         self.assertTrue(self.server.callers.make_room())
         self.play(r"""
             expect c2 closed         # though it spoke last, and c1 came first
