--- a/lapishaven/server/component_supervisor.py
+++ b/lapishaven/server/component_supervisor.py
@@ -18,14 +18,11 @@
         """Run until the component is closed."""
 
     def failed(self) -> None:
-        """``run`` has ended by an exception: release its resources before ``run`` is restarted."""
+        """``run`` has ended by an exception: release what it held, as ``run`` is started again."""
 
 
 class ComponentSupervisor:
-    """Keeps components running.
-
-    Without its connection to the interpreter or the registry, a server would receive or run no requests.
-    """
+    """Keeps components running: without its link to the interpreter or the registry, a server serves no requests."""
 
     def __init__(self, loop: Loop, counters: Counters) -> None:
         self._loop = loop
