--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,19 +1,19 @@
-"""The scenario language: lines of send, expect, close and wait, played against a real server.
+"""The scenario language: lines of send, expect, close and wait, run against a real server.
 
-The server, its fronts, backend and state machines are the real ones. The connections are socket pairs, on
-which what is sent is there at once, the clock is turned by hand and the scenario drives the loop, so nothing
-sleeps. ``vm`` is a stand-in interpreter, ``c...`` are callers on the platform's front, ``u...`` uwsgi clients
-(one request each), ``server`` is the program itself. A request's body is its label, ``c1.3`` or ``u1``.
+The server, its frontends, backends and state machines are the real ones. Connections are socket pairs, on which bytes
+are readable as soon as they are sent. The clock is set by the test and the scenario drives the loop, so nothing
+sleeps. ``vm`` is a stand-in interpreter, ``c...`` are callers of the platform frontend, ``u...`` uwsgi clients (one
+request each), ``server`` is the program itself. The body of a request is its label, ``c1.3`` or ``u1``.
 
     send c1 3 approve-commit      a request with id 3      send u1 approve-commit id=k  over uwsgi
     send c1 forget 3              send c1 raw TEXT         send c1 check [deep]
-    expect up fuzzy-match c1.3    send up 200 c1.3         ``up``: a uwsgi server behind the backend
-    send vm OK c1.3               the run of c1.3 ended    send vm BANNER COLD          send server TERM
+    expect up fuzzy-match c1.3    send up 200 c1.3         ``up``: the stand-in uwsgi server of the backend
+    send vm OK c1.3               the run of c1.3 ends     send vm BANNER COLD          send server TERM
     expect vm APPLY c1.3          expect vm nothing        expect c1 result 3 | refused 3 | failed 3
     expect u1 200                 expect c1 closed         close c1          wait 0.5
-    send h1 GET /v1/readyz        expect h1 200 server_open_requests 1    (``h...``: one call to the control address)
-    send server HUP               the files in ``files`` are read again       lose vm 2
-    (the link takes so many commands and gives them to nobody, as one that is about to break may)
+    send h1 GET /v1/readyz        expect h1 200 server_open_requests 1    (``h...``: one request to the control address)
+    send server HUP               reload; the files are those in ``files``
+    lose vm 2                     the link accepts the next 2 commands but does not deliver them, as before a break
 """
 
 from __future__ import annotations
@@ -85,12 +85,13 @@
 
 
 def settings(classes: list[dict[str, Any]] | None = None, **extra: Any) -> dict[str, Any]:
-    """The settings with changes to their classes, in order, and to ``extra``."""
-    changed = [{**spec, **more} for spec, more in zip(SETTINGS["profiles"], classes or [{}, {}], strict=True)]
+    """The settings with changes to each class, in order, and to ``extra``."""
+    changed = [{**spec, **changes} for spec, changes in zip(SETTINGS["profiles"], classes or [{}, {}], strict=True)]
     return {**SETTINGS, "profiles": changed, "extra": {**SETTINGS["extra"], **extra}}
 
 
 def configuration(**changes: Any) -> str:
+    """A configuration file with changes to its top-level values."""
     data = {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -106,47 +107,48 @@
 
 
 class Peer:
-    """A stand-in's end of a connection."""
+    """The test's end of a connection, and what it has received."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.data, self.closed = sock, bytearray(), False
         sock.setblocking(False)
 
     def pump(self) -> bool:
+        """Receive what has arrived; returns whether anything was new."""
         try:
-            more = b"" if self.closed else self.sock.recv(65536)
+            received = b"" if self.closed else self.sock.recv(65536)
         except BlockingIOError:
             return False
         except ConnectionResetError:
-            more = b""
-        fresh = bool(more) or not self.closed
-        self.closed = self.closed or not more
-        self.data += more
-        return fresh
+            received = b""
+        progressed = bool(received) or not self.closed
+        self.closed = self.closed or not received
+        self.data += received
+        return progressed
 
 
-class Vm:
-    """The stand-in interpreter: logs commands, answers gauges, ends runs when the scenario says."""
+class StandInInterpreter:
+    """The stand-in interpreter: logs commands, answers gauge queries and ends runs when told to."""
 
     def __init__(self) -> None:
         self.link: Peer | None = None
         self.lines, self.need = LineBuffer(65536), 0
         self.banner: str | None = "WARM"
         self.log: list[str] = []
-        self.handles: dict[str, str] = {}  # label -> handle, from the bodies
+        self.handles: dict[str, str] = {}  # attempt ids by label, which is the body of the request
         self.applied: list[str] = []
         self.number, self.load, self.lost, self.smoked = 0, (0.3, 1.0), 0, 0
         self._pending = ""
 
     def dialled(self) -> socket.socket:
-        ours, theirs = socket.socketpair()
-        self.link, self.lines, self._pending = Peer(ours), LineBuffer(65536), ""
-        return theirs
+        test_end, server_end = socket.socketpair()
+        self.link, self.lines, self._pending = Peer(test_end), LineBuffer(65536), ""
+        return server_end
 
     def pump(self) -> bool:
         if self.link is None:
             return False
-        fresh = self.link.pump()
+        progressed = self.link.pump()
         self.lines.feed(bytes(self.link.data))
         self.link.data.clear()
         while True:
@@ -154,7 +156,7 @@
                 handle, size = self._pending.split()[1::2]
                 body = self.lines.block(int(size) + 2)
                 if body is None:
-                    return fresh
+                    return progressed
                 if self.lost:
                     self.lost, self._pending = self.lost - 1, ""
                     continue
@@ -164,21 +166,21 @@
                 self.log.append(f"APPLY {label}")
             line = self.lines.line()
             if line is None:
-                return fresh
-            word, _, rest = line.decode().partition(" ")
-            if word == "APPLY":
+                return progressed
+            command, _, rest = line.decode().partition(" ")
+            if command == "APPLY":
                 self._pending = line.decode()
             elif self.lost:
-                self.lost -= word != "TOP"
-            elif word == "TOP":
+                self.lost -= command != "TOP"
+            elif command == "TOP":
                 self.tell(f"TOPS {rest} {self.load[0]} {self.load[1]} 0.1 3")
-            elif word == "SMOKE":
+            elif command == "SMOKE":
                 self.smoked += 1
                 self.tell(f"SMOKED {rest} OK")
             else:
                 names = {handle: label for label, handle in self.handles.items()}
-                self.log.append(f"{word} {names.get(rest, rest)}")
-                if word == "CONNECT" and self.banner:
+                self.log.append(f"{command} {names.get(rest, rest)}")
+                if command == "CONNECT" and self.banner:
                     self.tell(f"BANNER {self.banner} 500")
 
     def tell(self, line: str, body: bytes | None = None) -> None:
@@ -192,20 +194,20 @@
 
 
 class World(unittest.TestCase):
-    """One server and its stand-ins; ``play`` runs a scenario."""
+    """A test case with one server and its stand-ins; ``play`` runs a scenario."""
 
     banner: str | None = "WARM"
     backend: config.UwsgiBackendConfig | None = None
     contracts: list[Contract] | None = None
     store: SqliteAttemptLog | None = None
     settings: dict[str, Any] = SETTINGS
-    inherits = False  # whether callers' listening socket is one that another process holds too (``held``)
+    inherits = False  # whether the callers' listening socket is inherited from another process (``held``)
 
     def setUp(self) -> None:
         self.now = 100.0
         self.vm = self.interpreter()
         self.catalog: list[Peer] = []
-        self.catalog_up = self.up_there = False
+        self.catalog_up = self.uwsgi_server_up = False
         self.up: list[Peer] = []
         self.dialled: list[int] = []
         self.vm.banner = self.banner
@@ -214,18 +216,18 @@
             self.held = socket.create_server(("127.0.0.1", 0))
             self.addCleanup(self.held.close)
             environ["NODE_INHERITED_FD"] = str(os.dup(self.held.fileno()))
-        front = config.UwsgiFrontendConfig(("127.0.0.1", 0), "/match/", 30.0)
-        self.said: list[str] = []
+        frontend = config.UwsgiFrontendConfig(("127.0.0.1", 0), "/match/", 30.0)
+        self.log_lines: list[str] = []
         self.files = text
         options = ServerOptions(
             loop=Loop(lambda: self.now),
-            log=self.said.append,
+            log=self.log_lines.append,
             dial=self.dial,
             read_files=lambda: config.ConfigFiles(config.parse_config(self.files)),
             attempt_log=self.store,
         )
         self.server = Server(
-            config.ConfigFiles(config.parse_config(text, environ), front, self.backend, contracts=self.contracts),
+            config.ConfigFiles(config.parse_config(text, environ), frontend, self.backend, contracts=self.contracts),
             options,
         )
         self.peers: dict[str, Peer] = {}
@@ -247,55 +249,58 @@
         if self.vm.link is not None:
             self.vm.link.sock.close()
 
-    def interpreter(self) -> Vm:
-        return Vm()
+    def interpreter(self) -> StandInInterpreter:
+        return StandInInterpreter()
 
     def dial(self, loop: Loop, address: tuple[str, int], span: float) -> Generator[Any, Any, Any]:
-        ours, theirs = socket.socketpair()
+        test_end, server_end = socket.socketpair()
         self.dialled.append(address[1])
         if address[1] in (2, 4):
             return self.vm.dialled()
-        there, peers = (self.up_there, self.up) if address[1] == 3 else (self.catalog_up, self.catalog)
-        if not there:
+        reachable, peers = (self.uwsgi_server_up, self.up) if address[1] == 3 else (self.catalog_up, self.catalog)
+        if not reachable:
             return ConnectionEnd.UNREACHED
-        peers.append(Peer(ours))
-        return theirs
+        peers.append(Peer(test_end))
+        return server_end
         yield
 
     def pump(self) -> None:
-        """Rounds of the server and its stand-ins until none of them has anything to do."""
-        quiet = 0
-        while quiet < 3:
+        """Run rounds of the server and its stand-ins until all of them are idle."""
+        idle_rounds = 0
+        while idle_rounds < 3:
             due = self.server.next_at()
-            fresh = due is not None and due <= self.now
-            fresh = bool(select.select([self.server.loop._epoll], [], [], 0)[0]) or fresh
+            progressed = due is not None and due <= self.now
+            progressed = bool(select.select([self.server.loop._epoll], [], [], 0)[0]) or progressed
             self.server.loop.round(0, self.server.turn)
             for peer in (self.vm, *self.peers.values(), *self.up, *self.catalog):
-                fresh = peer.pump() or fresh
-            quiet = 0 if fresh else quiet + 1
+                progressed = peer.pump() or progressed
+            idle_rounds = 0 if progressed else idle_rounds + 1
 
     def wait(self, span: float) -> None:
+        """Advance the clock by ``span`` seconds in small steps."""
         until = self.now + span
         while self.now < until:
             self.now = min(until, self.now + 0.025)
             self.pump()
 
     def peer(self, name: str) -> Peer:
+        """The connection of this name, which is opened on its first use."""
         if name not in self.peers:
-            ours, theirs = socket.socketpair()
-            self.peers[name] = Peer(ours)
+            test_end, server_end = socket.socketpair()
+            self.peers[name] = Peer(test_end)
             if name[0] == "h":
                 assert self.server.admin is not None
-                self.server.admin.listener.adopt(theirs)
+                self.server.admin.listener.adopt(server_end)
             else:
-                self.server.listeners[1 if name[0] == "u" else 0].adopt(theirs)
+                self.server.listeners[1 if name[0] == "u" else 0].adopt(server_end)
         return self.peers[name]
 
     def play(self, text: str) -> None:
+        """Run the lines of a scenario."""
         for line in filter(None, (line.partition("#")[0].strip() for line in text.splitlines())):
-            verb, *words = line.split()
+            verb, *arguments = line.split()
             self.line = line
-            getattr(self, f"do_{verb}")(*words)
+            getattr(self, f"do_{verb}")(*arguments)
             self.pump()
 
     def do_wait(self, span: str) -> None:
@@ -315,8 +320,8 @@
             self.server.drain() if what == "TERM" else self.server.config_reload.reload()
         elif name == "up":
             body = b"done " + rest[0].encode() if rest else b""
-            more = (("Retry-After", "1"),) if what == "503" else ()
-            self.up[-1].sock.sendall(uwsgi.encode_response(HTTPStatus(int(what)), body, "text/plain", more))
+            headers = (("Retry-After", "1"),) if what == "503" else ()
+            self.up[-1].sock.sendall(uwsgi.encode_response(HTTPStatus(int(what)), body, "text/plain", headers))
         elif name == "vm":
             if what == "BANNER":
                 self.vm.tell(f"BANNER {rest[0]} 500")
@@ -331,7 +336,7 @@
         if name[0] == "h":
             return f"{what} {rest[0]} HTTP/1.1\r\nHost: control\r\n\r\n".encode()
         if name[0] == "u":
-            options = dict(word.split("=") for word in rest)
+            options = dict(option.split("=") for option in rest)
             variables = {"REQUEST_METHOD": "POST", "PATH_INFO": f"/match/{what}"}
             variables |= {"HTTP_X_REQUEST_ID": options["id"]} if "id" in options else {}
             variables |= {"HTTP_X_RETRY": "1"} if "retry" in options else {}
@@ -352,11 +357,13 @@
                 "crit": 0.9,
                 "arg": base64.b64encode(f"{name}.{what}".encode()).decode(),
             }
-            words = dict(word.split("=") for word in rest[1:])
-            if "body" in words:  # another request's label, as the further tries of one request have the same body
-                params["arg"] = base64.b64encode(words.pop("body").encode()).decode()
-            texts = {name: words.pop(short) for short, name in (("key", "dedupe"), ("of", "org")) if short in words}
-            params |= texts | {key: float(value) for key, value in words.items()}
+            arguments = dict(option.split("=") for option in rest[1:])
+            if "body" in arguments:  # another request's label: all attempts of one request have the same body
+                params["arg"] = base64.b64encode(arguments.pop("body").encode()).decode()
+            text_params = {
+                name: arguments.pop(short) for short, name in (("key", "dedupe"), ("of", "org")) if short in arguments
+            }
+            params |= text_params | {key: float(value) for key, value in arguments.items()}
         head = {"jsonrpc": "2.0", "method": method, **({"id": id} if id else {})}
         return json.dumps({**head, "params": params}).encode() + b"\n"
 
@@ -383,7 +390,7 @@
         elif name[0] == "h":
             head, _, body = bytes(peer.data).partition(b"\r\n\r\n")
             self.assertEqual(head.split()[1:2], [what.encode()], (self.line, head))
-            if rest:  # a figure: its name and labels, then its value
+            if rest:  # a metric: its name and labels, then its value
                 figures = dict(line.rsplit(" ", 1) for line in body.decode().splitlines() if line[:1] != "#")
                 self.assertEqual(figures.get(rest[0]), rest[1], self.line)
         elif name[0] == "u":
@@ -399,7 +406,7 @@
 
     @staticmethod
     def kind(answer: dict[str, Any]) -> str:
-        """An answer in the scenario's words."""
+        """An answer in terms of the scenario language."""
         if answer.get("method") == "draining":
             return "draining"
         if "up" in answer.get("result", {}):
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""Every crossing of a close with bytes on their way, on real connections and in the bad order every time."""
+"""Closes that cross bytes in transit, on real connections, with the unfavourable order of events forced."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 from lapishaven.server.client_connections import MESSAGE_TIMEOUT_S
 
 
-class AtRest(Tcp):
-    """The server closes what rests, while something crosses."""
+class IdleConnections(Tcp):
+    """The server closes an idle connection while bytes are in transit."""
 
-    def rest(self) -> None:
-        """Idle for longer than allowed, with no sweep in between."""
+    def exceed_idle_timeout(self) -> None:
+        """Advance the clock beyond the idle timeout, without a sweep."""
         self.now += self.server.callers.idle_timeout + 1
         self.server.loop.now = self.now
 
-    # Guards against a request that the kernel had already, discarded by a close as idle and reset.
-    def test_a_request_that_is_there_when_its_connection_is_idle_is_served(self) -> None:
+    # Guards against closing a connection as idle, with a reset, while the kernel already holds its next request.
+    def test_request_in_the_kernel_when_the_idle_timeout_expires_is_served(self) -> None:
         caller = self.connect()
         self.serve(caller, "t1", 1)
-        self.rest()
+        self.exceed_idle_timeout()
         self.send(caller, self.message("t1", "2", "fuzzy-match"))
         self.server.callers.sweep()
         self.until(lambda: "t1.2" in self.vm.handles, "its run")
@@ -43,10 +43,10 @@
         self.answered(caller, "result 1", "result 2")
         self.assertIsNone(caller.ended)
 
-    def test_a_request_that_is_there_when_room_is_made_is_served(self) -> None:
+    def test_request_in_the_kernel_when_connections_are_evicted_is_served(self) -> None:
         caller = self.connect()
         self.serve(caller, "t1", 1)
-        self.server.callers.sessions[self.of(caller)] = self.now  # was let off once already
+        self.server.callers.sessions[self.of(caller)] = self.now  # its second chance is used up
         self.send(caller, self.message("t1", "2", "fuzzy-match"))
         self.server.budget.limit = self.server.budget.used
         self.server.callers.make_room()
@@ -54,12 +54,13 @@
         self.vm.end("OK", "t1.2")
         self.answered(caller, "result 1", "result 2")
 
-    # Guards against the last bytes of a slow message that come as its time runs out.
-    def test_a_message_that_becomes_whole_as_it_times_out_is_served(self) -> None:
+    # Guards against dropping a slow message whose last bytes arrive just as it times out.
+    def test_message_that_becomes_complete_as_it_times_out_is_served(self) -> None:
         caller, line = self.connect(), self.message("t1", "1", "fuzzy-match")
         self.send(caller, line[:50])
         self.until(
-            lambda: self.of(caller).awaiting_since is not None and not buffered(self.of(caller).conn.sock), "half of it"
+            lambda: self.of(caller).awaiting_since is not None and not buffered(self.of(caller).conn.sock),
+            "the first half of the message",
         )
         self.send(caller, line[50:])
         self.now += MESSAGE_TIMEOUT_S + 0.1
@@ -67,12 +68,12 @@
         self.server.callers.sweep()
         self.until(lambda: "t1.1" in self.vm.handles, "its run")
 
-    # Guards against a reset over what crosses the close: it would reach the caller ahead of its answer.
-    def test_what_crosses_a_close_is_not_run_and_resets_nothing(self) -> None:
+    # Guards against a reset caused by requests that cross the close: it would overtake the caller's last answer.
+    def test_requests_that_cross_a_close_are_not_run_and_cause_no_reset(self) -> None:
         caller = self.connect()
         self.serve(caller, "t1", 1)
         session = self.of(caller)
-        self.rest()
+        self.exceed_idle_timeout()
         self.server.callers.sweep()
         self.round()
         self.assertTrue(session.conn.awaits_peer_close())
@@ -82,44 +83,44 @@
         self.ended(caller, "closed")
         self.assertNotIn("t1.2", self.vm.handles)
         caller.sock.close()
-        self.until(lambda: session.conn.end is not None, "the close of both")
+        self.until(lambda: session.conn.end is not None, "the end of the connection on both sides")
         self.assertEqual((session.conn.end, self.server.budget.used), (ConnectionEnd.IDLE, 0))
 
-    # Guards against a close that waits for ever: a peer that rests in its turn is left.
-    def test_a_peer_that_never_closes_is_left(self) -> None:
+    # Guards against a close that waits for ever for the peer to close its side.
+    def test_peer_that_never_closes_is_abandoned(self) -> None:
         caller = self.connect()
         self.serve(caller, "t1", 1)
-        self.rest()
+        self.exceed_idle_timeout()
         self.server.callers.sweep()
         self.wait(LINGER_S + 0.1)
         self.assertEqual((self.server.budget.used, len(self.server.callers.sessions)), (0, 0))
 
-    # Guards against a descriptor held for good by one that reads nothing of what it is owed.
-    def test_a_peer_that_never_reads_is_left(self) -> None:
-        for rest in (b"{", b""):
-            with self.subTest(rest=rest):
+    # Guards against a descriptor that is held for ever by a peer that does not read its answers.
+    def test_peer_that_never_reads_is_abandoned(self) -> None:
+        for partial in (b"{", b""):
+            with self.subTest(partial=partial):
                 caller = self.connect(SO_RCVBUF=2048)
                 conn = self.of(caller).conn
                 conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
                 for _ in range(8):
                     self.send(caller, b"[]\n" * 100)
-                    self.until(lambda conn=conn: not buffered(conn.sock), "its lines read")
-                self.send(caller, rest) if rest else None
-                self.until(lambda conn=conn: not buffered(conn.sock), "the rest read")
+                    self.until(lambda conn=conn: not buffered(conn.sock), "the lines to be read")
+                self.send(caller, partial) if partial else None
+                self.until(lambda conn=conn: not buffered(conn.sock), "the partial line to be read")
                 self.assertGreater(conn.send_buffer.size, 0)
                 sent = conn.sent
-                self.wait((MESSAGE_TIMEOUT_S if rest else self.server.callers.idle_timeout) + LINGER_S + 0.2)
+                self.wait((MESSAGE_TIMEOUT_S if partial else self.server.callers.idle_timeout) + LINGER_S + 0.2)
                 while conn.end is None and conn.sent != sent:
-                    # The kernel took more bytes, in real time, after the close had begun: that renews the wait.
+                    # The kernel accepted more bytes, in real time, after the close had begun, which renews the wait.
                     sent = conn.sent
                     self.wait(LINGER_S)
                 self.assertIsNotNone(conn.end)
                 self.assertEqual((self.server.budget.used, self.server.loop.unsent), (0, 0))
 
-    def test_a_peer_that_sends_for_ever_is_left(self) -> None:
+    def test_peer_that_never_stops_sending_is_abandoned(self) -> None:
         caller = self.connect()
         self.send(caller, b"x" * 9000)
-        self.until(lambda: self.of(caller).conn.closing is not None, "the refusal")
+        self.until(lambda: self.of(caller).conn.closing is not None, "the error for a line that is too long")
         session = self.of(caller)
         for _ in range(int(MAX_LINGER_S / 0.5) + 1):
             if session.conn.end is None:
@@ -129,10 +130,10 @@
 
 
 class HalfClosed(Tcp):
-    """The caller sends no more and waits for its answers."""
+    """The caller has half-closed its connection and waits for its answers."""
 
-    # Guards against taking the end of the input for the end of the caller: what was asked is still owed.
-    def test_a_caller_that_half_closes_gets_its_answers(self) -> None:
+    # Guards against treating a half-close as a full close: open requests are still to be answered.
+    def test_caller_that_half_closes_gets_its_answers(self) -> None:
         caller = self.connect()
         self.send(caller, self.message("t1", "1", "fuzzy-match"), self.message("t1", "2", "approve-commit"))
         caller.sock.shutdown(socket.SHUT_WR)
@@ -143,34 +144,34 @@
         self.ended(caller, "closed")
         self.until(lambda: self.server.budget.used == 0, "the close")
 
-    # Guards against losing what was read before the end, while the session waits for its next slice.
-    def test_the_end_of_the_input_drops_nothing_that_came_before(self) -> None:
-        caller, odd = self.connect(), platform.MESSAGES_PER_ROUND + 4
+    # Guards against losing messages read before the half-close while the session waits for its next round.
+    def test_half_close_drops_no_message_that_came_before_it(self) -> None:
+        caller, malformed_count = self.connect(), platform.MESSAGES_PER_ROUND + 4
         session = self.of(caller)
         assert isinstance(session, platform.Session)
-        self.send(caller, *[b"[]\n"] * odd, *(self.message("t1", str(n), "fuzzy-match") for n in (1, 2, 3)))
+        self.send(caller, *[b"[]\n"] * malformed_count, *(self.message("t1", str(n), "fuzzy-match") for n in (1, 2, 3)))
         caller.sock.shutdown(socket.SHUT_WR)
         self.round()
-        self.assertEqual((session._feeding, session.open), (True, {}), "it waits for its slice")
-        self.server.callers.close_gracefully()  # and even as all are closed, what was read is taken up first
+        self.assertEqual((session._feeding, session.open), (True, {}), "the session should wait for its next round")
+        self.server.callers.close_gracefully()  # messages that were read are processed even so
         self.until(lambda: "t1.3" in self.vm.handles, "the runs")
         for n in (1, 2, 3):
             self.vm.end("OK", f"t1.{n}")
-        self.answered(caller, *["-32600 None"] * odd, "result 1", "result 2", "result 3")
+        self.answered(caller, *["-32600 None"] * malformed_count, "result 1", "result 2", "result 3")
         self.ended(caller, "closed")
 
-    # Guards against runs for a caller that has closed for good: what is written to it comes back as a reset.
-    def test_a_caller_that_has_closed_for_good_is_gone(self) -> None:
+    # Guards against running requests of a caller that has fully closed: writing to it is answered with a reset.
+    def test_requests_of_a_caller_that_has_fully_closed_are_cancelled(self) -> None:
         caller = self.connect()
         self.send(caller, self.message("t1", "1", "approve-commit"))
         self.until(lambda: "t1.1" in self.vm.handles, "its run")
         caller.sock.close()
-        self.until(lambda: "BREAK t1.1" in self.vm.log, "its halt")
+        self.until(lambda: "BREAK t1.1" in self.vm.log, "the pause of its run")
         self.vm.end("STOPPED", "t1.1")
         self.until(lambda: not self.server.broker.requests, "an empty table")
         self.assertEqual(self.server.budget.used, 0)
 
-    def test_a_reset_with_requests_unread_leaves_nothing_behind(self) -> None:
+    def test_reset_with_unread_requests_releases_everything(self) -> None:
         caller = self.connect()
         self.send(caller, *(self.message("t1", str(n), "fuzzy-match") for n in range(1, 40)))
         session = self.of(caller)
@@ -183,8 +184,8 @@
 
 
 class SlowReader(Tcp):
-    # Guards against a last answer that is cut a second after the close because its reader is slow.
-    def test_an_answer_is_sent_whole_however_slowly_it_is_read(self) -> None:
+    # Guards against truncating the last answer a second after the close because the caller reads slowly.
+    def test_answer_is_sent_completely_however_slowly_it_is_read(self) -> None:
         caller = self.connect(SO_RCVBUF=2048)
         conn = self.of(caller).conn
         conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
@@ -193,33 +194,33 @@
         conn.close(ConnectionEnd.FINISHED)
         self.round()
         self.assertGreater(conn.send_buffer.size, 0)
-        got, began = b"", self.now
+        received, began = b"", self.now
         while conn.send_buffer.size:
             sent = conn.sent
-            # Time passes only once the bytes that were read have made room for others.
+            # The clock advances only once reading has let the server send more.
             while conn.sent == sent:
-                got += caller.sock.recv(1024)
+                received += caller.sock.recv(1024)
                 self.round()
             self.wait(LINGER_S / 2)
         self.assertGreater(self.now, began + LINGER_S)
-        while more := caller.sock.recv(65536):
-            got += more
-        self.assertEqual(got, whole)
-
-    # Guards against an innocent's answer that is lost because another reads nothing.
-    def test_at_the_memory_s_limit_the_one_that_holds_it_goes(self) -> None:
-        hog, innocent = self.connect(SO_RCVBUF=2048), self.connect()
-        conn, other = self.of(hog).conn, self.of(innocent).conn
+        while data := caller.sock.recv(65536):
+            received += data
+        self.assertEqual(received, whole)
+
+    # Guards against losing one caller's answer because another caller does not read.
+    def test_at_the_limit_of_unsent_bytes_the_largest_holder_is_evicted(self) -> None:
+        slow_reader, other_caller = self.connect(SO_RCVBUF=2048), self.connect()
+        conn, other = self.of(slow_reader).conn, self.of(other_caller).conn
         conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
         conn.write(bytes(60_000))
         self.round()
         self.server.loop.unsent_limit = conn.send_buffer.size + 10
         other.write(jsonrpc.encode_health(1, True))
-        self.answered(innocent, "well")
+        self.answered(other_caller, "well")
         self.assertEqual((conn.end, other.end), (ConnectionEnd.EVICTED, None))
         self.assertEqual(self.server.loop.unsent, 0)
 
-    def test_nothing_is_sent_after_a_close(self) -> None:
+    def test_nothing_is_sent_after_close(self) -> None:
         caller = self.connect()
         conn = self.of(caller).conn
         conn.write(b"first\n")
@@ -230,14 +231,14 @@
 
 
 class TooLarge(Tcp):
-    # Guards against answers that are dropped as a later line on their connection has no end.
-    def test_what_came_before_a_line_with_no_end_is_answered(self) -> None:
+    # Guards against dropping answers because a later line on the connection is too long.
+    def test_requests_before_a_line_that_is_too_long_are_answered(self) -> None:
         caller = self.connect()
         self.send(caller, self.message("t1", "1", "approve-commit"))
         self.until(lambda: "t1.1" in self.vm.handles, "its run")
         self.send(caller, b"x" * 9000)
         self.until(lambda: (caller.pump(), len(caller.lines) == 1)[1], "the error")
-        for _ in range(20):  # more of it than any buffer holds: it must be taken off its sender's hands
+        for _ in range(20):  # more than any buffer holds, so the server must keep reading
             caller.sock.sendall(bytes(200_000))
             self.until(lambda: not buffered(self.of(caller).conn.sock), "an empty buffer")
         self.vm.end("OK", "t1.1")
@@ -246,39 +247,39 @@
 
 
 class Loops(World):
-    # Guards against an event for a descriptor that was closed in the same wake-up, told to the next owner of its
+    # Guards against delivering an event of a descriptor closed in the same round to the descriptor that reuses its
     # number.
-    def test_a_stale_event_is_not_told_to_the_next_owner_of_the_number(self) -> None:
-        loop, told = Loop(), list[str]()
+    def test_stale_event_is_not_delivered_to_the_next_owner_of_the_descriptor_number(self) -> None:
+        loop, events = Loop(), list[str]()
         pairs = [socket.socketpair() for _ in range(2)]
         later: list[socket.socket] = []
 
         def first(mine: int) -> None:
-            told.append("first")
+            events.append("first")
             loop.unwatch(pairs[mine][0].fileno())
             other = pairs[1 - mine][0]
             number = other.fileno()
             loop.unwatch(number)
             other.close()
-            fresh, peer = socket.socketpair()
-            later.extend((fresh, peer))
-            assert fresh.fileno() == number
-            loop.watch(number, 1, lambda mask: told.append("its own"))
+            reused, peer = socket.socketpair()
+            later.extend((reused, peer))
+            assert reused.fileno() == number
+            loop.watch(number, 1, lambda mask: events.append("its own"))
 
         for n, (mine, peer) in enumerate(pairs):
             loop.watch(mine.fileno(), 1, lambda mask, n=n: first(n))
             peer.sendall(b"x")
         loop.round(0, lambda now: None)
-        self.assertEqual(told, ["first"])
+        self.assertEqual(events, ["first"])
         later[1].sendall(b"x")
         loop.round(0, lambda now: None)
-        self.assertEqual(told, ["first", "its own"])
+        self.assertEqual(events, ["first", "its own"])
         for sock in (*(end for pair in pairs for end in pair), *later):
             sock.close()
         loop.close()
 
-    # Guards against timers that pile up: each wait with a limit left one behind until its time.
-    def test_timers_of_what_is_over_are_let_go(self) -> None:
+    # Guards against timers that accumulate: each wait with a time-out left one behind until it was due.
+    def test_timers_of_ended_waits_are_released(self) -> None:
         loop = Loop(lambda: 1.0)
 
         def waits() -> object:
@@ -293,8 +294,8 @@
         self.assertLess(loop.timers, 200)
         loop.close()
 
-    # Guards against a connection that stays open, counted and silent because its coroutine fell to a fault.
-    def test_a_fault_in_a_session_closes_it_and_answers_what_is_open(self) -> None:
+    # Guards against a connection that stays open without being served after an exception in its coroutine.
+    def test_exception_in_a_session_closes_it_once_open_requests_are_answered(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 fuzzy-match
@@ -319,8 +320,8 @@
         self.assertEqual(self.server.budget.used, used)
         self.assertEqual(self.server.counters.get("faults", "session"), 1)
 
-    # Guards against a server that has lost its interpreter for good to one fault, and serves nobody.
-    def test_a_fault_on_the_link_makes_the_link_anew(self) -> None:
+    # Guards against a server that loses its interpreter for ever after one exception on the link.
+    def test_exception_on_the_link_restarts_the_link(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 fuzzy-match
@@ -342,8 +343,8 @@
         """)
 
 
-def test_many_short_connections_leave_nothing_behind() -> None:
-    """Guards against timers and connections that outlive their end."""
+def test_many_short_connections_release_everything() -> None:
+    """Guards against timers and senders that are kept after their connection has ended."""
     loop, ended = Loop(), list[ConnectionEnd]()
     for n in range(300):
         ours, theirs = socket.socketpair()
@@ -358,9 +359,9 @@
     loop.close()
 
 
-@pytest.mark.parametrize("how", ["halted", "timed out"])
-def test_a_request_that_is_withdrawn_half_sent_never_becomes_whole_at_the_backend(how: str) -> None:
-    """Guards against a run that nobody waits for: a close in order sends what is queued, here the request's rest."""
+@pytest.mark.parametrize("how", ["cancelled", "timed out"])
+def test_partly_sent_request_that_is_abandoned_is_never_completed_at_the_backend(how: str) -> None:
+    """Guards against a run of an abandoned request: a graceful close would send the queued rest of it."""
     clock = [100.0]
     loop = Loop(lambda: clock[0])
     ours, theirs = socket.socketpair()
@@ -370,53 +371,53 @@
     class Listener:
         def backend_up(self, cold: bool, up_for: float) -> None: ...
         def load_sampled(self, values: dict[str, float]) -> None: ...
-        def run_finished(self, handle: str, outcome: Outcome, spent: float, result: bytes) -> None:
+        def run_finished(self, attempt_id: str, outcome: Outcome, elapsed: float, result: bytes) -> None:
             ended.append(outcome)
 
     def dial(loop: Loop, address: tuple[str, int], span: float) -> Generator[Wait, None, socket.socket]:
         return theirs
         yield
 
-    spans = {"fuzzy-match": 5.6}
-    backend = UwsgiBackend(loop, ("127.0.0.1", 1), "/run/", 1, spans, Listener(), Counters(), dial)  # type: ignore[arg-type]
+    deadlines = {"fuzzy-match": 5.6}
+    backend = UwsgiBackend(loop, ("127.0.0.1", 1), "/run/", 1, deadlines, Listener(), Counters(), dial)  # type: ignore[arg-type]
     backend.start("h", "fuzzy-match", bytes(60_000), True)
     loop.round(0, lambda now: None)
-    if how == "halted":
+    if how == "cancelled":
         backend.pause("h")
     else:
         clock[0] += 6.0
-    got = b""
+    received = b""
     while True:
         loop.round(0, lambda now: None)
         if not select.select([ours], [], [], 0)[0]:
             assert loop.unsent == 0
             continue
-        more = ours.recv(65536)
-        if not more:
+        data = ours.recv(65536)
+        if not data:
             break
-        got += more
-    assert 0 < len(got) < 60_000
-    assert ended == [Outcome.CANCELLED if how == "halted" else Outcome.TIMEOUT]
+        received += data
+    assert 0 < len(received) < 60_000
+    assert ended == [Outcome.CANCELLED if how == "cancelled" else Outcome.TIMEOUT]
     ours.close()
     loop.close()
 
 
-def test_a_dial_without_a_descriptor_is_an_end_and_no_fault() -> None:
-    """Guards against a link that is lost for good as the table of descriptors was full for a moment."""
+def test_dial_without_a_free_descriptor_ends_as_unreached_without_exception() -> None:
+    """Guards against a link that is lost for ever because there was no free descriptor for a moment."""
     from lapishaven.net.connection import connect
 
-    loop, got = Loop(), list[object]()
+    loop, received = Loop(), list[object]()
 
     def dials() -> object:
-        got.append((yield from connect(loop, ("127.0.0.1", 1), 1.0)))
+        received.append((yield from connect(loop, ("127.0.0.1", 1), 1.0)))
 
     with mock.patch("socket.socket", side_effect=OSError(24, "too many open files")):
         loop.spawn(dials())  # type: ignore[arg-type]
-    assert got == [ConnectionEnd.UNREACHED]
+    assert received == [ConnectionEnd.UNREACHED]
     loop.close()
 
 
-def test_lines_in_these_tests_are_what_the_protocol_says() -> None:
-    """Guards the helpers: a line that the server could not read would make every test here pass for nothing."""
-    line = World.message(AtRest(), "t1", "1", "fuzzy-match")
+def test_request_lines_of_these_tests_are_valid() -> None:
+    """Guards against invalid lines from the test helper, with which every test here would pass vacuously."""
+    line = World.message(IdleConnections(), "t1", "1", "fuzzy-match")
     assert isinstance(next(iter(jsonrpc.ServerParser().feed(line))), jsonrpc.RunRequest) and json.loads(line)["id"] == 1
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -63,7 +63,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.disk, self.up_there = Disk(), True
+        self.disk, self.uwsgi_server_up = Disk(), True
         self.born()
 
     def born(self) -> None:
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -1,4 +1,4 @@
-"""The state machines and buffers, fed bytes in any pieces and any nonsense."""
+"""Property tests of parsers and buffers, and tests of the server's bounds on memory and descriptors."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     b"BANNER COLD 12\r\nVALUE 1 ab OK 200 4\r\n\r\n\n\r\r\nTOPS t 0.5 3 0.1 9\r\n" b"ERROR APPLY ab\r\nTRACE 2 a b\r\n"
 )
 PACKET = uwsgi.encode_request({"PATH_INFO": "/match/m", "HTTP_X_REQUEST_ID": "k"}, b"\x00\xff")
-PAGE = uwsgi.encode_response(uwsgi.HTTPStatus.OK, b"done", "text/plain")
+RESPONSE = uwsgi.encode_response(uwsgi.HTTPStatus.OK, b"done", "text/plain")
 
 
 def reporter() -> catalog.ReportClient:
@@ -34,29 +34,29 @@
     return client
 
 
-MACHINES: list[tuple[Callable[[], Any], bytes, int]] = [
+PARSERS: list[tuple[Callable[[], Any], bytes, int]] = [
     (jsonrpc.ServerParser, LINES, 3),
     (interpreter.NoticeParser, NOTICES, 5),
     (uwsgi.RequestParser, PACKET, 1),
-    (uwsgi.ResponseParser, PAGE, 1),
+    (uwsgi.ResponseParser, RESPONSE, 1),
     (reporter, b"HTTP/1.1 204 No Content\r\n\r\n", 1),
 ]
 
 
-def messages(machine: Any, pieces: Iterable[bytes]) -> list[Any]:
-    out: list[Any] = []
+def messages(parser: Any, pieces: Iterable[bytes]) -> list[Any]:
+    collected: list[Any] = []
     for piece in pieces:
-        got = machine.feed(piece)
-        out += [] if got is None else list(got) if hasattr(got, "__next__") else [got]
-    return out
+        result = parser.feed(piece)
+        collected += [] if result is None else list(result) if hasattr(result, "__next__") else [result]
+    return collected
 
 
-class Machines(unittest.TestCase):
-    # Guards against messages that depend on how the kernel cuts the stream.
+class Parsers(unittest.TestCase):
+    # Guards against messages that depend on how the stream is split into reads.
     @settings(derandomize=True, deadline=None, max_examples=60)
-    @given(st.integers(0, len(MACHINES) - 1), st.lists(st.integers(1, 40), min_size=1, max_size=30))
-    def test_pieces_of_any_size_give_the_same_messages(self, which: int, sizes: list[int]) -> None:
-        make, data, count = MACHINES[which]
+    @given(st.integers(0, len(PARSERS) - 1), st.lists(st.integers(1, 40), min_size=1, max_size=30))
+    def test_pieces_of_any_size_give_the_same_messages(self, index: int, sizes: list[int]) -> None:
+        make, data, count = PARSERS[index]
         pieces, at = [], 0
         while at < len(data):
             size = sizes[len(pieces) % len(sizes)]
@@ -66,19 +66,21 @@
         self.assertEqual(messages(make(), pieces), whole)
         self.assertEqual(len(whole), count)
 
-    # Guards against a crash on hostile input: anything else than a ProtocolError would leave the machine.
+    # Guards against a crash on hostile input: no exception other than ProtocolError may leave a parser.
     @settings(derandomize=True, deadline=None, max_examples=300)
-    @given(st.integers(0, len(MACHINES) - 1), st.binary(max_size=200), st.integers(0, 120), st.booleans())
-    def test_nonsense_is_a_protocol_error_at_most(self, which: int, junk: bytes, at: int, cut: bool) -> None:
-        make, data, _ = MACHINES[which]
+    @given(st.integers(0, len(PARSERS) - 1), st.binary(max_size=200), st.integers(0, 120), st.booleans())
+    def test_malformed_input_raises_nothing_but_protocol_errors(
+        self, index: int, garbage: bytes, at: int, cut: bool
+    ) -> None:
+        make, data, _ = PARSERS[index]
         try:
-            messages(make(), [data[:at] + junk + (b"" if cut else data[at:]) + b"\n"])
+            messages(make(), [data[:at] + garbage + (b"" if cut else data[at:]) + b"\n"])
         except ProtocolError:
             return
 
     @settings(derandomize=True, deadline=None, max_examples=60)
     @given(st.lists(st.tuples(st.binary(max_size=90), st.integers(0, 90)), max_size=40))
-    def test_the_ring_is_a_queue_with_a_limit(self, steps: list[tuple[bytes, int]]) -> None:
+    def test_ring_buffer_is_a_bounded_queue(self, steps: list[tuple[bytes, int]]) -> None:
         ring, model = RingBuffer(200, 16), b""
         for data, count in steps:
             if len(model) + len(data) > 200:
@@ -92,12 +94,12 @@
             self.assertEqual(len(ring), len(model))
 
 
-class Unread(World):
-    # Guards against death by memory: callers that never read leave answers here, up to one common bound.
-    def test_answers_that_nobody_reads_are_bounded(self) -> None:
+class UnreadAnswers(World):
+    # Guards against exhausting memory with answers to callers that never read; all callers share one bound.
+    def test_unread_answers_are_bounded(self) -> None:
         with mock.patch.object(self.server.loop, "unsent_limit", 400):
             self.play("send c1 1 no-such-class\nexpect c1 -32601 1")
-            self.peer("c1").sock.sendall(b"x\n" * 20)  # twenty errors in one round are over the bound
+            self.peer("c1").sock.sendall(b"x\n" * 20)  # twenty errors in one round exceed the bound
             self.pump()
         self.play("send c2 1 fuzzy-match\nsend vm OK c2.1\nexpect c2 result 1")
         self.assertEqual(self.server.counters.get("ends", "caller evicted"), 1)
@@ -105,7 +107,7 @@
 
 
 class Bounds(World):
-    # Guards against memory that grows with keys: results are let go, oldest first, and none is counted twice.
+    # Guards against memory that grows with keys: results are evicted, oldest first, and none is counted twice.
     def test_kept_results_are_bounded(self) -> None:
         table = IdempotencyKeyTable(100)
         for id in range(1, 50):
@@ -118,9 +120,9 @@
         self.assertEqual([table.find((0, f"k{n}"), 11.0) for n in range(7)], [None] * 7)
         self.assertEqual((len(table), table.result_size), (0, 0))
 
-    # Guards against memory that grows with commits: tries are let go after their life, and with no room to
-    # remember a run there is none, as forgetting one early could let it run twice.
-    def test_the_guard_is_bounded_and_forgets_nothing_early(self) -> None:
+    # Guards against memory that grows with commits: attempts are kept for their retention time, and a commit that
+    # cannot be recorded is rejected, as dropping a record early could let a commit run twice.
+    def test_execution_guard_is_bounded_and_drops_no_record_early(self) -> None:
         self.server.broker.guard.attempts.limit = 2
         self.play("""
             expect vm CONNECT 0
@@ -141,33 +143,33 @@
         """)
 
 
-class FullTable(World):
-    # Guards against death by too many: callers beyond the descriptors push out who is idle, never who waits.
-    def test_a_crowd_stays_within_the_budget_and_the_busy_are_served(self) -> None:
+class DescriptorLimit(World):
+    # Guards against exhausting descriptors: callers beyond the limit evict idle connections, never busy ones.
+    def test_connections_stay_within_the_budget_and_busy_callers_are_served(self) -> None:
         self.play("send c1 1 fuzzy-match\nexpect vm CONNECT 0\nexpect vm APPLY c1.1")
-        room = self.server.budget.limit
-        many = [socket.create_connection(self.server.listeners[0].address) for _ in range(room + 40)]
+        limit = self.server.budget.limit
+        socks = [socket.create_connection(self.server.listeners[0].address) for _ in range(limit + 40)]
         for _ in range(4000):
             self.now += 0.001
             self.server.loop.round(0, self.server.turn)
-            self.assertLessEqual(self.server.budget.used, room)
-            if self.server.counters.get("connections", "accepted") == len(many) + 1:
+            self.assertLessEqual(self.server.budget.used, limit)
+            if self.server.counters.get("connections", "accepted") == len(socks) + 1:
                 break
-        # These peers never answer a half-close. Each is left once nothing can cross it any more, and no more of them
-        # are than are needed, and one batch.
+        # These peers never answer a half-close, so each is abandoned after the linger time. No more than the needed
+        # number are evicted, plus one batch.
         evicted = self.server.counters.get("ends", "caller evicted")
         self.assertGreaterEqual(evicted, 41)
-        self.assertLessEqual(evicted, 41 + room // EVICTION_BATCH_DIVISOR)
+        self.assertLessEqual(evicted, 41 + limit // EVICTION_BATCH_DIVISOR)
         self.play("send vm OK c1.1\nexpect c1 result 1")
-        for sock in many:
+        for sock in socks:
             sock.close()
 
 
-class Fault(World):
-    # Guards against one fault of the module ending the process: the net still answers what was read.
-    def test_a_fault_in_a_turn_leaves_the_net_at_the_due_time(self) -> None:
+class ControllerFault(World):
+    # Guards against an exception in the controller that ends the process: the request still fails at its deadline.
+    def test_exception_in_a_turn_leaves_the_deadline_in_force(self) -> None:
         self.pump()
-        with mock.patch.object(self.server.broker.controller, "handle", side_effect=ValueError("told")):
-            with mock.patch("traceback.print_exc") as told:
+        with mock.patch.object(self.server.broker.controller, "handle", side_effect=ValueError("injected")):
+            with mock.patch("traceback.print_exc") as print_exc:
                 self.play("send c1 1 approve-commit\nwait 3.9\nexpect c1 failed 1")
-            self.assertTrue(told.called)
+            self.assertTrue(print_exc.called)
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -1,4 +1,4 @@
-"""Contracts, budgets, the store of record and the command line."""
+"""Contracts, budgets, the attempt log and the command line."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-class Brokered(World):
+class ContractScenarios(World):
     backend = config.UwsgiBackendConfig(("127.0.0.1", 3), "/run/")
     contracts = [
         Contract("team", "editor", 0, 2.0, "interpreter", 1.0, 2.0),
@@ -33,12 +33,12 @@
         self.path, self.dropped = f"{folder.name}/record.db", 0
         self.store = SqliteAttemptLog(self.path, self.drop)
         super().setUp()
-        self.up_there = True
+        self.uwsgi_server_up = True
 
     def drop(self) -> None:
         self.dropped += 1
 
-    def test_contracts_name_routes_deadlines_and_refusals(self) -> None:
+    def test_contracts_set_routes_deadlines_and_rejections(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send u1 fuzzy-match                  # names no team
@@ -61,14 +61,14 @@
             expect vm APPLY u7
             wait 1.1                             # u3 is due after the contract's 2 s, not the class's 5.6 s
             expect u3 504
-            send c1 1 fuzzy-match                # the platform's callers come under no contract
+            send c1 1 fuzzy-match                # callers of the platform frontend need no contract
             expect up fuzzy-match c1.1
         """)
         reasons = self.server.counters.groups["reasons"]
         self.assertEqual((reasons["no contract"], reasons["over budget"]), (2, 1))
 
-    # Guards against a commit that runs again because the process that ran it first has gone.
-    def test_a_commit_of_an_earlier_life_is_not_started_again(self) -> None:
+    # Guards against running a commit again after a restart of the process that ran it first.
+    def test_commit_of_an_earlier_process_is_not_started_again(self) -> None:
         self.play("""
             send u1 approve-commit by=pipeline id=k
             expect up approve-commit u1
@@ -80,13 +80,13 @@
         """)
         self.tearDown()
         self.store.close()
-        with closing(sqlite3.connect(self.path)) as base:
-            rows = base.execute("select event, class, service, detail from record").fetchall()
+        with closing(sqlite3.connect(self.path)) as database:
+            rows = database.execute("select event, class, service, detail from record").fetchall()
         commit = "approve-commit", "pipeline"
         self.assertEqual(rows[:2], [("started", *commit, ""), ("answered", *commit, "served")])
         self.store = SqliteAttemptLog(self.path, self.drop)
         World.setUp(self)
-        self.up_there = True
+        self.uwsgi_server_up = True
         self.play("""
             send u3 approve-commit by=pipeline id=k retry=1
             expect u3 502
@@ -103,14 +103,14 @@
 
 
 class CommandLine(unittest.TestCase):
-    def run_with(self, text: str, *words: str) -> tuple[int, str]:
+    def run_with(self, text: str, *arguments: str) -> tuple[int, str]:
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "c.json").write_text(text)
-            result = CliRunner().invoke(app, ["check-config", "--config", f"{folder}/c.json", *words])
+            result = CliRunner().invoke(app, ["check-config", "--config", f"{folder}/c.json", *arguments])
             return result.exit_code, result.output.replace(folder, "")
 
-    # Guards against a file of ours under deploy/ that the program does not take.
-    def test_the_project_s_own_files_pass(self) -> None:
+    # Guards against a file under deploy/ that the program does not accept.
+    def test_files_under_deploy_are_valid(self) -> None:
         files = "--uwsgi", str(ROOT / "deploy/uwsgi.toml"), "--contracts", str(ROOT / "deploy/contracts.toml")
         code, out = self.run_with(configuration(), *files)
         self.assertEqual(code, 0, out)
@@ -119,8 +119,8 @@
         out = self.run_with(configuration(control="127.0.0.1:9"))[1]
         self.assertIn("uwsgi front off, backend off\ncontrol address 127.0.0.1:9\n", out)
 
-    # Guards against a traceback, or a start, where an operator made a mistake in a file.
-    def test_mistakes_are_one_plain_line_and_exit_2(self) -> None:
+    # Guards against a traceback, or a successful start, when a configuration file is invalid.
+    def test_invalid_configuration_is_reported_in_one_line_with_exit_code_2(self) -> None:
         cases = [
             ("nonsense", "not JSON"),
             (configuration(listen="here"), "listen is not HOST:PORT"),
@@ -141,6 +141,6 @@
         self.assertEqual(CliRunner().invoke(app, ["version"]).output, f"{__version__}\n")
         self.assertNotIn("--uwsgi", (ROOT / "deploy/balancer.toml").read_text())  # off on the platform
 
-    def test_without_node_config(self) -> None:
+    def test_missing_node_config_is_an_error(self) -> None:
         environ = {name: value for name, value in os.environ.items() if name != "NODE_CONFIG"}
         self.assertRaisesRegex(config.ConfigError, "NODE_CONFIG is not set", config.load_config, None, environ)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios on the real server: the life of a request on both fronts, drains, broken links."""
+"""Scenarios on the real server: requests over both frontends, shutdowns and broken links."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Platform(World):
-    def test_a_request_is_served_with_its_result_unchanged(self) -> None:
+    def test_request_is_served_with_its_result_unchanged(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 fuzzy-match
@@ -25,8 +25,8 @@
         """)
         self.assertEqual(self.server.counters.get("answers", "served"), 1)
 
-    # Guards against a second answer: the run's end comes after the due time was answered.
-    def test_a_due_request_is_answered_once_and_its_run_stopped(self) -> None:
+    # Guards against a second answer: the run ends after the request was failed at its deadline.
+    def test_request_past_its_deadline_is_answered_once_and_its_run_stopped(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit
@@ -34,14 +34,14 @@
             wait 3.6
             expect c1 nothing
             wait 0.2
-            expect c1 failed 1       # it ran, so this is no refusal
+            expect c1 failed 1       # it ran, so it is not rejected
             expect vm BREAK c1.1
             send vm OK c1.1
             expect c1 nothing
         """)
 
-    # Guards against running what nobody waits for, and against an answer that is no longer owed.
-    def test_forget_stops_the_run(self) -> None:
+    # Guards against running a cancelled request to its end, and against answering it.
+    def test_cancelling_a_request_stops_its_run(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 fuzzy-match
@@ -53,8 +53,8 @@
         """)
         self.assertEqual(self.server.broker.requests, {})
 
-    # Guards against a stale try: the same call id must not meet the run of the request before it.
-    def test_the_same_call_on_another_connection_is_not_run_again(self) -> None:
+    # Guards against a second run when an attempt id is reused while the first run with it may still be in progress.
+    def test_same_attempt_id_on_another_connection_is_not_run_again(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit
@@ -68,8 +68,8 @@
             expect vm nothing
         """)
 
-    # Guards against a link's break losing or doubling runs: old notices are dropped, nothing is sent twice.
-    def test_a_broken_link_is_made_anew_from_the_last_notice(self) -> None:
+    # Guards against lost or repeated runs after a break: notices read before are dropped, no command is sent twice.
+    def test_broken_link_is_dialled_again_from_the_last_notice(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit
@@ -78,19 +78,19 @@
             expect vm APPLY c1.2
             send vm OK c1.1
             expect c1 result 1
-            wait 0.3                 # by now a gauge's answer proved that both were read
+            wait 0.3                 # by now the answer to a gauge query has proved that both were read
             close vm
             wait 0.1
             expect vm CONNECT 1
             expect vm nothing
-            send vm OK c1.1 1        # a notice that was read before
+            send vm OK c1.1 1        # a notice that was processed before
             expect c1 nothing
             send vm OK c1.2 2
             expect c1 result 2
         """)
 
-    # Guards against commands lost between two links: what came up meanwhile goes out on the next one, once.
-    def test_what_never_arrived_is_sent_on_the_next_link(self) -> None:
+    # Guards against losing or repeating commands issued while there is no link: each is sent once, on the next one.
+    def test_command_issued_without_a_link_is_sent_on_the_next_link(self) -> None:
         self.play("""
             expect vm CONNECT 0
             close vm
@@ -106,8 +106,8 @@
             expect vm nothing
         """)
 
-    # Guards against a run that nobody waits for: its command had not left when its caller gave up.
-    def test_what_never_left_is_not_sent_once_it_is_forgotten(self) -> None:
+    # Guards against starting a run whose request was cancelled before its command was sent.
+    def test_unsent_command_of_a_cancelled_request_is_dropped(self) -> None:
         self.play("""
             expect vm CONNECT 0
             close vm
@@ -121,27 +121,27 @@
         """)
         self.assertEqual(len(self.server.broker.requests), 1)
 
-    # Guards against a second run after a break in mid-command: what the kernel took whole may have run.
-    def test_a_command_counts_as_sent_with_its_last_byte(self) -> None:
+    # Guards against a second run after a break: a command that the kernel accepted completely may have run.
+    def test_command_counts_as_sent_with_its_last_byte(self) -> None:
         unconfirmed = UnconfirmedCommands()
         unconfirmed.add_query("", 11)
         for now, handle in enumerate("abcd"):
             unconfirmed.add(now, Command(handle, b"APPLY " + handle.encode() + b" x 0\r\n\r\n"))
             unconfirmed.add_query(handle, 10)
-        unconfirmed.answered(2.05, "b")  # proves a, but c was written too short a time before to be safe
+        unconfirmed.answered(2.05, "b")  # confirms a; c was written within the loss window
         at_end = unconfirmed.take_unconfirmed(11 + 25 * 2 + 15 + 10 + 14)
         self.assertEqual([command.attempt_id for command in at_end.uncertain], ["c"])
         self.assertEqual([command.attempt_id for command in at_end.unsent], ["d"])
         self.assertEqual(unconfirmed.take_unconfirmed(1000), UnconfirmedAtEnd([], []))
 
-    # Guards against requests that seem to run for a minute as a break took their commands along: each held a
-    # place and its caller until its due time. What is safe is sent again, a commit never is.
-    def test_what_a_break_may_have_lost_is_settled_on_the_next_link(self) -> None:
+    # Guards against requests that appear to run until their deadline because their commands were lost in a break,
+    # and occupy a slot and their caller meanwhile. Idempotent runs are sent again, commits never.
+    def test_commands_possibly_lost_in_a_break_are_resolved_on_the_next_link(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit
             expect vm APPLY c1.1
-            send vm OK c1.1          # over, so in no doubt
+            send vm OK c1.1          # ended, so not uncertain
             expect c1 result 1
             send c1 2 approve-commit
             expect vm APPLY c1.2
@@ -151,11 +151,11 @@
             close vm
             wait 0.05
             expect vm CONNECT 1
-            expect vm BREAK c1.2     # stopped to see whether it runs
+            expect vm BREAK c1.2     # paused to find out whether it is running
             send vm STOPPED c1.2
             expect vm APPLY c1.3
         """)
-        self.assertEqual(self.vm.log.pop(0)[:5], "BREAK")  # c1.4, which no interpreter has heard of
+        self.assertEqual(self.vm.log.pop(0)[:5], "BREAK")  # c1.4, whose start never arrived
         self.play("""
             expect vm CONTINUE c1.2
             expect c1 nothing
@@ -169,8 +169,8 @@
         """)
         self.assertEqual(self.server.broker.requests, {})
 
-    # Guards against giving up a run that was stopped for a look as the next link broke, too.
-    def test_a_look_outlives_another_break(self) -> None:
+    # Guards against giving up a run that was paused as a probe when the next link breaks as well.
+    def test_pause_probe_survives_another_break(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit
@@ -199,8 +199,8 @@
             expect vm nothing
         """)
 
-    # Guards against a run that is taken up again though its caller left while it was in doubt.
-    def test_what_is_in_doubt_can_be_forgotten(self) -> None:
+    # Guards against resuming an uncertain run whose request was cancelled meanwhile.
+    def test_uncertain_run_can_be_cancelled(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 approve-commit
@@ -213,7 +213,7 @@
             wait 0.05
             expect vm CONNECT 0
             expect vm BREAK c1.1
-            expect vm APPLY c1.2     # tells whether it still runs
+            expect vm APPLY c1.2     # shows whether it is still running
             expect vm BREAK c1.2
             send vm STOPPED c1.1
             send vm MOOT c1.2
@@ -221,8 +221,8 @@
         """)
         self.assertEqual(self.server.broker.requests, {})
 
-    # Guards against a result lost to a remark: remarks carry numbers, too.
-    def test_a_remark_never_stands_for_the_end_of_a_run(self) -> None:
+    # Guards against a lost result: a remark has a notice number too, and must not advance the last run end.
+    def test_remark_is_not_counted_as_the_end_of_a_run(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 fuzzy-match
@@ -234,8 +234,8 @@
             expect c1 result 1
         """)
 
-    # Guards against an end on SIGHUP, and against anything open being lost by a reload.
-    def test_a_reload_moves_the_links_and_keeps_all_that_is_open(self) -> None:
+    # Guards against a server that exits on SIGHUP, and against losing open requests in a reload.
+    def test_reload_moves_the_links_and_keeps_open_requests(self) -> None:
         self.catalog_up = True
         self.play("""
             expect vm CONNECT 0
@@ -261,7 +261,7 @@
             expect vm nothing
         """)
         self.assertEqual(sorted(self.dialled), [4, 5])
-        self.assertEqual(self.said[-1], "configuration reload: done; ignored until a restart: name")
+        self.assertEqual(self.log_lines[-1], "configuration reload: done; ignored until a restart: name")
         self.files = "{"
         self.play("""
             send server HUP
@@ -269,24 +269,24 @@
             expect vm APPLY c1.4
         """)
         self.assertEqual(
-            self.said[-1],
+            self.log_lines[-1],
             "configuration reload failed, the previous configuration stays in force: the configuration is not JSON",
         )
         self.assertEqual(sorted(self.dialled), [4, 5])
 
-    # Guards against a link to an address that a second reload took back while the first one was dialled.
-    def test_a_second_reload_in_the_middle_of_the_first(self) -> None:
+    # Guards against a link to a stale address: a second reload reverts the address while the first one is dialled.
+    def test_second_reload_while_the_first_one_is_dialled(self) -> None:
         self.play("expect vm CONNECT 0")
         dial = self.server.backends.by_name["interpreter"]._dial
 
-        def slow(loop: Loop, address: tuple[str, int], span: float) -> Generator[Any, Any, Any]:
+        def reloading_dial(loop: Loop, address: tuple[str, int], span: float) -> Generator[Any, Any, Any]:
             sock = yield from dial(loop, address, span)
             if address[1] == 4:
                 self.files = configuration(vm="127.0.0.1:2")
                 self.server.config_reload.reload()
             return sock
 
-        self.server.backends.by_name["interpreter"]._dial = slow
+        self.server.backends.by_name["interpreter"]._dial = reloading_dial
         self.files = configuration(vm="127.0.0.1:4")
         self.dialled.clear()
         self.play("""
@@ -297,8 +297,8 @@
         """)
         self.assertEqual([port for port in self.dialled if port != 1], [4, 2])
 
-    # Guards against commands given to a link on its way out: they wait for the new one.
-    def test_what_comes_while_the_link_moves_goes_to_the_new_address(self) -> None:
+    # Guards against sending commands on a link that is about to be closed: they wait for the new one.
+    def test_command_issued_while_the_link_moves_goes_to_the_new_address(self) -> None:
         self.play("expect vm CONNECT 0")
         self.files = configuration(vm="127.0.0.1:4")
         self.play("""
@@ -314,15 +314,15 @@
             expect vm nothing
         """)
 
-    # Guards against work begun after the leave, and against a caller left without the notice.
-    def test_drain_answers_what_was_read_and_runs_nothing_late(self) -> None:
+    # Guards against runs started after the grace period, and against callers that get no draining notice.
+    def test_shutdown_answers_what_was_read_and_starts_no_run_after_the_grace(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 fuzzy-match
             expect vm APPLY c1.1
             send server TERM
             expect c1 draining
-            send c1 2 fuzzy-match    # crossed the notice
+            send c1 2 fuzzy-match    # crosses the draining notice
             expect vm APPLY c1.2
             wait 2.05
             send c1 3 fuzzy-match
@@ -334,8 +334,8 @@
             expect c1 failed 2       # before the kill at 3.2 s
         """)
 
-    # Guards against a crash or a hang on input that is no request, and against an answer to a used id.
-    def test_malformed_lines_get_their_error_and_the_rest_goes_on(self) -> None:
+    # Guards against a crash or hang on malformed input, and against answering a reused id.
+    def test_malformed_lines_get_an_error_and_the_connection_goes_on(self) -> None:
         self.play(r"""
             expect vm CONNECT 0
             send c1 raw {nonsense\n
@@ -365,31 +365,31 @@
         self.peer("c1").sock.sendall(b"x" * 20_000)
         self.play("""
             expect c1 -32700 None
-            expect c1 nothing        # what was read before is still owed its answer
+            expect c1 nothing        # the request that was read before is still answered
             send vm OK c1.3
             expect c1 result 3
             expect c1 closed
         """)
 
-    # Guards against losing the first request of a name when a second one comes: it can still be forgotten.
-    def test_a_name_in_use_is_failed_and_the_first_goes_on(self) -> None:
+    # Guards against losing the first request with an attempt id when a second one comes: it can still be cancelled.
+    def test_attempt_id_in_use_is_failed_and_the_first_request_goes_on(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 1 fuzzy-match
             expect vm APPLY c1.1
         """)
-        again = self.message("c1", "1", "fuzzy-match").replace(b'"id": 1', b'"id": 2')
-        self.peer("c1").sock.sendall(again)
+        duplicate = self.message("c1", "1", "fuzzy-match").replace(b'"id": 1', b'"id": 2')
+        self.peer("c1").sock.sendall(duplicate)
         self.play("""
             expect c1 failed 2
             send c1 forget 1
             expect vm BREAK c1.1
         """)
         self.server.counter_report.log_counters()
-        self.assertIn('"answers": {"failed": 1}', self.said[-1])
-        self.assertRegex(self.said[-1], r'"bytes": {"received": \d{3}, "sent": \d{2,3}}')
+        self.assertIn('"answers": {"failed": 1}', self.log_lines[-1])
+        self.assertRegex(self.log_lines[-1], r'"bytes": {"received": \d{3}, "sent": \d{2,3}}')
 
-    def test_checks_are_answered_from_the_module_and_deep_ones_by_the_interpreter(self) -> None:
+    def test_health_checks_are_answered_by_the_server_and_deep_ones_by_the_interpreter(self) -> None:
         self.play("""
             send c1 check
             expect c1 well
@@ -401,8 +401,8 @@
             expect c3 unwell
         """)
 
-    # Guards against a healthy server that is left out as a check met a break, and against a flood of checks.
-    def test_deep_checks_outlive_a_break_and_share_one_end(self) -> None:
+    # Guards against a healthy server that fails a check because the link broke, and against one query per check.
+    def test_deep_checks_survive_a_break_and_share_one_query(self) -> None:
         self.play("expect vm CONNECT 0\nlose vm 1")
         for name in ("c1", "c2", "c3"):
             self.peer(name).sock.sendall(self.message(name, "check", "deep"))
@@ -418,8 +418,8 @@
         """)
         self.assertEqual(self.vm.smoked, 1)
 
-    # Guards against a crowd that says nothing, or half a message, and holds the descriptors of real callers.
-    def test_the_silent_and_the_half_open_go_first(self) -> None:
+    # Guards against connections without a complete message that hold the descriptors of real callers.
+    def test_silent_connections_and_incomplete_messages_are_closed_first(self) -> None:
         self.play(r"""
             expect vm CONNECT 0
             send c1 1 fuzzy-match
@@ -430,10 +430,10 @@
             send c2 raw {"id":1
             send c3 raw {"id":1
         """)
-        self.server.budget.limit = EVICTION_BATCH_DIVISOR  # so that one at a time is closed
+        self.server.budget.limit = EVICTION_BATCH_DIVISOR  # so that one connection is closed at a time
         self.assertTrue(self.server.callers.make_room())
         self.play(r"""
-            expect c2 closed         # though it spoke last, and c1 came first
+            expect c2 closed         # although it was active last, and c1 came first
             expect c1 nothing
             wait 1.5
             send c3 raw ,
@@ -442,7 +442,7 @@
             send c4 raw {
             wait 0.6
             expect c3 closed
-            expect c4 nothing        # its request is still owed an answer
+            expect c4 nothing        # its request is still to be answered
             expect u1 nothing
             wait 1.5
             expect u1 closed
@@ -453,11 +453,11 @@
             expect c1 nothing
         """)
 
-    # Guards against hundreds at once that stop the reading, so that what takes them back is not read.
-    def test_hundreds_may_be_taken_back_at_once(self) -> None:
-        wanted = [self.message("c1", str(n), "fuzzy-match") for n in range(1, 101)]
-        back = [self.message("c1", "forget", str(n)) for n in range(1, 101)]
-        self.peer("c1").sock.sendall(b"".join(wanted + back))
+    # Guards against a full request table that stops the reading, so that the cancellations behind it are not read.
+    def test_more_than_the_open_limit_can_be_cancelled_at_once(self) -> None:
+        requests = [self.message("c1", str(n), "fuzzy-match") for n in range(1, 101)]
+        cancellations = [self.message("c1", "forget", str(n)) for n in range(1, 101)]
+        self.peer("c1").sock.sendall(b"".join(requests + cancellations))
         self.play("""
             expect c1 -32600 65
             send c1 101 fuzzy-match
@@ -465,7 +465,7 @@
         self.assertEqual(list(self.server.broker.requests_by_attempt)[-1], self.call("c1", "101"))
         self.assertEqual(self.server.broker.open_requests, 1)
 
-    # Guards against closing under a request, and against a table full of idle connections.
+    # Guards against closing a connection with an open request, and against keeping idle connections for ever.
     def test_only_idle_connections_are_closed(self) -> None:
         self.play("""
             send c1 1 fuzzy-match
@@ -481,11 +481,11 @@
         """)
 
 
-class Late(World):
+class LateInterpreter(World):
     banner = None
 
-    # Guards against a start that needs the interpreter: it may come up long after, and cold.
-    def test_the_interpreter_may_be_up_late_and_cold(self) -> None:
+    # Guards against a server that cannot start without the interpreter, which may come up much later, and cold.
+    def test_interpreter_may_come_up_late_and_cold(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send c1 check
@@ -497,8 +497,8 @@
         self.assertTrue(self.server.broker.settings.slow_start)
 
 
-class UwsgiFront(World):
-    def test_a_packet_is_served_and_every_end_has_its_status(self) -> None:
+class UwsgiFrontend(World):
+    def test_packet_is_served_and_each_outcome_has_its_status(self) -> None:
         self.play(r"""
             expect vm CONNECT 0
             send u1 fuzzy-match
@@ -526,8 +526,8 @@
             expect u9 400
         """)
 
-    # Guards against a second commit: the client leaves while it runs, and its gateway tries again.
-    def test_a_commit_whose_client_left_is_never_started_again(self) -> None:
+    # Guards against a second commit: the client disconnects during the run, and its gateway retries.
+    def test_commit_whose_client_disconnected_is_never_started_again(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send u1 approve-commit id=k
@@ -536,14 +536,14 @@
             expect vm BREAK u1
             send vm STOPPED u1
             send u2 approve-commit id=k retry=1
-            expect u2 502            # it started once, so no 503
-            wait 10                  # the kept key has run out, the guard has not
+            expect u2 502            # it was started, so it is not rejected with 503
+            wait 10                  # the key's result has expired, the execution guard has not
             send u3 approve-commit id=k retry=1
             expect u3 502
             expect vm nothing
         """)
 
-    def test_a_repeat_gets_the_first_try_s_result(self) -> None:
+    def test_retry_gets_the_result_of_the_first_attempt(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send u1 approve-commit id=k
@@ -557,8 +557,8 @@
             expect u3 200 u1
         """)
 
-    # Guards against a held request that outlives its client: it never starts, and its key is free again.
-    def test_a_disconnect_while_held_frees_the_key(self) -> None:
+    # Guards against starting a queued request whose client disconnected: it never starts, and its key is free again.
+    def test_disconnect_of_a_queued_request_frees_its_key(self) -> None:
         self.vm.load = (1.0, 6.0)
         self.play("expect vm CONNECT 0\n" + "".join(f"send u{n} fuzzy-match\n" for n in range(1, 7)))
         self.play("\n".join(f"expect vm APPLY u{n}" for n in range(1, 7)))
@@ -574,14 +574,14 @@
             expect u8 200 u8
         """)
 
-    # Guards against a crash when the answer meets a closed connection: it is over once, with one end.
-    def test_a_disconnect_while_answering(self) -> None:
+    # Guards against a crash when a run ends in the same round in which its connection is closed.
+    def test_disconnect_while_answering(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send u1 approve-commit id=k
             expect vm APPLY u1
         """)
-        self.vm.end("OK", "u1")  # both wait for the same round
+        self.vm.end("OK", "u1")  # both events are processed in the same round
         self.do_close("u1")
         self.play("""
             send u2 approve-commit id=k retry=1
@@ -590,7 +590,7 @@
         self.assertIn(self.peers["u2"].data[9:12], (b"200", b"502"))
         self.assertEqual(self.server.broker.requests, {})
 
-    def test_drain_refuses_on_uwsgi_as_on_the_platform(self) -> None:
+    def test_shutdown_rejects_on_uwsgi_as_on_the_platform(self) -> None:
         self.play("""
             expect vm CONNECT 0
             send u1 fuzzy-match
@@ -610,8 +610,8 @@
 class UwsgiBackend(World):
     backend = config.UwsgiBackendConfig(("127.0.0.1", 3), "/run/")
 
-    def test_an_attempt_is_sent_and_its_ends_are_mapped(self) -> None:
-        self.up_there = True
+    def test_attempt_is_sent_and_its_outcomes_are_mapped(self) -> None:
+        self.uwsgi_server_up = True
         self.play("""
             send c1 1 fuzzy-match
             expect up fuzzy-match c1.1
@@ -619,13 +619,13 @@
             expect c1 result 1
             send u1 approve-commit id=k
             expect up approve-commit u1
-            close up                 # it may have run: no refusal, and never again
+            close up                 # it may have run: not rejected, and never run again
             expect u1 502
             send u2 approve-commit id=k retry=1
             expect u2 502
             send u3 approve-commit id=n
             expect up approve-commit u3
-            send up 503              # turned away unrun, so it may be tried again
+            send up 503              # rejected without a run, so it may be retried
             expect u3 503
             send u4 approve-commit id=n retry=1
             expect up approve-commit u4
@@ -635,7 +635,7 @@
             send up 500
             expect c1 failed 2
             send c1 3 fuzzy-match
-            send c1 forget 3         # a uwsgi attempt is halted by closing it
+            send c1 forget 3         # a uwsgi attempt is cancelled by closing its connection
             expect up closed
             send c1 4 approve-commit
             wait 3.8
@@ -643,7 +643,7 @@
             expect up closed
         """)
 
-    def test_a_server_that_cannot_be_reached_never_ran_it(self) -> None:
+    def test_request_for_an_unreachable_uwsgi_server_is_rejected_as_never_run(self) -> None:
         self.play("""
             send c1 1 approve-commit
             expect c1 refused 1
@@ -655,8 +655,8 @@
 
 
 class Catalog(World):
-    # Guards against lapsing from the list: 3 s without a report, with the catalog down in between.
-    def test_reports_are_steady_and_start_once_the_catalog_is_up(self) -> None:
+    # Guards against an expired entry, which is removed after 3 s without a report; the catalog starts late.
+    def test_reports_are_periodic_and_start_once_the_catalog_is_up(self) -> None:
         self.wait(4)
         self.catalog_up = True
         reports: list[tuple[float, bytes]] = []
@@ -677,13 +677,13 @@
         gaps = [b[0] - a[0] for a, b in zip(reports, reports[1:], strict=False)]
         self.assertLess(max(gaps), 1.0)
         self.assertTrue(all(data.startswith(b"PUT /catalog/register/n1 HTTP/1.1\r\n") for _, data in reports))
-        self.assertEqual(len(self.catalog), 1)  # one connection, kept
+        self.assertEqual(len(self.catalog), 1)  # one persistent connection
         self.server.drain()
         watch(0.1)
         self.assertIn(b'"critical"', reports[-1][1])
 
-    # Guards against callers that go by an old report: the answer to the one before it may never come.
-    def test_a_change_does_not_wait_for_an_answer(self) -> None:
+    # Guards against callers that act on an outdated report: the response to the report before may never come.
+    def test_change_of_health_does_not_wait_for_a_response(self) -> None:
         self.catalog_up = True
         self.wait(0.6)
         self.assertIn(b'"passing"', self.catalog[-1].data)
@@ -693,8 +693,8 @@
 
 
 class Flood(World):
-    # Guards against one connection that holds up the loop with hundreds of messages in one packet.
-    def test_others_have_their_turn_within_a_flood(self) -> None:
+    # Guards against one connection that blocks the loop with many messages in one packet.
+    def test_other_connections_are_served_during_a_flood(self) -> None:
         self.play("expect vm CONNECT 0")
         loop = self.server.loop
         self.peer("c1").sock.sendall(b"x\n" * 2000)
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -1,7 +1,7 @@
-"""Callers on real TCP connections of the scenarios' server, for orders of events that must happen every time.
+"""Callers on real TCP connections to the server of ``scenario``, for tests that force an order of events.
 
-The clock stays turned by hand. Bytes on loopback are not there at once, so each step waits for its event: for bytes in
-a kernel's buffer, a connection in the listening queue, a condition of the server. No step is a pause.
+The test sets the clock. Bytes on loopback take time to arrive, so each step waits for its event: bytes in the kernel's
+buffer, a connection in the backlog, or a condition of the server. No step waits for a fixed time.
 """
 
 from __future__ import annotations
@@ -20,32 +20,32 @@
 
 from lapishaven.frontends import Session
 
-PATIENCE = 10.0  # s of real time after which an event that is waited for is taken not to come
+EVENT_TIMEOUT_S = 10.0  # in real time
 
 
 def wait_for(condition: Callable[[], Any], what: str) -> None:
-    """Look until the condition holds; the test fails if it never does."""
-    until = time.monotonic() + PATIENCE
+    """Poll until the condition holds; fail the test on a timeout."""
+    until = time.monotonic() + EVENT_TIMEOUT_S
     while not condition():
         if time.monotonic() > until:
-            raise AssertionError(f"never came: {what}")
+            raise AssertionError(f"timed out after {EVENT_TIMEOUT_S} s of waiting for {what}")
         select.select([], [], [], 0.001)
 
 
 def buffered(sock: socket.socket) -> int:
-    """Bytes that the kernel holds for a reader of this socket."""
+    """The number of unread bytes in the kernel's receive buffer of a socket."""
     size: int = struct.unpack("i", fcntl.ioctl(sock, termios.FIONREAD, b"\0\0\0\0"))[0]
     return size
 
 
 def reset(sock: socket.socket) -> None:
-    """Close with a reset."""
+    """Close a socket with a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 class Caller:
-    """A caller's end, and what it has received."""
+    """A caller's end of a connection, and what it has received."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -53,7 +53,7 @@
         self.ended: str | None = None  # "closed" or "reset"
 
     def pump(self) -> None:
-        """Read what is there."""
+        """Receive what has arrived."""
         while self.ended is None and select.select([self.sock], [], [], 0)[0]:
             try:
                 got = self.sock.recv(65536)
@@ -66,31 +66,31 @@
 
     @property
     def lines(self) -> list[dict[str, Any]]:
-        """The whole lines so far."""
-        whole = bytes(self.data).rpartition(b"\n")[0]
-        return [json.loads(line) for line in whole.splitlines()]
+        """The complete lines received so far."""
+        complete = bytes(self.data).rpartition(b"\n")[0]
+        return [json.loads(line) for line in complete.splitlines()]
 
     @property
     def answers(self) -> list[str]:
-        """The answers so far, in the scenario's words."""
+        """The answers received so far, in terms of the scenario language."""
         return [World.kind(line) for line in self.lines if "id" in line]
 
 
 class Tcp(World):
-    """A server whose callers connect over TCP."""
+    """A test case with a server whose callers connect over TCP."""
 
     def call(self, name: str, id: str) -> str:  # type: ignore[override]
         return World.call(name.replace("t", "77"), id)
 
     def connect(self, **options: int) -> Caller:
-        """A connection that the server has accepted; ``options`` are of the socket level, set before it connects."""
+        """Open a connection that the server accepts; ``options`` are socket options set before it connects."""
         before = self.server.counters.get("connections", "accepted")
-        caller = self.knock(**options)
+        caller = self.connect_unaccepted(**options)
         self.until(lambda: self.server.counters.get("connections", "accepted") > before, "an accept")
         return caller
 
-    def knock(self, **options: int) -> Caller:
-        """A connection in the server's listening queue."""
+    def connect_unaccepted(self, **options: int) -> Caller:
+        """Open a connection that waits in the server's backlog."""
         sock = socket.socket()
         self.addCleanup(sock.close)
         for name, value in options.items():
@@ -99,60 +99,60 @@
         return Caller(sock)
 
     def session(self) -> Session:
-        """The session that was accepted last."""
+        """The most recently accepted session."""
         return list(self.server.callers.sessions)[-1]
 
     def send(self, caller: Caller, *messages: bytes) -> None:
-        """Send, and see it in the server's kernel; the server's loop does not run meanwhile."""
+        """Send messages and wait for them in the kernel's buffer, without running the server's loop."""
         session = self.of(caller)
         before, data = buffered(session.conn.sock), b"".join(messages)
         caller.sock.sendall(data)
-        wait_for(lambda: buffered(session.conn.sock) >= before + len(data), "bytes in the server's kernel")
+        wait_for(lambda: buffered(session.conn.sock) >= before + len(data), "the bytes in the server's receive buffer")
 
     def of(self, caller: Caller) -> Session:
-        """The session at the other end."""
+        """The server's session of a caller."""
         name = caller.sock.getsockname()
-        return next(s for s in self.server.callers.sessions if s.conn.sock.getpeername() == name)
+        return next(session for session in self.server.callers.sessions if session.conn.sock.getpeername() == name)
 
     def round(self) -> None:
-        """One round of the server, and what came back."""
+        """Run one round of the server."""
         self.server.loop.round(0, self.server.turn)
 
     def until(self, condition: Callable[[], Any], what: str) -> None:
-        """Rounds of the server and its stand-ins until the condition holds."""
+        """Run the server and its stand-ins until the condition holds."""
 
-        def look() -> Any:
+        def check() -> Any:
             self.pump()
             return condition()
 
-        wait_for(look, what)
+        wait_for(check, what)
 
     def answered(self, caller: Caller, *answers: str) -> None:
-        """Rounds until the caller has just these answers."""
+        """Run until the caller has exactly these answers."""
 
-        def look() -> bool:
+        def check() -> bool:
             caller.pump()
             return len(caller.answers) >= len(answers) or caller.ended is not None
 
-        self.until(look, f"answers {answers}")
+        self.until(check, f"answers {answers}")
         self.assertEqual(caller.answers, list(answers))
 
     def ended(self, caller: Caller, how: str) -> None:
-        """Rounds until the connection ended at the caller's side, in this way."""
+        """Run until the connection has ended for the caller, in the way given by ``how``."""
 
-        def look() -> bool:
+        def check() -> bool:
             caller.pump()
             return caller.ended is not None
 
-        self.until(look, f"the connection's end: {how}")
+        self.until(check, f"the end of the connection: {how}")
         self.assertEqual(caller.ended, how)
 
     def serve(self, caller: Caller, name: str, id: int, cls: str = "fuzzy-match") -> None:
-        """One request from its sending to its answer."""
+        """Send a request and complete it."""
         self.send(caller, self.message(name, str(id), cls))
-        self.until(lambda: f"{name}.{id}" in self.vm.handles, "a run")
+        self.until(lambda: f"{name}.{id}" in self.vm.handles, f"the run of {name}.{id}")
         self.vm.end("OK", f"{name}.{id}")
-        self.until(lambda: (caller.pump(), f"result {id}" in caller.answers)[1], "an answer")
+        self.until(lambda: (caller.pump(), f"result {id}" in caller.answers)[1], f"the answer to {name}.{id}")
 
 
 __all__ = ["Caller", "Tcp", "buffered", "reset", "wait_for"]
