--- a/lapishaven/client/__init__.py
+++ b/lapishaven/client/__init__.py
@@ -1,7 +1,7 @@
-"""A client library for match servers: deadlines, marked retries, Retry-After, and no retry or reconnect storms.
+"""Client library for match servers: deadlines, marked retries, Retry-After, and no retry or reconnect storms.
 
-Importable without the server. ``Client`` is for asyncio, ``BlockingClient`` for threads; ``Policy`` is the pure core
-under both, for other drivers.
+It can be imported without the server. ``Client`` is for asyncio, ``BlockingClient`` for threads. ``Policy`` is the
+pure core of both, for use by other drivers.
 """
 
 from lapishaven.client.asyncio_client import Client
--- a/lapishaven/client/actions.py
+++ b/lapishaven/client/actions.py
@@ -1,4 +1,4 @@
-"""What the policy wants done. A driver carries the actions out in their order and reports the results."""
+"""Actions that the policy returns. A driver executes them in order and reports the results."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRequest:
-    """Send the request of an attempt on a connection; report its response by ``Policy.response_received``."""
+    """Send the request of an attempt on a connection; report the response by ``Policy.response_received``."""
 
     connection: Connection
     attempt: Attempt
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
-    """Nobody waits for this attempt any more: send ``forget``, where the wire has it."""
+    """Cancel an attempt that no caller waits for any more: send ``forget`` if the wire protocol has it."""
 
     connection: Connection
     attempt: Attempt
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """Close a connection, or give up its dial. There is nothing to report."""
+    """Close a connection, or abandon its dial. Nothing is reported back."""
 
     connection: Connection
 
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Check an endpoint's health on a connection of its own; report ``Policy.health_checked``."""
+    """Check an endpoint's health on a separate connection; report ``Policy.health_checked``."""
 
     endpoint: Endpoint
 
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteCall:
-    """Give a call's outcome to the application. Comes once for each call."""
+    """Deliver a call's outcome to the application. Emitted exactly once for each call."""
 
     call: Call
     outcome: Outcome
--- a/lapishaven/client/asyncio_client.py
+++ b/lapishaven/client/asyncio_client.py
@@ -1,4 +1,4 @@
-"""The asyncio client: sockets and timers for the policy. It decides nothing itself."""
+"""The asyncio client: provides sockets and timers to the policy, which makes every decision."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from lapishaven.client.wire import TimestampClock
 from lapishaven.proto import jsonrpc
 
-BODY_LIMIT = jsonrpc.MAX_BODY_BYTES
-ROW_BITS = 64  # of a row's number on the wire
+BODY_LIMIT_BYTES = jsonrpc.MAX_BODY_BYTES
+ROW_BITS = 64  # size of a row number on the wire
 
 
 class Client:
-    """Calls match servers, from one event loop.
+    """Calls match servers from one event loop.
 
     ::
 
         async with Client(settings) as client:
             body = await client.call("fuzzy-match", b"...", deadline=2.0)
 
-    ``policy``: the pure core, once the client was entered.
+    ``policy``: the pure core; set on entry to the context manager.
     """
 
     def __init__(
@@ -43,10 +43,10 @@
         wall: Callable[[], float] = time.time,
         sockets: SocketFactory = plain_socket,
     ) -> None:
-        """``hook``: receives every event as (time, name, fields). ``random``: all random choices come from it.
+        """``hook``: receives every event as (time, name, fields). ``random``: the source of all random choices.
 
-        ``wall``: the clock that requests are stamped by, in Unix seconds; it may jump. ``sockets``: makes the
-        sockets, so that a test can watch them.
+        ``wall``: the clock for the timestamps of requests, in Unix seconds; it may jump. ``sockets``: creates the
+        sockets, so that tests can observe them.
         """
         self.settings = settings
         self._random = random or Random()
@@ -75,26 +75,26 @@
         return self
 
     async def __aexit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, exc_type: type[BaseException] | None, exc: BaseException | None, traceback: TracebackType | None
     ) -> None:
         await self.aclose()
 
     async def call(
         self, cls: str, body: bytes, *, deadline: float | None = None, row: int | None = None, key: str = ""
     ) -> bytes:
-        """Return the response of one call; raise the ``CallError`` that goes with any other outcome.
+        """Return the response of one call; raise the ``CallError`` for any outcome but ``Served``.
 
-        ``cls``: the class of work. ``deadline``: seconds from now for all attempts together; the deadline of the
-        class bounds it. ``row``: names what a read is about. ``key``: the idempotency key on the uwsgi wire.
+        ``cls``: the class of the request. ``deadline``: seconds from now for all attempts together, bounded by the
+        deadline of the class. ``row``: the row that a read concerns. ``key``: the idempotency key on the uwsgi wire.
         """
         return unwrap(await self.outcome(cls, body, deadline=deadline, row=row, key=key))
 
     async def outcome(
         self, cls: str, body: bytes, *, deadline: float | None = None, row: int | None = None, key: str = ""
     ) -> Outcome:
-        """What became of one call, as a value; parameters as for ``call``.
+        """Return the outcome of one call; parameters as for ``call``.
 
-        Cancelling the task cancels the call at the server too. Raises ``ValueError`` for invalid arguments and
+        Cancelling the task also cancels the request at the server. Raises ``ValueError`` for invalid arguments and
         ``RuntimeError`` on a closed client.
         """
         self._check_call(cls, body, deadline, row)
@@ -114,19 +114,21 @@
 
     def _check_call(self, cls: str, body: bytes, deadline: float | None, row: int | None) -> None:
         if self._closed:
-            raise RuntimeError("the client is closed")
+            raise RuntimeError(f"cannot call {cls!r:.100}: the client is closed")
         if cls not in self.settings.classes:
-            raise ValueError(f"no class {cls!r} in the settings")
-        if len(body) > BODY_LIMIT:
-            raise ValueError(f"a body of {len(body)} bytes is over {BODY_LIMIT}")
+            raise ValueError(f"cannot call {cls!r:.100}: no such class in the settings")
+        if len(body) > BODY_LIMIT_BYTES:
+            raise ValueError(
+                f"cannot call {cls!r:.100}: the body of {len(body)} bytes is over the limit of {BODY_LIMIT_BYTES} bytes"
+            )
         if deadline is not None and not deadline > 0:
-            raise ValueError("the deadline is not above 0")
+            raise ValueError(f"cannot call {cls!r:.100}: the deadline of {deadline} s must be above 0")
         if row is not None and not 0 <= row < 1 << ROW_BITS:
-            raise ValueError("row is not a number of 64 bits")
+            raise ValueError(f"cannot call {cls!r:.100}: row {row} is not an unsigned number of {ROW_BITS} bits")
 
     @property
     def open_calls(self) -> int:
-        """Calls without an outcome."""
+        """The number of calls without an outcome."""
         return self.policy.open_calls
 
     async def aclose(self) -> None:
@@ -142,11 +144,11 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._pool.close()
-        await asyncio.sleep(0)  # transports close their sockets in the next iteration of the loop
+        await asyncio.sleep(0)  # transports close their sockets in the next iteration of the event loop
 
     # ---- Running the policy
     def _run_policy(self) -> None:
-        """Run the policy's timers, execute its actions, and set the timer for the next one."""
+        """Run the policy's timers, execute its actions, and set the event loop's timer for the next policy timer."""
         if self._running_policy or self._closed:
             return
         self._running_policy = True
--- a/lapishaven/client/blocking_client.py
+++ b/lapishaven/client/blocking_client.py
@@ -1,4 +1,4 @@
-"""A blocking client that threads can share: the asyncio client on a thread of its own."""
+"""A blocking client that threads can share. It runs the asyncio client on a dedicated thread."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
         with BlockingClient(settings) as client:
             body = client.call("fuzzy-match", b"...")
 
-    All threads share one set of connections and one retry budget, as these belong to the process. Takes the same
-    keyword arguments as ``Client``; the hook runs on the client's thread and must not block it.
+    All threads share the same connections and retry budget, which are meant to be per process. Takes the keyword
+    arguments of ``Client``; the hook runs on the client's thread and must not block it.
     """
 
     def __init__(self, settings: Settings, **options: Any) -> None:
@@ -34,7 +34,7 @@
 
     def __enter__(self) -> BlockingClient:
         if self._thread is not None:
-            raise RuntimeError("the client was started before")
+            raise RuntimeError("cannot enter this BlockingClient: it was already started and cannot be reused")
         self._thread = threading.Thread(target=self._run, name="lapishaven-client", daemon=True)
         self._thread.start()
         self._ready.wait()
@@ -44,14 +44,14 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, exc_type: type[BaseException] | None, exc: BaseException | None, traceback: TracebackType | None
     ) -> None:
         self.close()
 
     def _run(self) -> None:
         try:
             asyncio.run(self._serve())
-        except BaseException as error:  # raised by the thread that waits in __enter__
+        except BaseException as error:  # raised again by the thread that waits in __enter__
             self._startup_error = error
             self._ready.set()
 
@@ -65,17 +65,19 @@
     def call(
         self, cls: str, body: bytes, *, deadline: float | None = None, row: int | None = None, key: str = ""
     ) -> bytes:
-        """As ``Client.call``; blocks the calling thread only."""
+        """Like ``Client.call``, but blocks the calling thread."""
         return unwrap(self.outcome(cls, body, deadline=deadline, row=row, key=key))
 
     def outcome(
         self, cls: str, body: bytes, *, deadline: float | None = None, row: int | None = None, key: str = ""
     ) -> Outcome:
-        """As ``Client.outcome``. An interrupt of the waiting thread (Ctrl-C) cancels the call."""
+        """Like ``Client.outcome``, but blocks the calling thread. An interrupt (Ctrl-C) there cancels the call."""
         if self._client is None or self._loop is None or self._thread is None or not self._thread.is_alive():
-            raise RuntimeError("the client is not open")
+            raise RuntimeError(f"cannot call {cls!r:.100}: the client is not started or already closed")
         if threading.current_thread() is self._thread:
-            raise RuntimeError("called from the client's own thread, which would wait for itself")
+            raise RuntimeError(
+                f"cannot call {cls!r:.100} from the client's own thread: it would wait for itself forever"
+            )
         coroutine = self._client.outcome(cls, body, deadline=deadline, row=row, key=key)
         future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
         try:
@@ -85,7 +87,7 @@
             raise
 
     def close(self) -> None:
-        """Cancel every open call and wait until the thread has ended."""
+        """Cancel every open call and wait for the client's thread to end."""
         if self._thread is None or self._loop is None or self._stop is None:
             return
         if self._thread.is_alive():
--- a/lapishaven/client/calls/__init__.py
+++ b/lapishaven/client/calls/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a call: the call table, the attempts made for it, retries, waiting, and outlier ejection."""
+"""The life cycle of a call: the call table, attempts, retries, the waiting queue, and outlier ejection."""
--- a/lapishaven/client/calls/attempt_results.py
+++ b/lapishaven/client/calls/attempt_results.py
@@ -1,4 +1,4 @@
-"""What follows the end of an attempt: learning about its endpoint, a retry, or the outcome of its call."""
+"""Handles the end of an attempt: updates its endpoint, then retries or ends its call."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     Uncertain,
 )
 
-MIN_TYPICAL_S = 1e-3  # a shorter typical time would make relative latencies meaningless
+MIN_TYPICAL_S = 1e-3  # relative to a shorter typical time, latencies would be mostly noise
 
 
 class AttemptResults:
-    """Handles each attempt's end, however it came about."""
+    """Handles the end of each attempt, by a response or by the loss of its connection."""
 
     def __init__(
         self,
@@ -47,13 +47,13 @@
         self._retry_budget = retry_budget
 
     def attempt_ended(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
-        """End an attempt: finish its call, retry it, or leave it to a hedged request that is in flight."""
+        """End an attempt: finish its call, retry it, or wait for another attempt that is in flight (hedging)."""
         call, endpoint = attempt.call, attempt.endpoint
         self._calls.release(now, attempt)
         self._engine.report(now, f"try {result.end.value}", number=call.number, server=endpoint.name)
         if attempt.sent_at is not None and (result.end in NEVER_RAN or result.end in INVALID_REQUEST):
             call.possibly_run -= 1
-        self._learn(now, attempt, result)
+        self._update_endpoint(now, attempt, result)
         if call.state is CallState.OVER:
             return
         if result.end is AttemptEnd.SERVED:
@@ -62,7 +62,7 @@
             return
         call.excluded_endpoints.add(endpoint.name)
         if call.attempts:
-            return  # a hedged request is still in flight
+            return  # another attempt is still in flight (hedging)
         self._retry_or_finish(now, call, result)
 
     def _retry_or_finish(self, now: float, call: Call, result: AttemptResult) -> None:
@@ -71,7 +71,7 @@
             possibly_run=call.possibly_run > 0,
             retries=call.retries,
             remaining_s=call.deadline - now,
-            typical_s=self._estimates.typical(call.class_name),
+            typical_s=self._estimates.typical_s(call.class_name),
         )
         rules = self._engine.settings.retry
         decision = decide_retry(now, context, result, rules, self._retry_budget, self._engine.random)
@@ -93,17 +93,17 @@
         if decision.uncertain:
             return Uncertain(call.attempts_sent, elapsed, decision.reason)
         if result.end in NEVER_RAN and not call.possibly_run:
-            # With no wait for an endpoint, the retry budget was what ended the call, so Retry-After counts.
+            # If an endpoint is available now, another limit (e.g. the retry budget) ended the call: use Retry-After.
             wait = self._availability.next_available_at(now) - now
             come_back = wait or result.retry_after_s or self._engine.settings.retry.backoff_max_s
             return Refused(call.attempts_sent, elapsed, decision.reason, come_back, result.no_retry_elsewhere)
         return Failed(call.attempts_sent, elapsed, decision.reason, result.code)
 
-    def _learn(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
+    def _update_endpoint(self, now: float, attempt: Attempt, result: AttemptResult) -> None:
         """Update the latency, weight and health of the endpoint."""
         endpoint = attempt.endpoint
         if result.end is AttemptEnd.SERVED:
-            self._learn_latency(now, attempt)
+            self._record_latency(now, attempt)
             self._ejection.record_success(now, endpoint)
         elif result.end is AttemptEnd.REJECTED:
             endpoint.record_rejection(now, self._engine.settings.routing)
@@ -114,12 +114,12 @@
         elif result.end in (AttemptEnd.FAILED, AttemptEnd.MALFORMED_RESPONSE):
             self._ejection.record_failure(now, endpoint)
         else:
-            # A lost connection counts as one failure, however many attempts were on it: ``ConnectionEvents``.
+            # ``ConnectionEvents`` counts a lost connection as one failure, however many attempts were on it.
             self._ejection.record_rejection(endpoint)
 
-    def _learn_latency(self, now: float, attempt: Attempt) -> None:
+    def _record_latency(self, now: float, attempt: Attempt) -> None:
         class_name = attempt.call.class_name
-        latency = now - (attempt.sent_at if attempt.sent_at is not None else now)
-        typical = max(self._estimates.typical(class_name), MIN_TYPICAL_S)
-        attempt.endpoint.record_latency(now, latency / typical)
-        self._estimates.add(class_name, latency)
+        latency_s = now - (attempt.sent_at if attempt.sent_at is not None else now)
+        typical_s = max(self._estimates.typical_s(class_name), MIN_TYPICAL_S)
+        attempt.endpoint.record_latency(now, latency_s / typical_s)
+        self._estimates.add(class_name, latency_s)
--- a/lapishaven/client/calls/attempt_scheduler.py
+++ b/lapishaven/client/calls/attempt_scheduler.py
@@ -1,4 +1,4 @@
-"""Starts attempts: chooses the endpoint, sends the request, and hedges slow ones."""
+"""Starts attempts: chooses the endpoint, sends the request, and hedges slow requests."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from lapishaven.client.health import EjectionState
 from lapishaven.client.model import Attempt, Call, CallState, ConnectionState, Endpoint
 
-NEARLY_FULL_MARGIN = 4  # requests below the limit of a connection at which another one is dialled
+NEARLY_FULL_MARGIN = 4  # another connection is dialled when this many requests more reach the limit of one
 
 
 class AttemptScheduler:
-    """Starts one attempt of a call, or a hedged request beside a slow one."""
+    """Starts the attempts of calls, including hedged requests."""
 
     def __init__(
         self,
@@ -39,19 +39,24 @@
         self._hedges = engine.settings.retry.second_copies
 
     def fits(self, now: float, call: Call) -> bool:
-        """Whether an attempt started now would typically end before the deadline."""
+        """Whether an attempt of typical duration that starts now would end before the deadline."""
         return self._estimates.fits_in(call.class_name, call.deadline - now)
 
     def place(self, now: float, call: Call) -> bool:
-        """Start an attempt, or end the call where none fits any more; False if no endpoint accepts it now."""
+        """Start an attempt, or reject the call if too little time is left; False if no endpoint accepts it now."""
         if not self.fits(now, call):
-            self._calls.reject(now, call, "too little time is left for a try")
+            self._calls.reject(
+                now,
+                call,
+                f"not sent: {call.deadline - now:.3f} s remain until the deadline, an attempt typically takes "
+                f"{self._estimates.typical_s(call.class_name):.3f} s",
+            )
             return True
         candidates = self._availability.candidates(now)
         if not candidates:
             return False
-        # An endpoint that rejected or failed the call already is tried again only where there is no other.
-        preferred = [each for each in candidates if each.name not in call.excluded_endpoints]
+        # An endpoint that already rejected or failed this call is used again only if there is no other.
+        preferred = [endpoint for endpoint in candidates if endpoint.name not in call.excluded_endpoints]
         endpoint = self._table.routing.pick(now, preferred or candidates, call)
         self._start(now, call, endpoint, is_hedge=False)
         return True
@@ -60,13 +65,13 @@
         if not self.fits(now, call):
             return
         candidates = self._availability.candidates(now, first_endpoint.name)
-        preferred = [each for each in candidates if each.name not in call.excluded_endpoints]
+        preferred = [endpoint for endpoint in candidates if endpoint.name not in call.excluded_endpoints]
         if preferred:
             self._start(now, call, self._table.routing.pick(now, preferred, call), is_hedge=True)
 
     def _start(self, now: float, call: Call, endpoint: Endpoint, is_hedge: bool) -> None:
-        single = self._table.one_request_per_connection
-        connection = None if single else endpoint.least_loaded_connection(self._open_limit)
+        one_request = self._table.one_request_per_connection
+        connection = None if one_request else endpoint.least_loaded_connection(self._open_limit)
         if connection is None:
             connection = self._table.open_connection(now, endpoint, "call")
         attempt = Attempt(
@@ -87,7 +92,7 @@
                 self._dialer.add_connection(now, endpoint)
 
     def _register(self, now: float, attempt: Attempt) -> None:
-        """Enter an attempt at its call, its endpoint and its connection."""
+        """Register an attempt with its call, its endpoint and its connection."""
         call, endpoint, connection = attempt.call, attempt.endpoint, attempt.connection
         call.state = CallState.OPEN
         call.attempts.append(attempt)
@@ -102,7 +107,9 @@
             self.send(now, attempt)
             return
         if attempt.endpoint.outstanding_probe is None:
-            self._prober.probe(now, attempt.endpoint)  # sent once it answers (``ConnectionEvents``)
+            self._prober.probe(
+                now, attempt.endpoint
+            )  # the request is sent once the probe is answered (``ConnectionEvents``)
         self._prober.schedule_check()
 
     def send(self, now: float, attempt: Attempt) -> None:
@@ -116,17 +123,17 @@
         self._engine.report(now, "try", number=call.number, server=attempt.endpoint.name, rep=attempt.is_retry)
         self._prober.request_sent(now, attempt.connection)
         if self._hedges and call.idempotent and not attempt.is_hedge:
-            self._engine.schedule(now + self._estimates.hedge_delay(call.class_name), self._hedge, attempt)
+            self._engine.schedule(now + self._estimates.hedge_delay_s(call.class_name), self._hedge, attempt)
 
     def _hedge(self, now: float, attempt: Attempt) -> None:
-        """Send a second request elsewhere if the first is still in flight and the retry budget allows it."""
+        """Send a second request to another endpoint if the first is still in flight and the retry budget allows it."""
         call = attempt.call
         if call.state is not CallState.OPEN or call.attempts != [attempt]:
             return
-        elsewhere = any(
+        other_accepts = any(
             endpoint is not attempt.endpoint and self._availability.accepts(now, endpoint)
             for endpoint in self._table.endpoints.values()
         )
-        if elsewhere and self._retry_budget.try_acquire(now):
+        if other_accepts and self._retry_budget.try_acquire(now):
             self._engine.report(now, "second copy", number=call.number)
             self._place_hedge(now, call, attempt.endpoint)
--- a/lapishaven/client/calls/attempt_time.py
+++ b/lapishaven/client/calls/attempt_time.py
@@ -1,4 +1,4 @@
-"""How long an attempt takes, by class of work, and so whether one may still start. Pure."""
+"""Estimates of attempt durations by class, which decide whether an attempt may still start. Pure."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from lapishaven.client.settings import Settings
 
 STEP_SIZE = 0.05  # the largest relative change of a quantile estimate by one observation
-MAX_DEADLINE_SHARE = 0.5  # of the deadline: past this, no attempt would start that could correct the estimate
+MAX_DEADLINE_SHARE = 0.5  # bound of estimates: at higher ones no attempt would start that could correct them
 MIN_ESTIMATE_S = 1e-4
-SLOW_START_FACTOR = 3  # times the first estimate: the first estimate of a slow attempt
+INITIAL_SLOW_FACTOR = 3  # initial estimate of a slow attempt, relative to that of a typical one
 
 
 @dataclass(slots=True)
 class QuantileEstimator:
     """A streaming quantile by stochastic approximation (Robbins and Monro, 1951) of its logarithm.
 
-    Each observation above the estimate raises it by ``STEP_SIZE * fraction``, each below lowers it by
-    ``STEP_SIZE * (1 - fraction)``, so that it rests where ``fraction`` of the observations lie below.
+    An observation above the estimate raises the logarithm by ``STEP_SIZE * fraction``, one below lowers it by
+    ``STEP_SIZE * (1 - fraction)``. The estimate therefore settles where ``fraction`` of the observations are below it.
     """
 
     fraction: float
@@ -31,10 +31,10 @@
 
 
 class AttemptTimeEstimates:
-    """For each class the typical time of an attempt, and the time after which a slow one is hedged."""
+    """The typical duration of an attempt by class, and the time after which a slow attempt is hedged."""
 
     def __init__(self, classes: dict[str, tuple[float, float]], hedge_fraction: float) -> None:
-        """``classes``: by class the first estimate and the deadline, in seconds.
+        """``classes``: the initial estimate and the deadline by class, in seconds.
 
         ``hedge_fraction``: the fraction of attempts that are faster than a slow one.
         """
@@ -42,30 +42,30 @@
         self._typical: dict[str, QuantileEstimator] = {}
         self._slow: dict[str, QuantileEstimator] = {}
         for class_name, (estimate_s, deadline_s) in classes.items():
-            first_estimate = max(estimate_s, MIN_ESTIMATE_S)
+            initial_estimate = max(estimate_s, MIN_ESTIMATE_S)
             self._deadlines[class_name] = deadline_s
-            self._typical[class_name] = QuantileEstimator(0.5, first_estimate)
-            self._slow[class_name] = QuantileEstimator(hedge_fraction, first_estimate * SLOW_START_FACTOR)
+            self._typical[class_name] = QuantileEstimator(0.5, initial_estimate)
+            self._slow[class_name] = QuantileEstimator(hedge_fraction, initial_estimate * INITIAL_SLOW_FACTOR)
 
     @classmethod
     def from_settings(cls, settings: Settings) -> AttemptTimeEstimates:
-        """The first estimates that the settings give."""
+        """Create the initial estimates from the settings."""
         classes = {name: (rule.estimate_s, rule.deadline_s) for name, rule in settings.classes.items()}
         return cls(classes, settings.retry.second_after)
 
     def add(self, class_name: str, seconds: float) -> None:
-        """An attempt was served after so many seconds."""
+        """Record an attempt that was served after ``seconds``."""
         self._typical[class_name].add(seconds)
         self._slow[class_name].add(seconds)
 
-    def typical(self, class_name: str) -> float:
-        """Seconds within which half of the attempts are served."""
+    def typical_s(self, class_name: str) -> float:
+        """Return the median duration of attempts in seconds, bounded by ``MAX_DEADLINE_SHARE`` of the deadline."""
         return min(self._typical[class_name].value, MAX_DEADLINE_SHARE * self._deadlines[class_name])
 
-    def hedge_delay(self, class_name: str) -> float:
-        """Seconds after which an attempt counts as slow."""
+    def hedge_delay_s(self, class_name: str) -> float:
+        """Return the seconds after which an attempt counts as slow."""
         return max(self._slow[class_name].value, self._typical[class_name].value)
 
     def fits_in(self, class_name: str, remaining_s: float) -> bool:
-        """Whether an attempt may start with so many seconds left."""
-        return remaining_s > 0 and remaining_s >= self.typical(class_name)
+        """Whether an attempt may start with ``remaining_s`` seconds left."""
+        return remaining_s > 0 and remaining_s >= self.typical_s(class_name)
--- a/lapishaven/client/calls/availability.py
+++ b/lapishaven/client/calls/availability.py
@@ -1,4 +1,4 @@
-"""Which endpoints may take a request now, and when the next one may."""
+"""Which endpoints accept a request now, and when the next one will."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Availability:
-    """Combines what stands against an endpoint: its listed health, Retry-After, ejection, silence, and capacity."""
+    """Combines all reasons not to use an endpoint: listed health, Retry-After, ejection, suspicion and capacity."""
 
     def __init__(self, settings: Settings, table: EndpointTable, traffic: Traffic, dial_budget: DialBudget) -> None:
         self._settings = settings
@@ -30,7 +30,7 @@
         return endpoint.least_loaded_connection(self._open_limit) is not None
 
     def candidates(self, now: float, excluded_name: str | None = None) -> list[Endpoint]:
-        """The endpoints that accept a request now, without the one of that name."""
+        """Return the endpoints that accept a request now, except the one named ``excluded_name``."""
         return [
             endpoint
             for endpoint in self._table.endpoints.values()
@@ -38,10 +38,10 @@
         ]
 
     def next_available_at(self, now: float) -> float:
-        """When some endpoint may take a request, as far as is known; with none known, at the next poll of the list."""
-        table, rate = self._table, self._traffic.first_attempt_rate.per_second(now)
+        """Return when some endpoint is expected to accept a request; with none known, the next poll of the list."""
+        table, calls_per_s = self._table, self._traffic.first_attempt_rate.per_second(now)
         any_connected = table.any_connected
-        dial_at = self._dial_budget.available_at(now, rate, not any_connected)
+        dial_at = self._dial_budget.available_at(now, calls_per_s, not any_connected)
         times = [
             max(
                 endpoint.health.available_at(now),
@@ -51,7 +51,7 @@
             if table.passes_health_checks(endpoint) and endpoint.suspected_since is None
         ]
         if table.uses_aperture and not table.one_request_per_connection and not any_connected:
-            # Any endpoint will do for a call that waits with nothing connected, also one that is not tracked yet.
+            # With nothing connected, a waiting call may use any endpoint, including those not tracked yet.
             planned = table.connection_manager.next_urgent_dial(now)
             if planned is not None:
                 times.append(max(planned.at, dial_at))
--- a/lapishaven/client/calls/call_table.py
+++ b/lapishaven/client/calls/call_table.py
@@ -1,4 +1,4 @@
-"""The open calls: how each begins, how its attempts are taken back, and how it ends with exactly one outcome."""
+"""Creates calls, withdraws their attempts, and ends each call with exactly one outcome."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from lapishaven.client.outcomes import OUTCOME_NAMES, Cancelled, Expired, Failed, Outcome, Refused, Uncertain
 from lapishaven.client.traffic import Traffic
 
-MAX_RANK = 0.9999  # ranks are below 1 on the wire
+MAX_RANK = 0.9999  # on the wire, ranks must be below 1
 
 
 class CallTable:
-    """Makes calls and ends them. ``open_calls`` counts those without an outcome."""
+    """Creates and ends calls. ``open_calls``: the number of calls without an outcome."""
 
     def __init__(
         self, engine: Engine, connectivity: Connectivity, traffic: Traffic, availability: Availability
@@ -35,7 +35,7 @@
         row_id: int | None,
         idempotency_key: str,
     ) -> Call:
-        """Add a call. ``deadline`` is on the policy's clock; the deadline of the class bounds it."""
+        """Create a call. ``deadline`` is a time on the policy's clock, bounded by the deadline of the class."""
         engine = self._engine
         rule = engine.settings.classes[class_name]
         class_deadline = now + rule.deadline_s
@@ -57,22 +57,26 @@
 
     # ---- Outcomes
     def cancel(self, now: float, call: Call) -> None:
-        """The application no longer waits for a call."""
+        """Cancel a call, as the application no longer waits for it."""
         if call.state is not CallState.OVER:
             uncertain = not call.idempotent and call.possibly_run > 0
-            self.finish(now, call, Cancelled(call.attempts_sent, now - call.started_at, "cancelled", uncertain))
+            self.finish(
+                now,
+                call,
+                Cancelled(call.attempts_sent, now - call.started_at, "cancelled by the application", uncertain),
+            )
 
     def expire(self, now: float, call: Call) -> None:
-        """End a call whose deadline has come."""
+        """End a call whose deadline has passed."""
         elapsed = now - call.started_at
         if not call.idempotent and call.possibly_run:
-            reason = "the deadline came while a try was out"
+            reason = "deadline passed while an attempt that may have run was in flight"
             self.finish(now, call, Uncertain(call.attempts_sent, elapsed, reason))
         else:
-            self.finish(now, call, Expired(call.attempts_sent, elapsed, "the deadline came"))
+            self.finish(now, call, Expired(call.attempts_sent, elapsed, "deadline passed"))
 
     def reject(self, now: float, call: Call, reason: str) -> None:
-        """End a call at once that no attempt is in flight for and none will start for, with a Retry-After."""
+        """End a call that has no attempt in flight and for which none will start; tell when to call again."""
         elapsed = now - call.started_at
         if call.possibly_run:
             self.finish(now, call, Failed(call.attempts_sent, elapsed, reason))
@@ -82,7 +86,7 @@
         self.finish(now, call, Refused(call.attempts_sent, elapsed, reason, come_back))
 
     def finish(self, now: float, call: Call, outcome: Outcome) -> None:
-        """End a call: take back its attempts and give the outcome to the driver."""
+        """End a call: withdraw its attempts and deliver the outcome to the driver."""
         if call.state is CallState.WAITING:
             self._traffic.waiting_calls -= 1
         call.state = CallState.OVER
@@ -100,7 +104,7 @@
         )
         self._engine.emit(CompleteCall(call, outcome))
 
-    # ---- Attempts that end
+    # ---- Attempts
     def _withdraw(self, now: float, call: Call, attempt: Attempt) -> None:
         connection = attempt.connection
         self.release(now, attempt)
@@ -112,7 +116,7 @@
         self._idle_timeouts.connection_used(now, connection)
 
     def release(self, now: float, attempt: Attempt) -> None:
-        """Take an attempt off its call, its connection and its endpoint."""
+        """Remove an attempt from its call, its connection and its endpoint."""
         connection, endpoint = attempt.connection, attempt.endpoint
         connection.in_flight.pop(attempt.id, None)
         if attempt in attempt.call.attempts:
--- a/lapishaven/client/calls/outlier_ejection.py
+++ b/lapishaven/client/calls/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Ejects endpoints that fail more than the others, and lets them back in."""
+"""Ejects failing endpoints, and readmits them after a health check and a trial."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 def _ignore_capacity(now: float) -> None:
-    """The callback until the policy sets one."""
+    """Do nothing: the default callback until the policy sets one."""
 
 
 class OutlierEjection:
-    """Feeds the results of attempts and health checks to the outlier detector (``health.OutlierDetector``).
+    """Passes the results of attempts and health checks to the outlier detector (``health.OutlierDetector``).
 
-    ``on_capacity(now)`` is called when an ejected endpoint may be tried again.
+    ``on_capacity(now)`` is called when an ejected endpoint may take a trial request.
     """
 
     def __init__(self, engine: Engine, table: EndpointTable, prober: Prober) -> None:
@@ -29,24 +29,24 @@
         self.on_capacity: Callable[[float], None] = _ignore_capacity
 
     def record_success(self, now: float, endpoint: Endpoint) -> None:
-        """An attempt was served."""
+        """Record an attempt that was served."""
         if self._outliers.record_success(endpoint.name, endpoint.health):
             endpoint.slow_start_since = now
             self._engine.report(now, "back in", server=endpoint.name)
 
     def record_rejection(self, endpoint: Endpoint) -> None:
-        """The endpoint rejected an attempt, or failed it in a way that says nothing of the endpoint."""
+        """Record an attempt that the endpoint rejected, or that failed without a fault of the endpoint."""
         self._outliers.record_rejection(endpoint.health)
 
     def record_failure(self, now: float, endpoint: Endpoint) -> None:
-        """An attempt failed through the endpoint's fault."""
+        """Record an attempt that failed by the endpoint's fault."""
         if self._table.is_tracked(endpoint) and self._outliers.record_failure(
             now, endpoint.name, endpoint.health, len(self._table.endpoints)
         ):
             self._ejected(now, endpoint)
 
     def record_health_check(self, now: float, endpoint: Endpoint, healthy: bool) -> None:
-        """The result of the health check that follows an ejection."""
+        """Record the result of the health check after an ejection."""
         self._outliers.record_health_check(now, endpoint.name, endpoint.health, healthy)
         if healthy:
             self.on_capacity(now)
@@ -54,7 +54,7 @@
             self._ejected(now, endpoint)
 
     def record_unresponsive(self, now: float, endpoint: Endpoint) -> None:
-        """An endpoint that owes responses did not answer a health check either."""
+        """Record a failed health check of an endpoint that owes responses."""
         if self._outliers.record_unresponsive(now, endpoint.name, endpoint.health, len(self._table.endpoints)):
             self._ejected(now, endpoint)
 
--- a/lapishaven/client/calls/retry.py
+++ b/lapishaven/client/calls/retry.py
@@ -1,4 +1,4 @@
-"""Retries: the budget they come out of, the backoff between them, and the decision after a failed attempt. Pure.
+"""Retries: the retry budget, the backoff, and the decision after an attempt that was not served. Pure.
 
 The budget is a token bucket filled by first attempts, as in Finagle's ``RetryBudget``; the backoff is exponential
 with full jitter (M. Brooker, "Exponential Backoff And Jitter", AWS Architecture Blog, 2015).
@@ -13,17 +13,17 @@
 from lapishaven.client.settings import Retry
 from lapishaven.client.traffic import EventRate
 
-MAX_SAVED_S = 2.0  # the bucket holds the retries that first attempts of so many seconds earn
-OUTAGE_CAPACITY_FACTOR = 4.0  # times the bucket's size that may be granted when several endpoints stop responding
+MAX_SAVED_S = 2.0  # the bucket holds the retries earned by the first attempts of this time
+OUTAGE_CAPACITY_FACTOR = 4.0  # times the capacity, the maximum grant when several endpoints stop responding
 MAX_BACKOFF_DOUBLINGS = 16
 
 
 class RetryBudget:
     """Retries and hedged requests as a share of first attempts, with a floor for clients of little traffic.
 
-    A token bucket filled by ``rules.share`` for each first attempt and ``rules.floor_per_s`` each second. It holds
-    no more than ``MAX_SAVED_S`` seconds of first attempts earn (or ``rules.burst``, if that is more): a larger
-    bucket would let all of its tokens go at once, which is the retry storm that the budget prevents.
+    A token bucket that earns ``rules.share`` for each first attempt and ``rules.floor_per_s`` each second. Its capacity
+    is what first attempts earn in ``MAX_SAVED_S`` seconds, or ``rules.burst`` if that is more: a larger bucket could be
+    spent all at once, which is the retry storm that the budget prevents.
     """
 
     def __init__(self, rules: Retry, first_attempt_rate: EventRate, now: float) -> None:
@@ -38,17 +38,17 @@
         self._tokens = min(self._tokens + elapsed * self.rules.floor_per_s, self.capacity(now))
 
     def capacity(self, now: float) -> float:
-        """The most tokens that the bucket holds."""
+        """Return the maximum number of tokens that the bucket holds."""
         return max(self.rules.burst, self.rules.share * self._first_attempt_rate.per_second(now) * MAX_SAVED_S)
 
     def record_first_attempt(self, now: float) -> None:
-        """A first attempt starts, which earns ``rules.share`` of a retry."""
+        """Record the start of a first attempt, which earns ``rules.share`` tokens."""
         self._refill(now)
         self._first_attempt_rate.add(now)
         self._tokens = min(self._tokens + self.rules.share, self.capacity(now))
 
     def try_acquire(self, now: float) -> bool:
-        """Whether a retry may start now; it is then charged."""
+        """Charge a retry if the budget allows it; return whether it does."""
         self._refill(now)
         if self._tokens < 1.0:
             return False
@@ -56,18 +56,18 @@
         return True
 
     def grant_at_least(self, now: float, tokens: float) -> None:
-        """Allow so many retries now, within limits: several endpoints stopped responding at once."""
+        """Raise the budget to ``tokens`` retries, within a limit, as several endpoints stopped responding at once."""
         self._refill(now)
         self._tokens = max(self._tokens, min(tokens, max(1.0, self.capacity(now) * OUTAGE_CAPACITY_FACTOR)))
 
     def charge(self, now: float) -> None:
-        """Charge a retry that the protocol itself demands, even into debt; later retries make up for it."""
+        """Charge a retry that the protocol requires, even into debt, which later retries have to wait for."""
         self._refill(now)
         self._tokens -= 1.0
 
 
 def backoff_delay(rules: Retry, retry_number: int, random: Random) -> float:
-    """Seconds before the given retry (from 1): full jitter under an exponential ceiling."""
+    """Return the delay in seconds before a retry (counted from 1): full jitter below an exponential ceiling."""
     doublings = min(retry_number - 1, MAX_BACKOFF_DOUBLINGS)
     ceiling = min(rules.backoff_s * 2**doublings, rules.backoff_max_s)
     return random.uniform(0.0, ceiling)
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduleRetry:
-    """Try again after ``delay_s`` seconds."""
+    """Retry after ``delay_s`` seconds."""
 
     delay_s: float
 
@@ -90,13 +90,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryContext:
-    """What ``decide_retry`` needs to know of a call.
+    """The state of a call that ``decide_retry`` needs.
 
     ``idempotent``: the call may run twice.
-    ``possibly_run``: some attempt of the call, the last one included, is not proved never to have run.
+    ``possibly_run``: an attempt of the call (the last one included) may have run.
     ``retries``: retries so far.
-    ``remaining_s``: seconds to the deadline.
-    ``typical_s``: seconds that an attempt typically takes.
+    ``remaining_s``: seconds until the deadline.
+    ``typical_s``: the typical duration of an attempt in seconds.
     """
 
     idempotent: bool
@@ -109,32 +109,40 @@
 def decide_retry(
     now: float, context: RetryContext, result: AttemptResult, rules: Retry, budget: RetryBudget, random: Random
 ) -> ScheduleRetry | GiveUp:
-    """Decide what follows an attempt that was not served.
+    """Decide whether to retry a call after an attempt that was not served.
 
-    There is no retry of a call that must not run twice, unless every attempt of it provably never ran; after "no
-    retry elsewhere"; past ``rules.tries``; where no attempt fits before the deadline; or without budget. A close race
-    is the one retry that the protocol demands: it is made at once, and charged even if the budget is empty.
+    It is not retried if it must not run twice and any attempt may have run; if the server asked for no retry
+    elsewhere; after ``rules.tries`` attempts; if no attempt fits before the deadline; or if the budget is exhausted.
+    After a close race the protocol requires a retry: it is made at once, and charged even if the budget is exhausted.
     """
     if not context.idempotent and (context.possibly_run or result.end not in NEVER_RAN | INVALID_REQUEST):
-        return GiveUp(result.text or f"the try was {result.end.value}", uncertain=True)
+        return GiveUp(result.text or f"attempt ended as {result.end.value!r} and may have run", uncertain=True)
     if result.end is AttemptEnd.INVALID or (result.end is AttemptEnd.TIMESTAMP_REJECTED and not context.idempotent):
-        return GiveUp(result.text or "the server takes no such request")
+        return GiveUp(
+            result.text or f"server answered that the request is invalid (attempt ended as {result.end.value!r})"
+        )
     if result.no_retry_elsewhere:
-        return GiveUp(result.text or "no other server should be tried")
+        return GiveUp(result.text or "server rejected the request and asked for no retry elsewhere")
     if context.retries + 1 >= rules.tries:
-        return GiveUp(result.text or "every try was used")
+        return GiveUp(result.text or f"attempt ended as {result.end.value!r}, the last of {rules.tries} allowed")
     if result.end is AttemptEnd.CLOSE_RACE:
         return _retry_close_race(now, context, budget)
     delay_s = backoff_delay(rules, context.retries + 1, random)
     if context.remaining_s - delay_s < context.typical_s:
-        return GiveUp("no time for a further try")
+        return GiveUp(
+            f"not retried: {context.remaining_s:.3f} s remain until the deadline, too little for the backoff and an "
+            f"attempt of typically {context.typical_s:.3f} s"
+        )
     if not budget.try_acquire(now):
-        return GiveUp("the budget of repeats is used up")
+        return GiveUp(f"attempt ended as {result.end.value!r}; not retried, as the retry budget is exhausted")
     return ScheduleRetry(delay_s)
 
 
 def _retry_close_race(now: float, context: RetryContext, budget: RetryBudget) -> ScheduleRetry | GiveUp:
     if context.remaining_s < context.typical_s:
-        return GiveUp("no time for a further try")
+        return GiveUp(
+            f"not retried after a close race: {context.remaining_s:.3f} s remain until the deadline, an attempt "
+            f"typically takes {context.typical_s:.3f} s"
+        )
     budget.charge(now)
     return ScheduleRetry(0.0)
--- a/lapishaven/client/calls/submission.py
+++ b/lapishaven/client/calls/submission.py
@@ -1,4 +1,4 @@
-"""The start of a call: its deadline timer, and an attempt, a place in the queue, or a rejection."""
+"""Starts calls: sets the deadline timer, then starts an attempt, queues the call, or rejects it."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from lapishaven.client.outcomes import Refused
 from lapishaven.client.traffic import Traffic
 
-CONNECTION_CHECK_INTERVAL_S = 0.5  # between two checks whether the traffic needs more connections
-SUBSET_START_S = 2.0  # after the first call: rendezvous hashing makes its first connections
-WINDOW_START_S = 10.0  # the same for deterministic subsetting, which ends the start earlier once it is connected
-SLOW_ATTEMPT_SHARE = 0.9  # of the class's deadline: an attempt so old without a response counts as a failure
-KEEP_CONNECTED_CALL_GAPS = 3.0  # mean times between two calls for which a client stays connected
+CONNECTION_CHECK_INTERVAL_S = 0.5  # between checks whether the traffic needs more connections
+SUBSET_START_S = 2.0  # duration of the start phase after the first call (rendezvous hashing)
+WINDOW_START_S = 10.0  # the same for deterministic subsetting, which ends it earlier once all are connected
+SLOW_ATTEMPT_SHARE = 0.9  # of the class's deadline: an unanswered attempt of this age counts as a failure
+KEEP_CONNECTED_CALL_GAPS = 3.0  # a client stays connected for this many mean intervals between calls
 MAX_KEEP_CONNECTED_S = 14.0  # servers close idle connections after 15 s
 
 
 class CallSubmission:
-    """Begins calls, and ends them when their deadlines come."""
+    """Starts calls, and ends them when their deadlines pass."""
 
     def __init__(
         self,
@@ -46,14 +46,24 @@
     def submit(
         self, now: float, class_name: str, body: bytes, deadline: float | None, row_id: int | None, key: str
     ) -> Call:
-        """Begin a call (``Policy.submit``)."""
+        """Start a call (``Policy.submit``)."""
         call = self._calls.create(now, class_name, body, deadline, row_id, key)
         self._check_connections(now)
         if self._traffic.closed:
-            self._calls.finish(now, call, Refused(0, 0.0, "the client is closed"))
+            self._calls.finish(now, call, Refused(0, 0.0, "not sent: the client is closed"))
         elif self._traffic.waiting_calls >= self._engine.settings.waiting_limit:
             come_back = self._availability.next_available_at(now) - now
-            self._calls.finish(now, call, Refused(0, 0.0, "too many calls wait already", come_back))
+            self._calls.finish(
+                now,
+                call,
+                Refused(
+                    0,
+                    0.0,
+                    f"not sent: {self._traffic.waiting_calls} calls wait already, the limit is "
+                    f"{self._engine.settings.waiting_limit}",
+                    come_back,
+                ),
+            )
         else:
             self._engine.schedule(call.deadline, self._deadline_reached, call)
             if self._traffic.waiting_calls:
@@ -63,7 +73,7 @@
         return call
 
     def _check_connections(self, now: float) -> None:
-        """Note the call in the traffic, and dial where the client was idle or its traffic has grown."""
+        """Update the traffic state with a new call, and dial if the client was idle or a check is due."""
         traffic, idle_s = self._traffic, self._engine.settings.connections.idle_s
         if traffic.last_call_at == float("-inf"):
             self._engine.schedule(now + self._start_s, self._dialer.end_start)
--- a/lapishaven/client/calls/unresponsive_endpoints.py
+++ b/lapishaven/client/calls/unresponsive_endpoints.py
@@ -1,4 +1,4 @@
-"""What becomes of attempts that are in flight to an endpoint which is suspected of being unresponsive."""
+"""Moves attempts away from endpoints that are suspected of being unresponsive."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class UnresponsiveEndpoints:
-    """Retries idempotent calls elsewhere, out of the retry budget, and ends the others as uncertain.
+    """Retries idempotent calls on other endpoints, within the retry budget, and ends other calls as uncertain.
 
-    A request that was not sent yet is placed elsewhere at once. A call that must not run twice becomes uncertain
-    once its endpoint has been unresponsive for ``settings.health.uncertain_s``.
+    A request that was not sent yet moves to another endpoint at once. A call that must not run twice becomes uncertain
+    once its endpoint has been suspected for ``settings.health.uncertain_s``.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._retry_budget = retry_budget
 
     def move_attempts(self, now: float, endpoint: Endpoint) -> None:
-        """Check every attempt that is in flight to the endpoint."""
+        """Move the attempts in flight to a suspected endpoint, as far as the rules and the retry budget allow."""
         if len(self._table.failure_detector.suspects) > 1:
             self._retry_budget.grant_at_least(now, float(endpoint.in_flight))
         for connection in list(endpoint.connections):
@@ -52,10 +52,14 @@
             self._retry_elsewhere(now, attempt)
             return
         if call.idempotent or endpoint.suspected_since is None:
-            return  # retried at a later check, once the budget allows it
+            return  # retried at a later check, when the budget allows it
         if now - endpoint.suspected_since >= self._engine.settings.health.uncertain_s:
             elapsed = now - call.started_at
-            self._calls.finish(now, call, Uncertain(call.attempts_sent, elapsed, "its server says nothing"))
+            self._calls.finish(
+                now,
+                call,
+                Uncertain(call.attempts_sent, elapsed, f"sent to {endpoint.name}, which has become unresponsive"),
+            )
 
     def _may_retry(self, now: float, call: Call) -> bool:
         attempts_left = call.attempts_sent < self._engine.settings.retry.tries
--- a/lapishaven/client/calls/waiting_calls.py
+++ b/lapishaven/client/calls/waiting_calls.py
@@ -1,4 +1,4 @@
-"""Calls that wait, in their order, for an endpoint with free capacity."""
+"""The queue of calls that wait for an endpoint with free capacity."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from lapishaven.client.model import Call, CallState, ConnectionState
 from lapishaven.client.traffic import Traffic
 
-DIALS_GRACE_S = 0.01  # calls wait so long for further endpoints once the first is connected
+DIALS_GRACE_S = 0.01  # once the first endpoint is connected, calls wait this long for more of them
 
 
 class WaitingCalls:
-    """A first-in, first-out queue; its length is ``traffic.waiting_calls``, as calls that ended stay in it."""
+    """A FIFO queue. Ended calls stay in it, so the number of waiting calls is ``traffic.waiting_calls``."""
 
     def __init__(
         self,
@@ -47,36 +47,42 @@
             self.add(now, call)
 
     def add(self, now: float, call: Call) -> None:
-        """Queue a call, or end it at once where no endpoint takes it in time."""
+        """Queue a call, or reject it at once if no endpoint is expected to accept it in time."""
         available_at = self._availability.next_available_at(now)
-        time_left = call.deadline - now - self._estimates.typical(call.class_name)
-        longest_wait = min(self._engine.settings.wait_s, time_left)
-        if available_at - now > longest_wait:
-            self._calls.reject(now, call, "no server takes it in time")
+        time_left_s = call.deadline - now - self._estimates.typical_s(call.class_name)
+        longest_wait_s = min(self._engine.settings.wait_s, time_left_s)
+        if available_at - now > longest_wait_s:
+            self._calls.reject(
+                now, call, f"no server is expected within {longest_wait_s:.3f} s, the longest that the call may wait"
+            )
             return
         call.state = CallState.WAITING
         self._queue.append(call)
         self._traffic.waiting_calls += 1
-        self._engine.schedule(now + longest_wait, self._wait_over, call)
+        self._engine.schedule(now + longest_wait_s, self._wait_over, call)
         self._dialer.ensure_connected(now)
         self._plan_pass(available_at)
 
     def _wait_over(self, now: float, call: Call) -> None:
         if call.state is CallState.WAITING:
-            self._calls.reject(now, call, "no server took it in time")
+            self._calls.reject(
+                now,
+                call,
+                f"no server accepted the call within its waiting time ({now - call.started_at:.3f} s after its start)",
+            )
 
     def endpoint_connected(self, now: float) -> None:
-        """Place waiting calls on an endpoint that was just connected, and on those that are being dialled."""
+        """Place waiting calls after an endpoint was connected, at once or after ``DIALS_GRACE_S``."""
         if self._traffic.waiting_calls and any(
             connection.state is ConnectionState.DIALING for connection in self._table.open_connections()
         ):
-            # The first endpoint to be connected is not to get all the calls that wait for the others too.
+            # Otherwise the first connected endpoint would get all waiting calls, and the others none.
             self._plan_pass(now + DIALS_GRACE_S)
         else:
             self.place_waiting(now)
 
     def place_waiting(self, now: float) -> None:
-        """Give waiting calls to endpoints that have free capacity, in the order in which they came."""
+        """Start attempts of waiting calls, in FIFO order, while endpoints have free capacity."""
         while self._queue:
             call = self._queue[0]
             if call.state is CallState.WAITING:
@@ -85,7 +91,7 @@
                     if available_at > now:
                         self._plan_pass(available_at)
                     return
-                if call.attempts:  # a call that ended instead was taken off the count there
+                if call.attempts:  # for a call that was rejected instead, ``CallTable.finish`` lowered the count
                     self._traffic.waiting_calls -= 1
             self._queue.popleft()
 
@@ -100,5 +106,5 @@
             self.place_waiting(now)
 
     def clear(self) -> None:
-        """Forget every queued call; their outcomes are given elsewhere."""
+        """Remove every queued call. ``Policy.close`` delivers their outcomes."""
         self._queue.clear()
--- a/lapishaven/client/command.py
+++ b/lapishaven/client/command.py
@@ -1,4 +1,4 @@
-"""``lapishaven call``: calls from the command line."""
+"""``lapishaven call``: makes calls from the command line."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from pathlib import Path
 from typing import Any
 
-from lapishaven.client.asyncio_client import BODY_LIMIT, ROW_BITS, Client
+from lapishaven.client.asyncio_client import BODY_LIMIT_BYTES, ROW_BITS, Client
 from lapishaven.client.engine import Hook
 from lapishaven.client.hooks import logging_hook
 from lapishaven.client.outcomes import OUTCOME_NAMES, Cancelled, Expired, Failed, Outcome, Refused, Served, Uncertain
 from lapishaven.client.settings import Settings, SettingsError, load
 
-# The exit code of each outcome; of several calls the highest is returned.
+# The exit code of each outcome. Of several calls, the highest code is returned.
 EXIT_CODES: dict[type[Outcome], int] = {Served: 0, Refused: 3, Failed: 4, Expired: 4, Cancelled: 4, Uncertain: 5}
 
 
 @dataclass(frozen=True, slots=True)
 class CallOptions:
-    """What the command line asks for.
+    """Options of the command line.
 
-    ``class_name``: the class of work. ``deadline`` is in seconds, ``row`` in hex digits.
-    ``count``: calls to make, ``parallel`` of them at a time at most.
+    ``class_name``: the class of requests. ``deadline`` is in seconds, ``row`` in hexadecimal digits.
+    ``count``: the number of calls, at most ``parallel`` of them at the same time.
     ``as_json``: print outcomes as JSON. ``log``: print every event to standard error.
     """
 
@@ -41,7 +41,7 @@
 
 def _load_settings(path: str, servers: tuple[str, ...], catalog: str | None) -> Settings:
     if servers and catalog:
-        raise SettingsError("name either --server or --catalog")
+        raise SettingsError("--server and --catalog are both given: they exclude each other")
     changes: dict[str, Any] = {}
     if servers or catalog:
         changes = {"servers": list(servers), "catalog": catalog or ""}
@@ -50,15 +50,15 @@
 
 def _read_body(options: CallOptions) -> bytes:
     if options.body is not None and options.file is not None:
-        raise SettingsError("name either a body or --file")
+        raise SettingsError(f"both a body and --file {options.file} are given: they exclude each other")
     if options.body is not None:
         return options.body.encode()
     if options.file is not None:
         try:
             return Path(options.file).read_bytes()
         except OSError as error:
-            raise SettingsError(f"cannot read {options.file}: {error.strerror}") from None
-    return b"" if sys.stdin.isatty() else sys.stdin.buffer.read(BODY_LIMIT + 1)
+            raise SettingsError(f"cannot read the request body from {options.file}: {error.strerror}") from None
+    return b"" if sys.stdin.isatty() else sys.stdin.buffer.read(BODY_LIMIT_BYTES + 1)
 
 
 def run(path: str, servers: tuple[str, ...], catalog: str | None, options: CallOptions) -> int:
@@ -66,11 +66,13 @@
     settings = _load_settings(path, servers, catalog)
     body = _read_body(options)
     if options.class_name not in settings.classes:
-        raise SettingsError(f"no class {options.class_name!r}; there are {', '.join(settings.classes)}")
-    if len(body) > BODY_LIMIT:
-        raise SettingsError(f"the body is over {BODY_LIMIT} bytes")
+        raise SettingsError(f"no class {options.class_name!r} in {path}; it has {', '.join(settings.classes)}")
+    if len(body) > BODY_LIMIT_BYTES:
+        raise SettingsError(
+            f"the request body of {len(body)} bytes or more is over the limit of {BODY_LIMIT_BYTES} bytes"
+        )
     if options.deadline is not None and not options.deadline > 0:
-        raise SettingsError("--deadline is not above 0")
+        raise SettingsError(f"--deadline {options.deadline} must be above 0 seconds")
     row = _parse_row(options.row) if options.row is not None else None
     return asyncio.run(_make_calls(settings, body, row, options))
 
@@ -81,7 +83,7 @@
     except ValueError:
         row = -1
     if not 0 <= row < 1 << ROW_BITS:
-        raise SettingsError("--row is no hex number of up to 16 digits")
+        raise SettingsError(f"--row {digits[:40]!r} is not a hexadecimal number of up to 16 digits")
     return row
 
 
@@ -113,9 +115,9 @@
 
 
 def _format_outcome(outcome: Outcome, as_json: bool) -> str:
-    kind = OUTCOME_NAMES[type(outcome)]
+    outcome_name = OUTCOME_NAMES[type(outcome)]
     if as_json:
-        fields: dict[str, Any] = {"outcome": kind, "tries": outcome.tries, "seconds": round(outcome.span, 6)}
+        fields: dict[str, Any] = {"outcome": outcome_name, "tries": outcome.tries, "seconds": round(outcome.span, 6)}
         if isinstance(outcome, Served):
             fields |= {"server": outcome.server, "body": outcome.body.decode("utf-8", "backslashreplace")}
         else:
@@ -123,9 +125,9 @@
         if isinstance(outcome, Refused):
             fields |= {"come_back": outcome.come_back, "stop": outcome.stop}
         return json.dumps(fields)
-    head = f"{kind} in {outcome.span * 1000:.0f} ms, {outcome.tries} tries"
+    summary = f"{outcome_name} in {outcome.span * 1000:.0f} ms, {outcome.tries} tries"
     if isinstance(outcome, Served):
-        return f"{head}, by {outcome.server}: {outcome.body.decode('utf-8', 'backslashreplace')}"
+        return f"{summary}, by {outcome.server}: {outcome.body.decode('utf-8', 'backslashreplace')}"
     if isinstance(outcome, Refused) and outcome.come_back:
-        return f"{head}: {outcome.reason}; come back in {outcome.come_back:.2f} s"
-    return f"{head}: {outcome.reason}"
+        return f"{summary}: {outcome.reason}; come back in {outcome.come_back:.2f} s"
+    return f"{summary}: {outcome.reason}"
--- a/lapishaven/client/connection_events.py
+++ b/lapishaven/client/connection_events.py
@@ -1,4 +1,4 @@
-"""What happens to connections: made, failed, answered, draining, lost."""
+"""Handles the events of connections: established, dial failed, response received, draining, lost."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from lapishaven.client.outcomes import AttemptEnd, AttemptResult
 
 IDLE_CLOSE_WINDOW_S = 0.3
-"""Seconds after its last response within which a server with many callers closes an idle connection.
+"""A clean close within this time after the last response counts as a server's close of an idle connection.
 
-The connections of a killed server close at any time. A client with little traffic has seldom had a response just
-before, so it seldom mistakes such a close for that of an idle connection."""
+Servers with many callers close idle connections this soon. The connections of a killed server close at any time; a
+client with little traffic has rarely had a response just before, so it rarely mistakes such a close for an idle one."""
 
 
 class ConnectionEvents:
-    """Handles each event on a connection: first the connection and its endpoint, then the attempts on it."""
+    """Handles each event of a connection: first updates the connection and its endpoint, then its attempts."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
             endpoint.last_heard_at = now
         table.membership.record_seen(now, endpoint.name)
         if endpoint.dial_failures:
-            endpoint.slow_start_since = now  # it was away, so it is another process, which warms up
+            endpoint.slow_start_since = now  # it was unreachable or drained: probably a new process, which warms up
             endpoint.smoothed_latency = 0.0
             endpoint.dial_failures = 0
         if not table.is_tracked(endpoint) and not connection.in_flight:
@@ -71,41 +71,44 @@
         self._send_pending(now, connection)
         self._idle_timeouts.connection_used(now, connection)
         if table.uses_aperture:
-            self._dialer.ensure_connected(now)  # the next one, one at a time
+            self._dialer.ensure_connected(now)  # dials are made one at a time: plan the next
         self._waiting.endpoint_connected(now)
 
     def dial_failed(self, now: float, connection: Connection) -> None:
-        """A dial failed, so nothing was sent on the connection."""
+        """A dial failed; nothing was sent on the connection."""
         if connection.state is not ConnectionState.DIALING:
             return
         endpoint = connection.endpoint
         self._engine.report(now, "dial failed", server=endpoint.name)
         self._dialer.back_off(now, endpoint)
-        endpoint.lost_at = now  # the client's own evidence, against a list that may be stale
+        endpoint.lost_at = now  # dialled less often, even if a stale list still shows it
         if self._table.membership.remove_doubted(endpoint.name):
             self._table.remove(endpoint.name)
             self._updates.update_tracked(now)
         self._lost(now, connection, clean=True)
 
     def _send_pending(self, now: float, connection: Connection) -> None:
-        """Send what waits on a connection, or probe first where its endpoint has been silent."""
+        """Send the attempts that wait for a connection, or probe first if its endpoint has been silent."""
         endpoint = connection.endpoint
         if self._prober.must_probe_first(now, endpoint):
             if connection.in_flight and endpoint.outstanding_probe is None:
                 self._prober.probe(now, endpoint)
                 self._prober.schedule_check()
             return
-        for attempt in [each for each in connection.in_flight.values() if each.sent_at is None]:
+        for attempt in [attempt for attempt in connection.in_flight.values() if attempt.sent_at is None]:
             if self._attempts.fits(now, attempt.call):
                 self._attempts.send(now, attempt)
             else:
-                result = AttemptResult(AttemptEnd.UNREACHABLE, text="no time was left after the dial")
+                result = AttemptResult(
+                    AttemptEnd.UNREACHABLE,
+                    text=f"nothing sent to {endpoint.name}: the dial left too little time before the deadline",
+                )
                 self._results.attempt_ended(now, attempt, result)
                 self._table.close_connection(connection)
 
     # ---- Responses
     def response_received(self, now: float, connection: Connection, attempt_id: int, result: AttemptResult) -> None:
-        """A response arrived. One to an attempt that nobody waits for any more changes nothing."""
+        """A response arrived. A response to an attempt that already ended is only counted."""
         self._prober.received(now, connection)
         attempt = connection.in_flight.get(attempt_id)
         if attempt is None:
@@ -120,15 +123,15 @@
         self._waiting.place_waiting(now)
 
     def probe_answered(self, now: float, connection: Connection) -> None:
-        """An endpoint answered a probe on a connection. Whatever it said, it is responsive."""
+        """An endpoint answered a probe on a connection. Whatever the answer, it is responsive."""
         self._prober.received(now, connection)
-        for each in list(connection.endpoint.connections):
-            if each.state is ConnectionState.READY:
-                self._send_pending(now, each)
+        for other in list(connection.endpoint.connections):
+            if other.state is ConnectionState.READY:
+                self._send_pending(now, other)
         self._waiting.place_waiting(now)
 
     def health_checked(self, now: float, endpoint: Endpoint, healthy: bool) -> None:
-        """A health check on a connection of its own ended; no answer in time is an unhealthy one."""
+        """A health check on a separate connection ended. No answer within its timeout counts as unhealthy."""
         endpoint.health_check_pending = False
         self._engine.report(now, "probe good" if healthy else "probe bad", server=endpoint.name)
         if not self._table.is_tracked(endpoint):
@@ -140,20 +143,20 @@
             self._close_silent_connections(now, endpoint)
 
     def _close_silent_connections(self, now: float, endpoint: Endpoint) -> None:
-        """Give up the connections that owe responses and received nothing for ``connections.silence_s``."""
+        """Close the connections that owe responses and received nothing for ``connections.silence_s``."""
         for connection in list(endpoint.connections):
             if not connection.in_flight or now - connection.last_received_at < self._rules.silence_s:
                 continue
             for attempt in connection.in_flight.values():
                 if attempt.sent_at is not None:
-                    # Else a process that resumes would begin the request before it reads the close.
+                    # Otherwise a stopped process that resumes would start the request before it reads the close.
                     self._engine.emit(CancelRequest(connection, attempt))
             self._table.close_connection(connection)
             self._lost(now, connection, clean=False)
 
     # ---- Ends of connections
     def draining(self, now: float, connection: Connection) -> None:
-        """A server shuts down gracefully: nothing new goes there, what is in flight is finished."""
+        """A server shuts down gracefully: no new attempts go there; those in flight are completed."""
         self._prober.received(now, connection)
         if connection.state is not ConnectionState.READY:
             return
@@ -161,10 +164,10 @@
         self._engine.report(now, "draining", server=endpoint.name)
         connection.state = ConnectionState.DRAINING
         if self._table.uses_aperture:
-            # Not dialled before the list shows it again, and then in the client's time slot: no backoff on top.
+            # Dialled in the client's time slot once the list shows it again, so it needs no backoff.
             endpoint.lost_at = now if endpoint.lost_at is None else endpoint.lost_at
             endpoint.next_dial_at = now + self._rules.drain_s
-            endpoint.dial_failures += 1  # so that it starts slowly when it is there again
+            endpoint.dial_failures += 1  # so that it has a slow start when it is connected again
         else:
             self._dialer.back_off(now, endpoint)
             endpoint.next_dial_at += self._rules.drain_s
@@ -174,7 +177,7 @@
         self._dialer.ensure_connected(now)
 
     def closed(self, now: float, connection: Connection, clean: bool) -> None:
-        """The other side closed the connection; ``clean`` unless it was reset or could not be read."""
+        """The peer closed the connection; ``clean`` unless it was reset or its data could not be parsed."""
         if connection.state is not ConnectionState.CLOSED:
             self._lost(now, connection, clean)
 
@@ -202,26 +205,29 @@
         self._waiting.place_waiting(now)
 
     def _record_loss(self, now: float, endpoint: Endpoint) -> None:
-        """Put off the next dial until the endpoint list shows that the endpoint is back.
+        """Delay the next dial until the endpoint list shows that the endpoint is back.
 
-        That holds for a clean close of an idle connection too: a killed process's sockets close just so, and a
-        server's idle timeout is made good after ``connections.away_s``, if the client still has calls.
+        This applies to a clean close of an idle connection too, as the sockets of a killed process close in the same
+        way. If it was a server's idle timeout, the endpoint is dialled again after ``connections.away_s``, provided
+        that the client still has calls.
         """
         if endpoint.lost_at is None:
             endpoint.lost_at = now
             if not self._engine.settings.catalog and endpoint.next_dial_at <= now:
-                # A fixed list never changes: dial again after the first delay of a backoff, sooner only for a call
-                # that waits with nothing connected.
+                # A fixed list never shows a return: dial again after the first backoff delay, or sooner for a call
+                # that waits while no endpoint is connected.
                 spread_s = self._table.connection_manager.deploy_interval.spread_s(now)
                 longest = max(self._rules.redial_s, spread_s)
                 endpoint.next_dial_at = now + self._engine.random.uniform(0.0, longest)
         if self._table.membership.remove_doubted(endpoint.name):
-            self._table.remove(endpoint.name)  # the list left it out, and now its connection is lost too
+            self._table.remove(endpoint.name)  # missing on the list, and now its connection is lost too
 
 
 def _result_of_close(attempt: Attempt, unread_ids: set[int]) -> AttemptResult:
     if attempt.sent_at is None:
-        return AttemptResult(AttemptEnd.UNREACHABLE, text="the server could not be reached")
+        return AttemptResult(AttemptEnd.UNREACHABLE, text=f"could not connect to {attempt.endpoint.name}")
     if attempt.id in unread_ids:
-        return AttemptResult(AttemptEnd.CLOSE_RACE, text="it met the connection's close")
-    return AttemptResult(AttemptEnd.LOST, text="the connection ended before the answer")
+        return AttemptResult(
+            AttemptEnd.CLOSE_RACE, text=f"request crossed the close of the connection by {attempt.endpoint.name}"
+        )
+    return AttemptResult(AttemptEnd.LOST, text=f"connection to {attempt.endpoint.name} was lost before the response")
--- a/lapishaven/client/connection_pool.py
+++ b/lapishaven/client/connection_pool.py
@@ -1,4 +1,4 @@
-"""Sockets of the asyncio client: executes the policy's actions on connections and reports what happens there."""
+"""Sockets of the asyncio client: executes the policy's actions on connections and reports their events."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 )
 from lapishaven.proto import ProtocolError, jsonrpc
 
-HEALTH_CHECK_RECEIVE_SIZE = 4096  # bytes
+HEALTH_CHECK_RECEIVE_BYTES = 4096
 HEALTH_CHECK_ID = 1
 
 ConnectionAction = SendRequest | CancelRequest | SendProbe | OpenConnection | CloseConnection | CheckHealth
 
 SocketFactory = Callable[[int], socket.socket]
-"""Makes a TCP socket of the given address family."""
+"""Creates a TCP socket of the given address family."""
 
 
 def plain_socket(family: int) -> socket.socket:
@@ -46,7 +46,7 @@
 async def connect(
     loop: asyncio.AbstractEventLoop, sockets: SocketFactory, address: tuple[str, int], timeout_s: float
 ) -> socket.socket:
-    """A connected socket. Raises ``TimeoutError`` after ``timeout_s``, or ``OSError``."""
+    """Return a connected socket. Raises ``TimeoutError`` after ``timeout_s``, or ``OSError``."""
     host, port = address
     sock = sockets(socket.AF_INET6 if ":" in host else socket.AF_INET)
     try:
@@ -60,7 +60,7 @@
 
 
 class ConnectionProtocol(asyncio.Protocol):
-    """One connection to an endpoint. ``closed``: nothing more is reported to the pool."""
+    """One connection to an endpoint. ``closed``: closed by this side; its events are no longer reported to the pool."""
 
     def __init__(self, pool: ConnectionPool, connection: Connection, wire: Wire) -> None:
         self.connection = connection
@@ -80,7 +80,7 @@
             self._pool.data_received(self, data)
 
     def eof_received(self) -> bool:
-        """Called by asyncio when the other side closed; False closes this side too."""
+        """Called by asyncio when the peer closed its side; returning False closes this side too."""
         if not self.closed:
             self._pool.stream_ended(self, clean=True)
         return False
@@ -96,7 +96,7 @@
             self._transport.write(data)
 
     def close(self, abort: bool = False) -> None:
-        """Close the connection; ``abort`` drops what was not sent yet."""
+        """Close the connection; ``abort`` discards data that was not sent yet."""
         self.closed = True
         if self._transport is None:
             return
@@ -107,7 +107,7 @@
 
 
 class ConnectionPool:
-    """The connections of one client. ``run_policy`` is called after each report to the policy."""
+    """The connections of one client. ``run_policy`` is called after each event reported to the policy."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
         run_policy: Callable[[], None],
         spawn: Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]],
     ) -> None:
-        """``clock`` stamps requests; ``spawn`` starts a task that ends with the client."""
+        """``clock``: gives requests their timestamps. ``spawn``: starts a task that is cancelled with the client."""
         self._loop = loop
         self._policy = policy
         self._settings = policy.settings
@@ -170,7 +170,7 @@
 
     # ---- Events on connections
     def data_received(self, protocol: ConnectionProtocol, data: bytes) -> None:
-        """Feed received bytes to the policy; a connection that breaks the protocol is aborted."""
+        """Report the events in received bytes to the policy; abort a connection that violates the protocol."""
         now, connection = self._loop.time(), protocol.connection
         try:
             for event in protocol.wire.feed(data):
@@ -185,7 +185,7 @@
         self._run_policy()
 
     def stream_ended(self, protocol: ConnectionProtocol, clean: bool) -> None:
-        """The other side closed the connection."""
+        """The peer closed the connection; ``clean`` unless it was reset."""
         now = self._loop.time()
         try:
             for event in protocol.wire.end_of_stream() if clean else ():
@@ -250,12 +250,12 @@
         timeout_s = self._settings.health.probe_timeout_s
         with await connect(self._loop, self._sockets, address, timeout_s) as sock:
             if self._policy.one_request_per_connection:
-                return True  # uwsgi has no health check: that the connection was made is all there is to learn
+                return True  # uwsgi has no health check: an established connection counts as healthy
             await self._loop.sock_sendall(sock, jsonrpc.encode_health_check(HEALTH_CHECK_ID))
-            machine = jsonrpc.ClientParser()
-            while data := await self._loop.sock_recv(sock, HEALTH_CHECK_RECEIVE_SIZE):
-                for message in machine.feed(data):
+            parser = jsonrpc.ClientParser()
+            while data := await self._loop.sock_recv(sock, HEALTH_CHECK_RECEIVE_BYTES):
+                for message in parser.feed(data):
                     if isinstance(message, jsonrpc.ResultResponse):
                         return message.healthy is True
-                    return False  # draining, or an error
+                    return False  # a draining notice, or an error response
         return False
--- a/lapishaven/client/connections/__init__.py
+++ b/lapishaven/client/connections/__init__.py
@@ -1,7 +1,7 @@
-"""Endpoints and connections to them: the endpoint table, dialling, idle timeouts and probes.
+"""Endpoints and their connections: the endpoint table, dials, idle timeouts and probes.
 
-- ``fleet/connection_manager.py`` chooses which endpoints to keep connected and which to dial next;
-- ``fleet/dial_schedule.py`` gives the times at which a client of a fleet may make such dials;
-- ``connections/dial_budget.py`` bounds the dials of the process and gives the backoff after a failed one;
-- ``connections/dialer.py`` carries these decisions out.
+- ``fleet/connection_manager.py`` chooses the endpoints to keep connected and the next dial;
+- ``fleet/dial_schedule.py`` assigns the time slots in which each client of a fleet may dial;
+- ``connections/dial_budget.py`` limits the dials of the process and computes the backoff after a failed one;
+- ``connections/dialer.py`` executes these decisions.
 """
--- a/lapishaven/client/connections/connectivity.py
+++ b/lapishaven/client/connections/connectivity.py
@@ -1,4 +1,4 @@
-"""The parts that look after connections, as one value to pass around."""
+"""Groups the parts that manage connections, to pass them around as one value."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Connectivity:
-    """The endpoint table, and what dials, probes and closes the connections in it."""
+    """The endpoint table, and the parts that dial, probe and close its connections."""
 
     table: EndpointTable
     dialer: Dialer
--- a/lapishaven/client/connections/dialer.py
+++ b/lapishaven/client/connections/dialer.py
@@ -1,4 +1,4 @@
-"""Dials: keeps as many endpoints connected as the traffic needs, within the budget of dials."""
+"""Dials endpoints: keeps as many connected as the traffic needs, within the dial budget."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Dialer:
-    """Decides at each check whether to dial, which endpoint, and when to check again.
+    """Decides at each check whether to dial, which endpoint to dial, and when to check again.
 
     With deterministic subsetting (``settings.routing.subsetting = "aperture"``) the connection manager chooses the
-    endpoint and its time slot; with rendezvous hashing any unconnected endpoint of the subset is dialled.
+    endpoint and the time slot. With rendezvous hashing any unconnected endpoint of the subset may be dialled.
     """
 
     def __init__(self, engine: Engine, table: EndpointTable, traffic: Traffic, budget: DialBudget) -> None:
@@ -26,17 +26,17 @@
         self._traffic = traffic
         self.budget = budget
         self._rules = engine.settings.connections
-        self._starting = True  # the first connections are still being made
+        self._starting = True  # the start phase: the first connections are still being made
         self._next_check_at = float("inf")
-        self._spread_until = float("inf")  # rendezvous: no dial before this; infinite until it is drawn
+        self._spread_until = float("inf")  # rendezvous hashing: no dial before this; infinite until it is drawn
 
     @property
     def _urgent(self) -> bool:
-        """Whether a call waits and nothing is connected."""
+        """Whether a call waits and no endpoint is connected."""
         return self._traffic.waiting_calls > 0 and not self._table.any_connected
 
     def ensure_connected(self, now: float) -> None:
-        """Dial what is missing, or schedule the next check."""
+        """Dial missing connections, or schedule the next check."""
         if self._table.uses_aperture:
             self._ensure_window(now)
         else:
@@ -45,28 +45,28 @@
     # ---- Deterministic subsetting
     def _ensure_window(self, now: float) -> None:
         table, manager = self._table, self._table.connection_manager
-        quiet = now - self._traffic.last_call_at > self._traffic.keep_connected_s
-        if table.one_request_per_connection or self._traffic.closed or quiet:
+        idle = now - self._traffic.last_call_at > self._traffic.keep_connected_s
+        if table.one_request_per_connection or self._traffic.closed or idle:
             return
         table.track_window(now)
         for name in manager.surplus_stand_ins():
             table.remove(name)
-        rate = self._traffic.first_attempt_rate.per_second(now)
-        dialling = any(endpoint.is_dialing for endpoint in table.endpoints.values())
+        calls_per_s = self._traffic.first_attempt_rate.per_second(now)
+        dial_in_progress = any(endpoint.is_dialing for endpoint in table.endpoints.values())
         urgent = self._urgent
-        planned = manager.next_dial(now, rate, urgent)
+        planned = manager.next_dial(now, calls_per_s, urgent)
         if planned is None:
             if self._starting and self._window_connected():
                 self.end_start(now)
             return
-        if dialling and not urgent:
-            return  # one dial at a time: its end checks again
+        if dial_in_progress and not urgent:
+            return  # one dial at a time; its end triggers the next check
         if planned.at > now:
             self.schedule_check(planned.at)
             return
         max_saved = float(len(manager.window))
-        if not self.budget.try_acquire(now, rate, urgent, max_saved):
-            self.schedule_check(self.budget.available_at(now, rate, urgent, max_saved))
+        if not self.budget.try_acquire(now, calls_per_s, urgent, max_saved):
+            self.schedule_check(self.budget.available_at(now, calls_per_s, urgent, max_saved))
             return
         self._dial_planned(now, planned)
 
@@ -87,18 +87,18 @@
     # ---- Rendezvous hashing
     def _ensure_subset(self, now: float) -> None:
         table, rules = self._table, self._rules
-        rate = self._traffic.first_attempt_rate.per_second(now)
-        quiet = now - self._traffic.last_call_at > rules.idle_s
-        if table.one_request_per_connection or self._traffic.closed or quiet:
+        calls_per_s = self._traffic.first_attempt_rate.per_second(now)
+        idle = now - self._traffic.last_call_at > rules.idle_s
+        if table.one_request_per_connection or self._traffic.closed or idle:
             return
         listed = [endpoint for endpoint in table.endpoints.values() if table.passes_health_checks(endpoint)]
         usable = sum(
             endpoint.usable_connections > 0 and endpoint.health.state is not EjectionState.EJECTED
             for endpoint in listed
         )
-        missing = connections_wanted(rules, rate, len(listed)) - usable
+        missing = connections_wanted(rules, calls_per_s, len(listed)) - usable
         if missing <= 0:
-            return  # an endpoint list, or a later check, will say when one is wanted
+            return  # checked again on the next endpoint list, lost connection or periodic check
         candidates = self._dial_candidates(now, listed, usable)
         urgent = self._urgent
         for dial_at, _, _, endpoint in candidates[:missing]:
@@ -107,8 +107,8 @@
                 return
             if not urgent and not self._starting and self._delay_dial(now, usable, missing):
                 return
-            if not self.budget.try_acquire(now, rate, urgent):
-                self.schedule_check(self.budget.available_at(now, rate, urgent))
+            if not self.budget.try_acquire(now, calls_per_s, urgent):
+                self.schedule_check(self.budget.available_at(now, calls_per_s, urgent))
                 return
             reason = "start" if self._starting else "wanted"
             table.open_connection(now, endpoint, "urgent" if urgent else reason)
@@ -116,10 +116,10 @@
     def _dial_candidates(
         self, now: float, listed: list[Endpoint], usable: int
     ) -> list[tuple[float, bool, float, Endpoint]]:
-        """The unconnected endpoints with their earliest dial times, in the order in which to dial them.
+        """Return the unconnected endpoints with their earliest dial times, in the order in which to dial them.
 
-        One that came back from a restart has the fewest connections of all, and will not restart again soon; but
-        it is warming up, so these are preferred for half of the connections only.
+        A restarted endpoint has the fewest connections of all and is unlikely to restart again soon, but it is still
+        warming up. Restarted endpoints are therefore preferred for half of the connections only.
         """
         warming_up = sum(
             endpoint.usable_connections > 0 and endpoint.slow_start_since is not None for endpoint in listed
@@ -137,10 +137,10 @@
         )
 
     def _delay_dial(self, now: float, usable: int, missing: int) -> bool:
-        """Whether the dial has to wait for its jittered time.
+        """Whether the dial has to wait for a time drawn at random.
 
-        What closed the connection may have hit every client at this moment, so each draws a time of its own: the
-        sooner, the fewer endpoints are left.
+        The cause of a lost connection may have hit every client at the same moment, so each client draws its own
+        delay, which is shorter the fewer endpoints it still has.
         """
         if self._spread_until == float("inf"):
             self._spread_until = now + self.redial_delay(now, 0) * (usable + 1) / (usable + missing)
@@ -152,7 +152,7 @@
 
     # ---- Start, timers, further connections
     def end_start(self, now: float, _: Any = None) -> None:
-        """The first connections are made; every later dial comes out of the regular budget."""
+        """End the start phase: later dials come out of the regular budget."""
         self._starting = False
         self._table.connection_manager.starting = False
         self.budget.end_start_burst()
@@ -169,7 +169,7 @@
             self.ensure_connected(now)
 
     def add_connection(self, now: float, endpoint: Endpoint) -> None:
-        """Dial an endpoint once more whose connection is nearly full, if the limit and the budget allow it."""
+        """Dial another connection to an endpoint whose connection is nearly full, if limit and budget allow it."""
         if endpoint.usable_connections >= self._rules.each:
             return
         if self.budget.try_acquire(now, self._traffic.first_attempt_rate.per_second(now)):
@@ -177,11 +177,13 @@
 
     # ---- Backoff
     def back_off(self, now: float, endpoint: Endpoint) -> None:
-        """Put off the next dial to an endpoint that is unreachable or draining, for longer each time in a row."""
+        """Delay the next dial to an unreachable or draining endpoint, by more after each consecutive failure."""
         endpoint.next_dial_at = now + self.redial_delay(now, endpoint.dial_failures)
         endpoint.dial_failures += 1
 
     def redial_delay(self, now: float, failures: int) -> float:
-        """Seconds to wait after so many failed dials in a row, with full jitter."""
-        rate = self.budget.refill_rate(self._traffic.first_attempt_rate.per_second(now), not self._table.any_connected)
-        return redial_delay(self._rules, failures, rate, self._engine.random)
+        """Return the seconds to wait after ``failures`` consecutive failed dials, with full jitter."""
+        dial_rate = self.budget.refill_rate(
+            self._traffic.first_attempt_rate.per_second(now), not self._table.any_connected
+        )
+        return redial_delay(self._rules, failures, dial_rate, self._engine.random)
--- a/lapishaven/client/connections/endpoint_table.py
+++ b/lapishaven/client/connections/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints that a client tracks and its connections to them."""
+"""The table of the endpoints that a client tracks, with their connections."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 class EndpointTable:
-    """The tracked endpoints by name, and what is known of them: membership, outliers, unresponsive ones.
+    """The tracked endpoints, with the membership, the outlier detector and the failure detector.
 
     ``endpoints``: the tracked endpoints by name.
-    ``connection_manager``: which of them are to stay connected (deterministic subsetting only).
-    ``one_request_per_connection``: the wire is uwsgi.
+    ``connection_manager``: chooses the endpoints to keep connected (deterministic subsetting only).
+    ``one_request_per_connection``: a connection carries a single request (uwsgi).
     ``probes_connections``: endpoints are probed on open connections (``health.watch_s`` above 0).
-    ``uses_aperture``: deterministic subsetting; otherwise rendezvous hashing.
+    ``uses_aperture``: the subset is chosen by deterministic subsetting; otherwise by rendezvous hashing.
     ``rendezvous_panic``: with rendezvous hashing, most of the subset fails its health checks.
     """
 
@@ -57,38 +57,38 @@
     # ---- Queries
     @property
     def panic(self) -> bool:
-        """Whether most of the endpoint list fails its health checks, so that the list's health is ignored."""
+        """Whether most listed endpoints fail their health checks, so that the list's health is ignored."""
         return self.connection_manager.panic if self.uses_aperture else self.rendezvous_panic
 
     @property
     def any_connected(self) -> bool:
-        """Whether some endpoint is connected that is not suspected of being unresponsive."""
+        """Whether any endpoint is connected and not suspected of being unresponsive."""
         responsive = (endpoint for endpoint in self.endpoints.values() if endpoint.suspected_since is None)
         return any(
             connection.state is ConnectionState.READY for endpoint in responsive for connection in endpoint.connections
         )
 
     def is_tracked(self, endpoint: Endpoint) -> bool:
-        """Whether this very endpoint, not a later one of its name, is tracked."""
+        """Whether this endpoint object is tracked, and not a later one of the same name."""
         return self.endpoints.get(endpoint.name) is endpoint
 
     def passes_health_checks(self, endpoint: Endpoint) -> bool:
-        """Whether the endpoint list shows it healthy, or is ignored in a panic."""
+        """Whether the endpoint list shows the endpoint as healthy, or its health is ignored (``panic``)."""
         return endpoint.member.listed.passing or self.panic
 
     def open_connections(self) -> Iterator[Connection]:
-        """Every connection to a tracked endpoint, those being dialled included."""
+        """Return every connection to a tracked endpoint, including those being dialled."""
         return (connection for endpoint in self.endpoints.values() for connection in endpoint.connections)
 
     # ---- Tracking
     def track(self, name: str) -> Endpoint | None:
-        """The endpoint of that name, tracked from now on; None if it is not on the list."""
+        """Track the endpoint of this name and return it; None if it is not on the list."""
         if name not in self.endpoints and (member := self.membership.track(name)) is not None:
             self.endpoints[name] = Endpoint(name, member, None if member.warmed_up else member.listed_since)
         return self.endpoints.get(name)
 
     def remove(self, name: str) -> None:
-        """Stop tracking an endpoint: attempts in flight there finish, no new ones are sent."""
+        """Stop tracking an endpoint: its attempts in flight are completed, new ones are not sent."""
         endpoint = self.endpoints.pop(name, None)
         self.membership.untrack(name)
         if endpoint is None:
@@ -102,7 +102,7 @@
                 connection.state = ConnectionState.DRAINING
 
     def track_window(self, now: float) -> None:
-        """Track the endpoints of the window of the connection manager and no others, and tell the routing."""
+        """Track the endpoints that the connection manager needs, and no others; notify the routing of changes."""
         before = set(self.endpoints)
         self.connection_manager.update_window(now, self._traffic.first_attempt_rate.per_second(now))
         for name in [name for name in self.endpoints if not self.connection_manager.is_tracked(now, name)]:
@@ -122,12 +122,12 @@
         self.rendezvous_panic = passing * 2 < len(self.endpoints)
 
     def notify_routing(self) -> None:
-        """Tell the routing strategy which endpoints there are."""
+        """Tell the routing strategy which endpoints are tracked."""
         self.routing.endpoints_changed(tuple(self.endpoints))
 
     # ---- Connections
     def open_connection(self, now: float, endpoint: Endpoint, reason: str) -> Connection:
-        """Dial an endpoint. ``reason`` goes into the event ``dial``."""
+        """Dial an endpoint. ``reason`` is reported in the event ``dial``."""
         connection = Connection(self._engine.next_id(), endpoint, now, last_received_at=now, idle_since=now)
         connection.replaces_idle_close = endpoint.closed_idle_connection and reason == "urgent"
         endpoint.closed_idle_connection = False
@@ -144,6 +144,6 @@
         self.forget_connection(connection)
 
     def forget_connection(self, connection: Connection) -> None:
-        """Take a closed connection off its endpoint."""
+        """Remove a closed connection from its endpoint."""
         if connection in connection.endpoint.connections:
             connection.endpoint.connections.remove(connection)
--- a/lapishaven/client/connections/idle_timeouts.py
+++ b/lapishaven/client/connections/idle_timeouts.py
@@ -1,4 +1,4 @@
-"""Closes connections that have carried no request for too long."""
+"""Closes idle connections."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         self._rules = engine.settings.connections
 
     def connection_used(self, now: float, connection: Connection) -> None:
-        """Check a connection after a request on it ended: an empty draining one is closed, an idle one is timed."""
+        """Close a draining connection without attempts; start the idle timer of another connection without any."""
         if connection.in_flight or connection.state in (ConnectionState.CLOSED, ConnectionState.DIALING):
             return
         if connection.state is ConnectionState.DRAINING:
@@ -46,7 +46,7 @@
         self._table.close_connection(connection)
 
     def _close_at_in_window(self, connection: Connection) -> float:
-        """The window stays connected while the client has calls."""
+        """Return when to close: the last connection to an endpoint of the window stays while the client has calls."""
         idle_limit = connection.idle_since + self._rules.idle_s
         endpoint = connection.endpoint
         if self._table.connection_manager.keep_connected(endpoint.name) and endpoint.usable_connections == 1:
@@ -54,10 +54,10 @@
         return idle_limit
 
     def _close_at_in_subset(self, now: float, connection: Connection) -> float:
-        """As many endpoints stay connected as the traffic needs: to close them would be to dial again soon."""
+        """Return when to close: as many endpoints stay connected as the traffic needs, to avoid dialling again."""
         table, endpoint = self._table, connection.endpoint
-        usable = sum(each.usable_connections > 0 for each in table.endpoints.values())
-        rate = self._traffic.first_attempt_rate.per_second(now)
-        surplus = usable > connections_wanted(self._rules, rate, len(table.endpoints))
+        usable = sum(other.usable_connections > 0 for other in table.endpoints.values())
+        calls_per_s = self._traffic.first_attempt_rate.per_second(now)
+        surplus = usable > connections_wanted(self._rules, calls_per_s, len(table.endpoints))
         keep = endpoint.usable_connections == 1 and not surplus and table.is_tracked(endpoint)
         return max(connection.idle_since, self._traffic.last_call_at if keep else 0.0) + self._rules.idle_s
--- a/lapishaven/client/connections/probing.py
+++ b/lapishaven/client/connections/probing.py
@@ -1,4 +1,4 @@
-"""Probes: finds endpoints that take connections and requests and answer nothing (failure detection)."""
+"""Failure detection by probes: finds endpoints that accept connections and requests but answer nothing."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def _ignore_unresponsive(now: float, endpoint: Endpoint) -> None:
-    """The callback until the policy sets one."""
+    """Do nothing: the default callback until the policy sets one."""
 
 
 class Prober:
-    """Probes on open connections (``settings.health.watch_s``) and health checks for silent ones.
+    """Probes endpoints on open connections (``settings.health.watch_s``), and health-checks silent ones.
 
-    ``on_unresponsive(now, endpoint)`` is called for each endpoint that is suspected, at every check.
+    ``on_unresponsive(now, endpoint)`` is called at every check for each suspected endpoint.
     """
 
     def __init__(self, engine: Engine, table: EndpointTable, dial_budget: DialBudget) -> None:
@@ -34,23 +34,23 @@
 
     # ---- Probes on open connections
     def must_probe_first(self, now: float, endpoint: Endpoint) -> bool:
-        """Whether nothing was received from an endpoint for so long that it is probed before a request goes there."""
+        """Whether nothing was received from an endpoint for ``health.fresh_s``, so that it is probed first."""
         return self._table.probes_connections and now - endpoint.last_heard_at > self._engine.settings.health.fresh_s
 
     def probe(self, now: float, endpoint: Endpoint) -> None:
-        """Probe on the connection that has been quiet longest; without a connection there is nothing to learn."""
+        """Probe on the connection that has been silent longest; without a connection, drop the outstanding probe."""
         established = (ConnectionState.READY, ConnectionState.DRAINING)
-        connections = [each for each in endpoint.connections if each.state in established]
+        connections = [connection for connection in endpoint.connections if connection.state in established]
         if not connections:
             endpoint.outstanding_probe = None
             return
         self._send_probe(now, min(connections, key=lambda connection: connection.last_received_at))
 
     def probe_new_connection(self, now: float, connection: Connection) -> None:
-        """Probe on a connection that was just made.
+        """Probe on a connection that was just established.
 
-        That the kernel accepted it says nothing of the process. And servers close a connection on which no whole
-        message was sent for 2 s: one that is kept for later calls would be dialled in vain.
+        The kernel accepts connections even if the process does not run. And servers close a connection on which no
+        complete message arrives for 2 s, so without the probe a connection kept for later calls would be lost.
         """
         self._send_probe(now, connection)
         self.schedule_check()
@@ -61,7 +61,7 @@
         self._engine.emit(SendProbe(connection))
 
     def request_sent(self, now: float, connection: Connection) -> None:
-        """Watch for the response to a request."""
+        """Start watching for the response to a request."""
         if self._table.probes_connections:
             self._detector.request_sent(now, connection.endpoint)
             self.schedule_check()
@@ -71,7 +71,7 @@
             self._engine.schedule(now + silence_s, self._check_connection, connection)
 
     def received(self, now: float, connection: Connection) -> None:
-        """Anything arrived from an endpoint."""
+        """Record that anything arrived from an endpoint."""
         endpoint = connection.endpoint
         connection.last_received_at = endpoint.last_heard_at = now
         if connection.replaces_idle_close:
@@ -81,13 +81,13 @@
             self._engine.report(now, "speaks again", server=endpoint.name)
 
     def connection_lost(self, endpoint: Endpoint) -> None:
-        """What is known of an endpoint's responsiveness ends with its last connection."""
+        """Reset the failure detector's state of an endpoint that lost its last connection."""
         if self._table.probes_connections and len(endpoint.connections) <= 1:
             self._detector.forget(endpoint)
 
     # ---- Checks
     def schedule_check(self) -> None:
-        """Check when the failure detector next has something to do."""
+        """Schedule the next check of the failure detector."""
         when = self._detector.next_check_at()
         if self._table.probes_connections and when < self._next_check_at:
             self._next_check_at = when
@@ -111,14 +111,14 @@
         """Check the health of an endpoint that owes responses and sent nothing for ``connections.silence_s``."""
         connection.response_timer_set = False
         silence_s = self._engine.settings.connections.silence_s
-        sent_times = (each.sent_at for each in connection.in_flight.values() if each.sent_at is not None)
-        oldest = min(sent_times, default=None)
-        if connection.state is ConnectionState.CLOSED or oldest is None:
+        sent_times = (attempt.sent_at for attempt in connection.in_flight.values() if attempt.sent_at is not None)
+        oldest_sent_at = min(sent_times, default=None)
+        if connection.state is ConnectionState.CLOSED or oldest_sent_at is None:
             return
         connection.response_timer_set = True
-        quiet_since = max(oldest, connection.last_received_at)
-        if quiet_since + silence_s > now:
-            self._engine.schedule(quiet_since + silence_s, self._check_connection, connection)
+        silent_since = max(oldest_sent_at, connection.last_received_at)
+        if silent_since + silence_s > now:
+            self._engine.schedule(silent_since + silence_s, self._check_connection, connection)
             return
         self._engine.schedule(now + silence_s, self._check_connection, connection)
         endpoint = connection.endpoint
@@ -127,7 +127,7 @@
             self.check_health(endpoint)
 
     def check_health(self, endpoint: Endpoint) -> None:
-        """Check an endpoint on a connection of its own, unless such a check is under way."""
+        """Check an endpoint on a separate connection, unless such a check is already under way."""
         if not endpoint.health_check_pending:
             endpoint.health_check_pending = True
             self._engine.emit(CheckHealth(endpoint))
--- a/lapishaven/client/endpoint_list_watcher.py
+++ b/lapishaven/client/endpoint_list_watcher.py
@@ -1,4 +1,4 @@
-"""Polls the service registry for the endpoint list, and keeps the last good list in a file."""
+"""Polls the service registry for the endpoint list, and saves the last good list to a file."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from lapishaven.proto import ProtocolError
 from lapishaven.proto.catalog import MAX_LIST_BYTES, ListClient
 
-POLL_JITTER = 0.1  # of the time between two polls
-RECEIVE_SIZE = 65536  # bytes
+POLL_JITTER = 0.1  # as a fraction of the poll interval, up and down
+RECEIVE_BYTES = 65536
 
 
 class EndpointListWatcher:
-    """One kept connection to the service registry, polled every ``settings.catalog_rules.poll_s``.
+    """Polls the service registry every ``settings.catalog_rules.poll_s`` on one persistent connection.
 
-    ``run_policy`` carries out what the policy wants after a new list.
+    ``run_policy`` is called after each list, to execute the policy's actions.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
 
     # ---- Polls
     async def run(self) -> None:
-        """Poll until cancelled. A failed poll is counted and tried again at the next one."""
+        """Poll until cancelled. A failed poll is reported as an event; the next one comes at the usual interval."""
         address = split_address(self._settings.catalog, "catalog")
         try:
             while True:
@@ -69,11 +69,11 @@
     async def _poll(self, address: tuple[str, int]) -> None:
         sock, reader = await self._connection(address)
         membership = self._policy.membership
-        since = self._rules.deltas and not membership.needs_full_list
-        await self._loop.sock_sendall(sock, reader.encode_request(membership.version_tag, since))
-        done = False
-        while not done:
-            done, listing = reader.feed(await self._loop.sock_recv(sock, RECEIVE_SIZE))
+        request_delta = self._rules.deltas and not membership.needs_full_list
+        await self._loop.sock_sendall(sock, reader.encode_request(membership.version_tag, request_delta))
+        complete = False
+        while not complete:
+            complete, listing = reader.feed(await self._loop.sock_recv(sock, RECEIVE_BYTES))
         if listing is not None:
             verdict = self._policy.update_endpoints(self._loop.time(), listing)
             self._run_policy()
@@ -81,7 +81,7 @@
                 self._save()
 
     async def _connection(self, address: tuple[str, int]) -> tuple[socket.socket, ListClient]:
-        """The kept connection, or a new one where the last response ended it."""
+        """Return the persistent connection, or a new one if the last response ended it."""
         if self._sock is not None and self._reader is not None and self._reader.reusable:
             return self._sock, self._reader
         self._disconnect()
@@ -90,12 +90,12 @@
         self._reader = ListClient(f"{host}:{port}")
         return self._sock, self._reader
 
-    # ---- The last good list over a restart
+    # ---- The last good list across restarts
     def restore(self) -> None:
-        """Read the list that an earlier process saved.
+        """Apply the list that an earlier process saved.
 
-        One that is missing, unreadable or malformed is no list: the registry is polled as at any start, and the
-        hook is told why.
+        A missing, unreadable or malformed file is treated as no list: the client starts with the registry's list. An
+        unreadable or malformed one is reported as an event.
         """
         if not self._rules.file:
             return
@@ -110,7 +110,7 @@
             self._policy.engine.report(self._loop.time(), "list file unreadable", error=str(error))
 
     def _save(self) -> None:
-        """Replace the file atomically (write beside it, then rename), at most every ``save_s``."""
+        """Replace the file atomically (write a temporary file, then rename it), at most once every ``save_s``."""
         path, now = self._rules.file, self._loop.time()
         if not path or now < self._file_saved_at + self._rules.save_s:
             return
--- a/lapishaven/client/endpoint_updates.py
+++ b/lapishaven/client/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Applies endpoint lists: which endpoints are tracked, and which may be dialled again."""
+"""Applies endpoint lists: updates which endpoints are tracked, and which may be dialled again."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from lapishaven.proto.catalog import Delta, Listing
 
 APPLIED_VERDICTS = (ListVerdict.TAKEN, ListVerdict.HELD_BACK)
-"""Verdicts of ``Membership`` after which the tracked endpoints may differ."""
+"""Verdicts of ``Membership`` that may change the tracked endpoints."""
 
 
 class EndpointUpdates:
-    """Takes the service registry's list, and lets go of doubted endpoints after ``catalog_rules.confirm_s``."""
+    """Applies the service registry's lists, and removes doubted endpoints after ``catalog_rules.confirm_s``."""
 
     def __init__(self, engine: Engine, connectivity: Connectivity, waiting: WaitingCalls) -> None:
         self._engine = engine
@@ -26,7 +26,7 @@
         self._confirm_s = engine.settings.catalog_rules.confirm_s
 
     def update(self, now: float, listing: Listing | Delta) -> ListVerdict:
-        """Apply a whole list or what changed in it; returns the verdict (``MembershipChange.verdict``)."""
+        """Apply a full list or a delta; return the verdict (``MembershipChange.verdict``)."""
         membership = self._table.membership
         if isinstance(listing, Delta):
             change = membership.apply_delta(now, listing)
@@ -40,9 +40,9 @@
         return change.verdict
 
     def restore(self, now: float, data: bytes) -> ListVerdict:
-        """Apply a list that an earlier process saved (``Membership.serialize``), at the start.
+        """Apply a list that an earlier process saved (``Membership.serialize``), before the first poll.
 
-        Raises ``ProtocolError`` where ``data`` is not a list.
+        Raises ``ProtocolError`` if ``data`` is not a list.
         """
         change = self._table.membership.restore(now, data)
         self._engine.report(now, f"list {change.verdict}", joined=change.joined, left=change.left, restored=True)
@@ -64,10 +64,10 @@
         for name in self._table.connection_manager.endpoints_changed(now, joined, left, changed):
             endpoint = self._table.endpoints.get(name)
             if endpoint is not None and endpoint.lost_at is not None and endpoint.lost_at < now:
-                endpoint.lost_at = None  # dialled in this client's time slot
+                endpoint.lost_at = None  # it may be dialled in this client's next time slot
 
     def _remove_expired(self, now: float, _: Any) -> None:
-        """Let go of doubted endpoints that answered nothing for long enough."""
+        """Remove doubted endpoints that answered nothing for ``catalog_rules.confirm_s``."""
         table = self._table
         removed = table.membership.remove_expired(now)
         for name in removed:
@@ -79,7 +79,7 @@
             self._engine.schedule(now + self._confirm_s / 4, self._remove_expired)
 
     def update_tracked(self, now: float) -> None:
-        """Track the endpoints of the current list that this client is to use, and dial what is missing."""
+        """Track the endpoints of the current list that belong to this client's subset, and dial missing ones."""
         table = self._table
         if table.uses_aperture:
             table.track_window(now)
--- a/lapishaven/client/engine.py
+++ b/lapishaven/client/engine.py
@@ -1,4 +1,4 @@
-"""What every part of the policy is built on: timers, the queue of actions for the driver, and event reports."""
+"""The base of all parts of the policy: timers, the queue of actions for the driver, and event reports."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self._last_id = 0
 
     def next_id(self) -> int:
-        """A number that no call, attempt, connection or timer of this client had before."""
+        """Return an id that is unique among the calls, attempts, connections and timers of this client."""
         self._last_id += 1
         return self._last_id
 
@@ -40,18 +40,18 @@
         self._actions.append(action)
 
     def take_actions(self) -> list[Action]:
-        """Return the actions queued since the last call, in their order."""
+        """Return the actions queued since the last call, in order."""
         actions = self._actions
         self._actions = []
         return actions
 
     def schedule(self, when: float, callback: TimerCallback, argument: Any = None) -> None:
-        """Call ``callback(now, argument)`` at ``when``. Timers of the same time run in the order they were set."""
+        """Call ``callback(now, argument)`` at ``when``. Timers with equal times run in the order they were set."""
         self._last_id += 1
         heappush(self._timers, (when, self._last_id, callback, argument))
 
     def next_timer_at(self) -> float | None:
-        """When ``run_timers`` has something to do; None without timers."""
+        """Return the time of the earliest timer, or None if no timer is set."""
         return self._timers[0][0] if self._timers else None
 
     def run_timers(self, now: float) -> None:
@@ -61,7 +61,7 @@
             callback(now, argument)
 
     def timer_arguments(self) -> list[Any]:
-        """The arguments of all timers that are set."""
+        """Return the arguments of all timers that are set."""
         return [argument for _, _, _, argument in self._timers]
 
     def clear_timers(self) -> None:
--- a/lapishaven/client/fleet/__init__.py
+++ b/lapishaven/client/fleet/__init__.py
@@ -1,10 +1,10 @@
-"""Connections of a client in a large fleet: endpoint lists, subsets, the connection manager, the dial schedule.
+"""Connections of a client in a large fleet: endpoint lists, subsets, connection manager and dial schedule.
 
 - ``endpoint_list``: immutable versions of the service registry's list;
-- ``ring`` and ``aperture``: the subset of the endpoints that one client keeps connected;
-- ``dial_schedule``: the time slots in which clients dial, and the interval between a deploy's batches;
+- ``ring`` and ``aperture``: choose the subset of the endpoints that one client keeps connected;
+- ``dial_schedule``: the time slots in which clients dial, and the interval between the batches of a deploy;
 - ``reachability``: whether an endpoint may be dialled;
-- ``connection_manager``: puts these together into the next dial.
+- ``connection_manager``: combines these to choose the next dial.
 """
 
 from lapishaven.client.fleet.aperture import Subset, placement_number, window_size
--- a/lapishaven/client/fleet/connection_manager.py
+++ b/lapishaven/client/fleet/connection_manager.py
@@ -1,11 +1,11 @@
-"""Chooses which endpoints a client keeps connected, and the next dial (deterministic subsetting). Pure.
-
-The window is the client's own few endpoints (``aperture``). An endpoint of the window that is away is waited for,
-not replaced; when the endpoint list shows it again, it is dialled in the client's own time slot
-(``dial_schedule.DialSlots``), so that the dials of a whole fleet come evenly, however many endpoints were lost at once.
-The slots come the sooner, the more the client would lose with its next connection. A call that waits with nothing
-connected dials at once, any endpoint that is there; so does the client's slot where no endpoint of its window is there.
-Such a stand-in is dropped when the whole window is connected again.
+"""Chooses the endpoints that a client keeps connected, and the next dial (deterministic subsetting). Pure.
+
+The window is the client's subset of the endpoints (``aperture``). An endpoint of the window that is away is not
+replaced. When the endpoint list shows it again, it is dialled in the client's own time slot
+(``dial_schedule.DialSlots``), so that the dials of a whole fleet are evenly spread, however many endpoints were lost
+at once. The fewer usable endpoints a client has, the sooner its slots come. Endpoints outside the window (stand-ins)
+are dialled in two cases: at once for a call that waits while no endpoint is connected, and in the client's slot if no
+endpoint of the window is available. They are dropped when the whole window is connected again.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 from lapishaven.client.membership import Membership
 from lapishaven.client.settings import Connections
 
-REMOVED_ENDPOINT_TTL_S = 120.0  # for which an endpoint that left the list keeps its place on the ring
-SHRINK_FACTOR = 1.5  # times the traffic that a smaller window must fit: hysteresis
-START_DIAL_SHARE = 0.3  # dials at the start, as a share of first attempts
-FEW_ENDPOINTS = 1  # usable endpoints at which a client's slots come twice as often
+REMOVED_ENDPOINT_TTL_S = 120.0  # an endpoint that left the list keeps its position on the ring for this long
+SHRINK_FACTOR = 1.5  # hysteresis: a window shrinks only to a size that fits this many times the traffic
+START_DIAL_SHARE = 0.3  # dials per first attempt in the start phase
+FEW_ENDPOINTS = 1  # with at most this many usable endpoints, a client's slots come twice as often
 
 
 class DialReason(StrEnum):
-    """Why an endpoint is dialled. The values are words in the event ``dial``."""
+    """Why an endpoint is dialled. The values are reported in the event ``dial``."""
 
     START = "start"  # the client makes its first connections
-    WINDOW = "window"  # an endpoint of the window is back
-    STAND_IN = "stand-in"  # no endpoint of the window is there
-    URGENT = "urgent"  # a call waits and nothing is connected
+    WINDOW = "window"  # an endpoint of the window is available again
+    STAND_IN = "stand-in"  # no endpoint of the window is available
+    URGENT = "urgent"  # a call waits and no endpoint is connected
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedDial:
-    """The next dial: the endpoint's name, the time, and why."""
+    """The next dial: the endpoint's name, the time, and the reason."""
 
     name: str
     at: float
@@ -47,12 +47,12 @@
 
 
 class ConnectionManager:
-    """The decisions of one client. Rates are in first attempts per second.
+    """The connection decisions of one client. ``calls_per_s`` counts first attempts.
 
-    ``endpoints``: the tracked endpoints (``EndpointTable.endpoints``); nothing here changes them.
-    ``window``: the endpoints to keep connected; ``stand_ins``: others, while the window is not whole.
-    ``starting``: the first connections are still being made.
-    ``panic``: most of the endpoint list fails its health checks, so that the list's health is ignored.
+    ``endpoints``: the tracked endpoints (``EndpointTable.endpoints``); read only.
+    ``window``: the endpoints to keep connected; ``stand_ins``: others, while the window is not fully connected.
+    ``starting``: the start phase, in which the first connections are made.
+    ``panic``: most listed endpoints fail their health checks, so that the list's health is ignored.
     """
 
     def __init__(
@@ -78,9 +78,9 @@
         self.stand_ins: set[str] = set()
         self.starting = True
         self.panic = False
-        self._ring: Ring | None = None  # of the known names; None after they changed
+        self._ring: Ring | None = None  # None after the known names changed
         self._subset = aperture.Subset(Ring(()), 0, 1)
-        self._removed: dict[str, float] = {}  # when each left the list, for those that keep their place on the ring
+        self._removed: dict[str, float] = {}  # when they left the list; they keep their positions
         self._reachability = Reachability(rules, membership, endpoints, self.deploy_interval, has_catalog)
         self._start = StartSchedule(random)
 
@@ -88,12 +88,12 @@
     def endpoints_changed(
         self, now: float, joined: Iterable[str], left: Iterable[str], changed: Iterable[str]
     ) -> list[str]:
-        """Note what a list changed; returns the names of endpoints that are back."""
+        """Record the changes made by a list; return the names of endpoints that are back."""
         for name in left:
             self._removed[name] = now
             self.deploy_interval.record_departure(now, name)
         self._ring = None
-        # Of those that joined only endpoints that were known before matter: a first list costs nothing here.
+        # Among the joined endpoints only known ones matter, so that a first list costs nothing here.
         rejoined = [name for name in joined if self._was_known(name)]
         back = []
         for name in [*rejoined, *changed]:
@@ -110,11 +110,11 @@
         return name in self._removed or name in self.endpoints or self.deploy_interval.is_away(name)
 
     # ---- The window
-    def update_window(self, now: float, rate: float) -> None:
-        """Bring the window up to date with the list and the traffic."""
+    def update_window(self, now: float, calls_per_s: float) -> None:
+        """Update the window to the list and the traffic."""
         self._update_ring(now)
-        self.window = self._subset.window(self._window_size(rate))
-        self.stand_ins = {name for name in self.stand_ins if self._still_stands_in(name)}
+        self.window = self._subset.window(self._window_size(calls_per_s))
+        self.stand_ins = {name for name in self.stand_ins if self._is_still_stand_in(name)}
 
     def _update_ring(self, now: float) -> None:
         for name, removed_at in list(self._removed.items()):
@@ -126,23 +126,23 @@
             self.panic = self.membership.passing * 2 < len(self.membership)
             self._subset = aperture.Subset(self._ring, self.client_number, self.rules.least)
 
-    def _window_size(self, rate: float) -> int:
-        """Grows with the traffic at once; shrinks only when the traffic is well below the window's."""
-        least, known = self.rules.least, len(self._subset.ring)
+    def _window_size(self, calls_per_s: float) -> int:
+        """Return the window size: grows with the traffic at once, shrinks only if the traffic is well below."""
+        least, known_count = self.rules.least, len(self._subset.ring)
         if self.starting:  # the traffic is not known yet
-            rate = max(rate, least / aperture.SERVER_IDLE_TIMEOUT_S)
-        size = aperture.window_size(least, rate, known)
+            calls_per_s = max(calls_per_s, least / aperture.SERVER_IDLE_TIMEOUT_S)
+        size = aperture.window_size(least, calls_per_s, known_count)
         if size < len(self.window):
-            return min(len(self.window), aperture.window_size(least, rate * SHRINK_FACTOR, known))
+            return min(len(self.window), aperture.window_size(least, calls_per_s * SHRINK_FACTOR, known_count))
         return size
 
-    def _still_stands_in(self, name: str) -> bool:
+    def _is_still_stand_in(self, name: str) -> bool:
         if name in self.window or name not in self.membership:
             return False
         return self._reachability.has_connection(name)
 
     def is_tracked(self, now: float, name: str) -> bool:
-        """Whether to go on tracking an endpoint: one to keep connected, or one that must not be dialled yet."""
+        """Whether to keep tracking an endpoint: it is to stay connected, or it must not be dialled yet."""
         if name not in self.membership:
             return False
         if self.keep_connected(name) or self.endpoints[name].next_dial_at > now:
@@ -154,14 +154,14 @@
         return name in self.window or name in self.stand_ins
 
     def surplus_stand_ins(self) -> list[str]:
-        """The stand-ins that are not needed any more, as the whole window is connected."""
+        """Return the stand-ins that are no longer needed, as the whole window is connected."""
         if not self.window or not all(self._reachability.has_connection(name) for name in self.window):
             return []
         return sorted(self.stand_ins)
 
     # ---- Candidates
     def _unconnected(self, now: float, urgent: bool = False) -> list[str]:
-        """The endpoints of the window that are there and not connected."""
+        """Return the endpoints of the window that may be dialled and have no usable connection."""
         return [
             name
             for name in self.window
@@ -174,14 +174,14 @@
                 yield name
 
     # ---- Dials
-    def next_dial(self, now: float, rate: float, urgent: bool) -> PlannedDial | None:
-        """The next dial, if any is wanted. ``urgent``: a call waits and nothing is connected."""
+    def next_dial(self, now: float, calls_per_s: float, urgent: bool) -> PlannedDial | None:
+        """Return the next dial, or None if none is needed. ``urgent``: a call waits and no endpoint is connected."""
         if urgent:
             return self.next_urgent_dial(now)
         connected = [name for name in (*self.window, *self.stand_ins) if self._reachability.is_usable(name)]
         unconnected = self._unconnected(now)
         if self.starting:
-            return self._next_start_dial(now, rate, unconnected)
+            return self._next_start_dial(now, calls_per_s, unconnected)
         if not connected and not unconnected:
             stand_in = next(self._stand_in_candidates(now), None)
             unconnected = [stand_in] if stand_in is not None else []
@@ -190,16 +190,16 @@
             return None
         missing = len(self.window) - len(connected)
         spread_s = self.deploy_interval.spread_s(now)
-        urgency = self._cycle_doublings(now, connected, missing)
-        slot_at = self.dial_slots.next_at(now, rate, max(1, missing), spread_s, urgency)
+        doublings = self._cycle_doublings(now, connected, missing)
+        slot_at = self.dial_slots.next_at(now, calls_per_s, max(1, missing), spread_s, doublings)
         return self._soonest(slot_at, unconnected)
 
     def _cycle_doublings(self, now: float, connected: list[str], missing: int) -> int:
-        """How often to double the cycle of dial slots: -1, 0 or 1, by what the client stands to lose.
+        """Return how often to double the cycle of dial slots: -1, 0 or 1, by the endpoints that the client has.
 
-        A client with few endpoints that accept its calls dials twice as often, unless one of them was restarted in
-        the deploy under way, which will hardly leave again. One with more than few, such an endpoint among them, or
-        with its whole window connected, dials half as often.
+        A client with at most ``FEW_ENDPOINTS`` that accept its calls dials twice as often, unless one of them was
+        restarted in the current deploy and is therefore unlikely to leave again. A client that has more of them,
+        including such a restarted one, or that has its whole window connected, dials half as often.
         """
         accepting = [name for name in connected if not self.endpoints[name].recently_rejected(now)]
         few = len(accepting) <= FEW_ENDPOINTS
@@ -211,14 +211,18 @@
         return 0
 
     def next_urgent_dial(self, now: float) -> PlannedDial | None:
-        """The dial for a call that waits with nothing connected: the window first, then any other endpoint."""
+        """Return the dial for a call that waits with no endpoint connected: in the window first, then any other."""
         names = self._unconnected(now, urgent=True)
         if any(self._reachability.closed_idle_connection(name) for name in names):
-            self.random.shuffle(names)  # a client that dials for each call must not always choose the same endpoint
+            # A client that dials for each call must not always choose the same endpoint.
+            self.random.shuffle(names)
         return self._soonest(now, names, urgent=True)
 
     def _soonest(self, at: float, names: list[str], urgent: bool = False) -> PlannedDial | None:
-        """The endpoint that may be dialled first, from ``at`` on; any other if it is urgent and none may be then."""
+        """Return the dial to the endpoint that may be dialled first from ``at`` on.
+
+        If the dial is urgent and none of ``names`` may be dialled at ``at``, a stand-in is dialled.
+        """
         times = {name: self._reachability.earliest_dial_at(at, name, urgent) for name in names}
         best = min(times, key=times.__getitem__, default=None)
         if urgent and (best is None or times[best] > at):
@@ -231,9 +235,9 @@
             return PlannedDial(best, times[best], DialReason.URGENT)
         return PlannedDial(best, times[best], DialReason.WINDOW if best in self.window else DialReason.STAND_IN)
 
-    def _next_start_dial(self, now: float, rate: float, unconnected: list[str]) -> PlannedDial | None:
-        fastest_s = len(self.window) / max(START_DIAL_SHARE * rate, MIN_DIALS_PER_S)
-        spread_s = min(self.deploy_interval.spread_s(now), fastest_s)
+    def _next_start_dial(self, now: float, calls_per_s: float, unconnected: list[str]) -> PlannedDial | None:
+        shortest_spread_s = len(self.window) / max(START_DIAL_SHARE * calls_per_s, MIN_DIALS_PER_S)
+        spread_s = min(self.deploy_interval.spread_s(now), shortest_spread_s)
         dials = []
         for name, at in self._start.times(now, spread_s, unconnected):
             dials.append((self._reachability.earliest_dial_at(at, name), name))
@@ -243,7 +247,7 @@
         return PlannedDial(name, dial_at, DialReason.START)
 
     def record_dial(self, now: float, dial: PlannedDial) -> None:
-        """A planned dial was made."""
+        """Record that a planned dial was made."""
         self._start.record_dial(dial.name)
         self.dial_slots.record_dial(now)
         if dial.name not in self.window:
--- a/lapishaven/client/fleet/endpoint_list.py
+++ b/lapishaven/client/fleet/endpoint_list.py
@@ -1,9 +1,9 @@
 """Immutable versions of the service registry's list, and the updates between them. Pure.
 
-A client process holds one list and the little that is its own (``membership``). A list is never changed, only
-followed by another. The update from one to the next is computed once and cached, so that the thousands of clients of
-one simulation that apply the same versions in the same order share each list, as real processes would each hold
-theirs. After the first full list an update costs a client no more than the size of what changed.
+A client holds the current list, and its own state in ``membership``. A list is never modified, but replaced by the
+next version. The update from one version to the next is computed once and cached, so that the thousands of clients of
+a simulation that apply the same versions in the same order share each list. After the first full list, applying an
+update costs each client time in proportion to the number of changes.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
     """The list at one version.
 
     ``rows``: the rows by the endpoints' names.
-    ``serial``: counts the updates since the empty list, over epochs too.
-    ``added_at_serial``: for each name the serial at which it joined the list.
-    ``passing``: how many endpoints pass their health checks.
+    ``serial``: the number of updates since the empty list, across epochs.
+    ``added_at_serial``: by name, the serial at which the endpoint joined the list.
+    ``passing``: the number of endpoints that pass their health checks.
     """
 
     __slots__ = ("added_at_serial", "epoch", "names", "passing", "rows", "serial", "version")
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """From one list to the next. A new address under the same name counts as left and joined.
+    """The update from one list to the next. A new address under the same name counts as left and joined.
 
     ``endpoint_list``: the next list.
-    ``changed``: passing the health checks turned on or off.
+    ``changed``: began or ceased to pass the health checks.
     """
 
     endpoint_list: EndpointList
@@ -63,17 +63,17 @@
 _updates: OrderedDict[tuple[int, int], tuple[EndpointList, object, ListUpdate]] = OrderedDict()
 
 
-def _cached(before: EndpointList, source: object, make: Callable[[], ListUpdate]) -> ListUpdate:
-    """The update from ``before`` by ``source`` (a list or a delta), computed once.
+def _cached(before: EndpointList, source: object, compute: Callable[[], ListUpdate]) -> ListUpdate:
+    """Return the update from ``before`` by ``source`` (a list or a delta), computed once.
 
-    An entry holds both objects, so that their ids, which are its key, cannot be reused while it is cached.
+    An entry references both objects, so that their ids, which form its key, cannot be reused while it is cached.
     """
     key = id(before), id(source)
     entry = _updates.get(key)
     if entry is not None and entry[0] is before and entry[1] is source:
         _updates.move_to_end(key)
         return entry[2]
-    update = make()
+    update = compute()
     _updates[key] = before, source, update
     while len(_updates) > MAX_CACHED_UPDATES:
         _updates.popitem(last=False)
@@ -83,7 +83,7 @@
 def _make_update(
     before: EndpointList, epoch: str, version: int, rows: dict[str, Listed], candidates: Iterable[str]
 ) -> ListUpdate:
-    """The update to ``rows``; only the names in ``candidates`` may differ."""
+    """Return the update from ``before`` to ``rows``, which differ at most in the names in ``candidates``."""
     joined: list[str] = []
     left: list[str] = []
     changed: list[str] = []
@@ -108,21 +108,21 @@
 
 
 def replace_list(before: EndpointList, listing: Listing) -> ListUpdate:
-    """The update from ``before`` to a full list."""
+    """Return the update from ``before`` to a full list."""
 
-    def make() -> ListUpdate:
+    def compute() -> ListUpdate:
         rows = {row.name: row for row in listing.servers}
         return _make_update(before, listing.epoch, listing.version, rows, before.names | rows.keys())
 
-    return _cached(before, listing, make)
+    return _cached(before, listing, compute)
 
 
 def apply_delta(before: EndpointList, delta: Delta) -> ListUpdate | None:
-    """The update that a delta makes to ``before``; None where the delta starts from another version."""
+    """Return the update of ``before`` by a delta; None if the delta starts from another version."""
     if delta.epoch != before.epoch or delta.since != before.version or delta.version <= before.version:
         return None
 
-    def make() -> ListUpdate:
+    def compute() -> ListUpdate:
         rows = dict(before.rows)
         for name in delta.left:
             rows.pop(name, None)
@@ -131,4 +131,4 @@
         names = {*delta.left, *(row.name for row in (*delta.joined, *delta.changed))}
         return _make_update(before, delta.epoch, delta.version, rows, names)
 
-    return _cached(before, delta, make)
+    return _cached(before, delta, compute)
--- a/lapishaven/client/fleet/reachability.py
+++ b/lapishaven/client/fleet/reachability.py
@@ -1,4 +1,4 @@
-"""Whether an endpoint may be dialled, by the endpoint list and by what the client itself has seen of it. Pure."""
+"""Whether an endpoint may be dialled, by the endpoint list and the client's own observations. Pure."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from lapishaven.client.membership import Membership
 from lapishaven.client.settings import Connections
 
-MAX_AWAY_DOUBLINGS = 3  # of ``Connections.away_s``, one for each failed dial
+MAX_AWAY_DOUBLINGS = 3  # each failed dial doubles ``Connections.away_s``, up to this often
 
 
 class KnownEndpoint(Protocol):
-    """What the decisions about dials read of a tracked endpoint (``model.Endpoint``)."""
+    """The attributes of a tracked endpoint (``model.Endpoint``) that decisions about dials use."""
 
     next_dial_at: float
     dial_failures: int
@@ -23,10 +23,10 @@
 
     @property
     def usable_connections(self) -> int:
-        """Connections that are established or being dialled."""
+        """The number of connections that are established or being dialled."""
 
     def recently_rejected(self, now: float) -> bool:
-        """Whether it rejected an attempt lately."""
+        """Whether it rejected an attempt recently."""
 
     @property
     def ejected(self) -> bool:
@@ -34,7 +34,7 @@
 
 
 class Reachability:
-    """Whether and when an endpoint may be dialled, by all that is known of it."""
+    """Decides whether and when an endpoint may be dialled."""
 
     def __init__(
         self,
@@ -67,10 +67,11 @@
         return endpoint is not None and endpoint.closed_idle_connection
 
     def may_dial(self, now: float, name: str, urgent: bool, ignore_health: bool) -> bool:
-        """Whether the endpoint is there, as far as is known.
+        """Whether the endpoint is assumed to be available for a dial.
 
-        ``urgent``: a call waits, so an endpoint that closed an idle connection is dialled before the list shows it
-        again: a server with many clients closes idle connections at once. ``ignore_health``: that of the list.
+        ``urgent``: a call waits, so an endpoint that closed an idle connection is dialled without waiting for the list
+        to show it again, as servers with many clients close idle connections at once. ``ignore_health``: ignore the
+        health in the list.
         """
         row = self._membership.row(name)
         if row is None or not (row.passing or ignore_health):
@@ -81,18 +82,18 @@
         if endpoint.ejected or endpoint.suspected_since is not None or self._deploy_interval.is_flapping(now, name):
             return False
         if endpoint.lost_at is None or not self._has_catalog:
-            return True  # a fixed list will not show it again: the backoff of dials says when
+            return True  # a fixed list never shows a return; the dial backoff sets the time
         if urgent and endpoint.closed_idle_connection:
             return True
-        # The list may be stale: each failed dial doubles the time to wait for it.
+        # The list may be stale: each failed dial doubles the delay.
         away_s: float = self._rules.away_s * 2 ** min(endpoint.dial_failures, MAX_AWAY_DOUBLINGS)
         return now - endpoint.lost_at >= away_s
 
     def earliest_dial_at(self, now: float, name: str, urgent: bool = False) -> float:
-        """When the endpoint may be dialled, by the backoff of its failed dials."""
+        """Return when the endpoint may be dialled, by its backoff after failed dials."""
         endpoint = self._endpoints.get(name)
         if endpoint is None:
             return now
         if urgent and not endpoint.dial_failures:
-            return now  # the delay after a lost connection gives way to a call that waits
+            return now  # a waiting call overrides the delay after a lost connection
         return max(now, endpoint.next_dial_at)
--- a/lapishaven/client/fleet/ring.py
+++ b/lapishaven/client/fleet/ring.py
@@ -1,8 +1,8 @@
 """The ring: the known endpoints in one fixed order. Pure.
 
-The order is by a hash of the name, so that neighbours on the ring have nothing else in common (a rack, a batch of a
-deploy). The same names give the same ring in every process. A few rings are cached, so that the thousands of clients
-of a simulation that see the same list share one.
+The order is by a hash of the name, so that neighbours on the ring have nothing else in common (such as a rack or a
+deploy batch). The same names give the same ring in every process. Recent rings are cached, so that the thousands of
+clients of a simulation that see the same list share one.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Ring:
-    """``names`` in ring order."""
+    """``names``: the names of the endpoints in ring order."""
 
     __slots__ = ("names",)
 
@@ -32,7 +32,7 @@
 
 
 def ring_of(names: frozenset[str]) -> Ring:
-    """The ring of these names. Cached."""
+    """Return the ring of these names. Cached."""
     ring = _rings.get(names)
     if ring is None:
         ring = _rings[names] = Ring(names)
@@ -47,10 +47,9 @@
 
 
 def ring_with_removed(names: frozenset[str], removed: frozenset[str]) -> Ring:
-    """The ring of ``names`` and of the recently ``removed`` ones, which keep their places for a while. Cached.
+    """Return the ring of ``names`` and the recently ``removed`` ones, which keep their positions. Cached.
 
-    Where another client asked for the same before, the cost is that of hashing ``removed``, not the whole list, as a
-    frozenset remembers its hash.
+    A cache hit costs the hashing of ``removed`` only, not of the whole list, as a frozenset caches its hash.
     """
     if not removed:
         return ring_of(names)
--- a/lapishaven/client/health.py
+++ b/lapishaven/client/health.py
@@ -1,7 +1,7 @@
-"""What attempts and health checks say of each endpoint: Retry-After, and the ejection of outliers. Pure.
+"""Health of endpoints by the results of attempts and health checks: Retry-After and outlier ejection. Pure.
 
-The ejection follows Envoy's outlier detection: consecutive failures or a high failure rate eject an endpoint for a
-time that doubles with each ejection, and at most a share of all endpoints is ejected at once.
+Ejection follows Envoy's outlier detection: consecutive failures or a high failure rate eject an endpoint for a time
+that doubles with each ejection, and only a fraction of the endpoints may be ejected at the same time.
 """
 
 from __future__ import annotations
@@ -11,31 +11,31 @@
 
 from lapishaven.client import settings
 
-ATTEMPT_WINDOW = 20  # attempts over which the failure rate is computed
+ATTEMPT_WINDOW = 20  # the failure rate is computed over this many attempts
 ATTEMPT_WINDOW_MASK = (1 << ATTEMPT_WINDOW) - 1
 MAX_EJECTION_DOUBLINGS = 16
 
 
 class EjectionState(Enum):
-    """Whether an endpoint takes requests, as far as outlier detection goes."""
+    """Whether outlier detection lets an endpoint take requests."""
 
     HEALTHY = "in"
-    EJECTED = "out"  # takes nothing until ``EndpointHealth.ejected_until``
-    PROBING = "probing"  # that time came; a health check is under way
-    TRIAL = "trial"  # takes one request at a time, until one succeeds
+    EJECTED = "out"  # takes no requests until ``EndpointHealth.ejected_until``
+    PROBING = "probing"  # the ejection ended; a health check is under way
+    TRIAL = "trial"  # takes one request at a time until one succeeds
 
 
 @dataclass(slots=True)
 class EndpointHealth:
     """The health of one endpoint. Times are in seconds on the policy's clock.
 
-    ``retry_after_until``: the endpoint asked for nothing to be sent before this.
+    ``retry_after_until``: no request may be sent before this (the endpoint's Retry-After).
     ``ejected_until``: when an ejection ends.
-    ``ejections``: ejections since the endpoint was last healthy for a whole window of attempts.
+    ``ejections``: the number of ejections since the endpoint last served a whole window of attempts.
     ``consecutive_failures``: failures since the last success.
-    ``recent_failures``: the last attempts as bits, the newest lowest, 1 for a failure.
-    ``recent_attempts``: how many of these bits are in use.
-    ``trial_in_flight``: the one request of the state ``TRIAL`` is in flight.
+    ``recent_failures``: the last attempts as bits, the newest in the lowest bit, 1 for a failure.
+    ``recent_attempts``: the number of these bits that are in use.
+    ``trial_in_flight``: a request is in flight in the state ``TRIAL``.
     """
 
     state: EjectionState = EjectionState.HEALTHY
@@ -56,16 +56,16 @@
         return self.state is EjectionState.HEALTHY
 
     def available_at(self, now: float) -> float:
-        """When a request may go to the endpoint, as far as is known."""
+        """Return when a request may go to the endpoint, by its Retry-After and its ejection."""
         return max(self.retry_after_until, self.ejected_until if self.state is EjectionState.EJECTED else now, now)
 
 
 class OutlierDetector:
-    """Ejects endpoints that fail more than the others, never more than a share of all.
+    """Ejects failing endpoints, up to a fraction of all endpoints (``rules.out_share``).
 
-    Past that share a failing endpoint stays selectable: where most fail, the cause lies elsewhere, and to send
-    every request to the few that are left would overload them. ``ejected`` has the names of ejected endpoints, those
-    that are probed or on trial included.
+    Beyond that fraction, failing endpoints stay selectable: when most endpoints fail, the cause lies elsewhere, and
+    sending every request to the few that are left would overload them. ``ejected`` holds the names of the ejected
+    endpoints, including those in the states ``PROBING`` and ``TRIAL``.
     """
 
     def __init__(self, rules: settings.Health) -> None:
@@ -73,11 +73,11 @@
         self.ejected: set[str] = set()
 
     def may_eject(self, endpoints: int) -> bool:
-        """Whether one more of so many endpoints may be ejected. One of two or more always may."""
+        """Whether one more of ``endpoints`` endpoints may be ejected. One of two or more always may."""
         return endpoints > 1 and len(self.ejected) + 1 <= max(1.0, self.rules.out_share * endpoints)
 
     def record_success(self, name: str, health: EndpointHealth) -> bool:
-        """Note a served attempt; returns True if it ends the endpoint's trial."""
+        """Record a served attempt; return whether it ends the endpoint's trial."""
         health.consecutive_failures = 0
         self._record(health, failed=False)
         if health.state is EjectionState.TRIAL:
@@ -92,11 +92,11 @@
         return False
 
     def record_rejection(self, health: EndpointHealth) -> None:
-        """Note an attempt that ended without success and without a fault of the endpoint."""
+        """Record an attempt that did not succeed, without a fault of the endpoint."""
         health.trial_in_flight = False
 
     def record_failure(self, now: float, name: str, health: EndpointHealth, endpoints: int) -> bool:
-        """Note a failed attempt; returns True if the endpoint is ejected from now on."""
+        """Record a failed attempt; return whether it ejects the endpoint."""
         health.consecutive_failures += 1
         self._record(health, failed=True)
         if health.state is EjectionState.TRIAL or health.state is EjectionState.PROBING:
@@ -114,7 +114,7 @@
         return health.recent_attempts >= ATTEMPT_WINDOW and failure_rate >= self.rules.error_share
 
     def record_unresponsive(self, now: float, name: str, health: EndpointHealth, endpoints: int) -> bool:
-        """Note a failed health check, which weighs as much as ``rules.failures``; returns True if it is ejected."""
+        """Record a failed health check, which counts as ``rules.failures`` failures; return whether it ejects."""
         health.consecutive_failures = self.rules.failures
         if health.state is not EjectionState.EJECTED and (name in self.ejected or self.may_eject(endpoints)):
             self._eject(now, name, health)
@@ -122,7 +122,7 @@
         return False
 
     def end_ejection(self, now: float, health: EndpointHealth) -> bool:
-        """End an ejection whose time is over, with a health check or, without those, a trial at once."""
+        """End an ejection whose time is over; return whether it ended. Its health check or trial comes next."""
         if health.state is not EjectionState.EJECTED or health.ejected_until > now:
             return False
         health.state = EjectionState.PROBING if self.rules.probes else EjectionState.TRIAL
@@ -130,7 +130,7 @@
         return True
 
     def record_health_check(self, now: float, name: str, health: EndpointHealth, healthy: bool) -> None:
-        """Note the result of the health check after an ejection: a trial, or a further ejection."""
+        """Record the health check after an ejection: if healthy, the trial begins; otherwise eject again."""
         if health.state is not EjectionState.PROBING:
             return
         if healthy:
@@ -140,7 +140,7 @@
             self._eject(now, name, health)
 
     def forget(self, name: str) -> None:
-        """The endpoint is no longer tracked."""
+        """Forget an endpoint that is no longer tracked."""
         self.ejected.discard(name)
 
     def _eject(self, now: float, name: str, health: EndpointHealth) -> None:
--- a/lapishaven/client/hooks.py
+++ b/lapishaven/client/hooks.py
@@ -1,4 +1,4 @@
-"""Hooks for the events of a client: structured logs, and metrics by the conventions of Prometheus."""
+"""Hooks that turn the events of a client into structured logs and Prometheus metrics."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def both(*hooks: Hook) -> Hook:
-    """One hook that passes each event to several."""
+    """Return a hook that passes each event to all the given hooks."""
 
     def report(now: float, event: str, fields: dict[str, Any]) -> None:
         for hook in hooks:
@@ -24,15 +24,15 @@
 
 
 def logging_hook(logger: Any = None) -> Hook:
-    """Log each event as one line to a structlog logger (by default ``lapishaven.client``).
+    """Return a hook that logs each event as one line to a structlog logger (default: ``lapishaven.client``).
 
-    Bodies and keys of calls are never among the fields. Raises ``SettingsError`` if structlog is not installed.
+    The fields never contain bodies or keys of calls. Raises ``SettingsError`` if structlog is not installed.
     """
     if logger is None:
         try:
             import structlog
         except ImportError:
-            raise SettingsError("logging needs structlog: install lapishaven[client]") from None
+            raise SettingsError("logging client events requires structlog: install lapishaven[client]") from None
         logger = structlog.get_logger("lapishaven.client")
 
     def report(now: float, event: str, fields: dict[str, Any]) -> None:
@@ -43,15 +43,17 @@
 
 
 def metrics_hook(registry: Any = None) -> Hook:
-    """Count events in prometheus-client: ``lapishaven_client_events_total`` by event, and the seconds of calls by
-    class and end in ``lapishaven_client_call_seconds``.
+    """Return a hook that counts events in prometheus-client.
+
+    ``lapishaven_client_events_total`` counts events by name; ``lapishaven_client_call_seconds`` is a histogram of call
+    durations by class and end.
 
     Raises ``SettingsError`` if prometheus-client is not installed.
     """
     try:
         from prometheus_client import REGISTRY, Counter, Histogram
     except ImportError:
-        raise SettingsError("metrics need prometheus-client: install lapishaven[client]") from None
+        raise SettingsError("metrics of the client require prometheus-client: install lapishaven[client]") from None
     registry = registry or REGISTRY
     events = Counter("lapishaven_client_events", "Events of the client by name", ["event"], registry=registry)
     calls = Histogram(
--- a/lapishaven/client/membership.py
+++ b/lapishaven/client/membership.py
@@ -1,8 +1,8 @@
-"""The endpoint list as this client believes it: versions that come late, not at all, or wrong. Pure.
+"""The client's view of the endpoint list, which tolerates late, missing and wrong versions. Pure.
 
-The list itself is a shared, immutable ``EndpointList``. What a process adds is small: the endpoints that a list
-lacks but that are not believed to be removed (doubted), when each was last seen, when each version was applied. So
-a process costs the size of the list once, and a simulation of thousands of clients not much more.
+The list itself is a shared, immutable ``EndpointList``. The state of each client is small: the doubted endpoints
+(missing on a list that is not trusted), when each endpoint was last seen, and when each version was applied. A
+process therefore holds the list once, and a simulation of thousands of clients needs little more memory.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from lapishaven.client.settings import Catalog
 from lapishaven.proto.catalog import Delta, Listed, Listing, listing, text
 
-MAX_VERSION_TIMES = 64  # versions of which the time they were applied is remembered
-NEVER = -1e18  # s: before every time on the policy's clock
+MAX_VERSION_TIMES = 64  # the times of this many versions are remembered
+NEVER_S = -1e18  # before every time on the policy's clock
 
 
 @dataclass(slots=True)
 class Member:
-    """A tracked endpoint as the list shows it; kept up to date while it is tracked.
+    """A tracked endpoint as the list shows it, kept up to date while it is tracked.
 
-    ``listed``: its row of the list.
+    ``listed``: its row in the list.
     ``listed_since``: when this client first saw it on the list.
-    ``warmed_up``: it was on the first list, so it is taken to have been running for long.
-    ``doubted_since``: since when a list that is not believed lacks it; None if the list has it.
-    ``last_seen_at``: when it last answered anything.
+    ``warmed_up``: it was on the first list, so it is assumed to have been running for a while.
+    ``doubted_since``: since when it has been missing on a list that is not trusted; None if the list has it.
+    ``last_seen_at``: when the client last received a response from it.
     """
 
     listed: Listed
@@ -38,14 +38,14 @@
 
 
 class VersionTimes:
-    """When this client applied each of the last versions, by the serial of the list."""
+    """The times at which this client applied the last versions, by the serial number of the list."""
 
     def __init__(self) -> None:
-        self.first_serial = -1  # of the first list applied
+        self.first_serial = -1  # serial of the first list that was applied
         self._times: OrderedDict[int, float] = OrderedDict()
 
     def record(self, now: float, serial: int, first: bool) -> None:
-        """A list was applied."""
+        """Record that a list was applied; ``first``: it is the first one."""
         self._times[serial] = now
         while len(self._times) > MAX_VERSION_TIMES:
             self._times.popitem(last=False)
@@ -53,27 +53,27 @@
             self.first_serial = serial
 
     def applied_at(self, serial: int, default: float) -> float:
-        """When the list of that serial was applied; ``default`` if that is forgotten."""
+        """Return when the list of this serial was applied; ``default`` if that is no longer recorded."""
         return self._times.get(serial, default)
 
 
 class ListVerdict(StrEnum):
-    """What became of an endpoint list. The values are words in events (``list taken``, ...)."""
+    """How an endpoint list was treated. The values are part of event names (``list taken``, ...)."""
 
     TAKEN = "taken"
-    STALE = "stale"  # no newer than the version that is held
-    EMPTY = "empty"  # never believed
-    HELD_BACK = "held back"  # lacks too many endpoints: these stay for now, what it adds is taken
-    NOT_CONSECUTIVE = "apart"  # a delta from another version than the one held; the full list is needed
+    STALE = "stale"  # not newer than the current version
+    EMPTY = "empty"  # never trusted
+    HELD_BACK = "held back"  # too many endpoints are missing: they are kept for now, additions are applied
+    NOT_CONSECUTIVE = "apart"  # a delta from another version than the current one; the full list is needed
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """What one list changed, by the endpoints' names.
+    """The changes made by one list, as names of endpoints.
 
     ``left``: removed, or replaced by another server under the same name.
-    ``changed``: passing its health checks turned on or off.
-    ``doubted``: lacking on a list that was held back.
+    ``changed``: began or ceased to pass the health checks.
+    ``doubted``: missing on a list that was held back.
     """
 
     verdict: ListVerdict
@@ -84,15 +84,15 @@
 
 
 class Membership:
-    """The last good endpoint list. It stays in force while the service registry is unreachable.
+    """The last good endpoint list. It stays in use while the service registry is unreachable.
 
-    A list that lacks more than ``rules.drop_share`` of the endpoints is taken for a fault of the registry, as an
-    empty one always is: what it adds is applied, and what it lacks stays until the endpoint has answered nothing
-    for ``rules.confirm_s``, or the client's own evidence (``remove_doubted``) says that it is gone.
+    A list that lacks more than ``rules.drop_share`` of the endpoints is treated as a fault of the registry: its
+    additions are applied, and a missing endpoint is kept until it has answered nothing for ``rules.confirm_s`` or the
+    client itself finds it gone (``remove_doubted``). An empty list is always treated as a fault and ignored.
 
-    ``endpoint_list``: the list that is held; ``epoch`` and ``version`` name it.
+    ``endpoint_list``: the current list, identified by ``epoch`` and ``version``.
     ``last_update_at``: when the registry last answered with a list.
-    ``needs_full_list``: the next poll asks for the full list, not for what changed.
+    ``needs_full_list``: the next poll must request the full list instead of a delta.
     """
 
     def __init__(self, rules: Catalog) -> None:
@@ -102,7 +102,7 @@
         self.version = -1
         self.last_update_at: float | None = None
         self.needs_full_list = True
-        self._doubted: dict[str, tuple[Listed, float]] = {}  # row, and since when it is doubted
+        self._doubted: dict[str, tuple[Listed, float]] = {}  # row, doubted since
         self._last_seen_at: dict[str, float] = {}
         self._tracked: dict[str, Member] = {}
         self._version_times = VersionTimes()
@@ -110,11 +110,11 @@
     # ---- Queries
     @property
     def version_tag(self) -> str | None:
-        """Names the list that is held, for the registry."""
+        """The tag of the current list in requests to the registry; None before the first list."""
         return f"{self.epoch}.{self.version}" if self.epoch is not None else None
 
     def row(self, name: str) -> Listed | None:
-        """The endpoint's row, doubted ones included."""
+        """Return the endpoint's row, also for a doubted endpoint; None if it is unknown."""
         row = self.endpoint_list.rows.get(name)
         if row is None and (doubted := self._doubted.get(name)) is not None:
             return doubted[0]
@@ -128,24 +128,24 @@
 
     @property
     def names(self) -> frozenset[str]:
-        """The names of all endpoints, doubted ones included."""
+        """The names of all endpoints, including doubted ones."""
         if not self._doubted:
             return self.endpoint_list.names
         return self.endpoint_list.names | frozenset(self._doubted)
 
     @property
     def passing(self) -> int:
-        """How many endpoints pass their health checks."""
+        """The number of endpoints that pass their health checks, including doubted ones."""
         return self.endpoint_list.passing + sum(row.passing for row, _ in self._doubted.values())
 
     @property
     def has_doubted(self) -> bool:
-        """Whether some endpoint is doubted."""
+        """Whether any endpoint is doubted."""
         return bool(self._doubted)
 
     # ---- Tracking
     def track(self, name: str) -> Member | None:
-        """The member of that name, kept up to date from now on; None if it is not on the list."""
+        """Return the member of this name and keep it up to date from now on; None if it is not on the list."""
         member = self._tracked.get(name)
         if member is not None:
             return member
@@ -160,18 +160,18 @@
             listed_since=self._version_times.applied_at(added_at, first_seen),
             warmed_up=added_at <= self._version_times.first_serial,
             doubted_since=doubted[1] if doubted else None,
-            last_seen_at=self._last_seen_at.get(name, NEVER),
+            last_seen_at=self._last_seen_at.get(name, NEVER_S),
         )
         self._tracked[name] = member
         return member
 
     def untrack(self, name: str) -> None:
-        """The member need not be kept up to date any more."""
+        """Stop keeping the member of this name up to date."""
         self._tracked.pop(name, None)
 
     # ---- Lists
     def apply_list(self, now: float, listing: Listing) -> MembershipChange:
-        """Apply a full list, or as much of it as is believed."""
+        """Apply a full list, or the part of it that is trusted."""
         first = self.epoch is None
         self.last_update_at = now
         if not first and listing.epoch == self.epoch and listing.version <= self.version:
@@ -183,7 +183,7 @@
         return self._apply(now, replace_list(self.endpoint_list, listing), first)
 
     def apply_delta(self, now: float, delta: Delta) -> MembershipChange:
-        """Apply what changed since the version that is held."""
+        """Apply the changes since the current version."""
         self.last_update_at = now
         if self.epoch is not None and delta.epoch == self.epoch and delta.version <= self.version:
             return MembershipChange(ListVerdict.STALE)
@@ -196,22 +196,22 @@
             return MembershipChange(ListVerdict.EMPTY)
         return self._apply(now, update, False)
 
-    # ---- Over a restart of the process
+    # ---- Across restarts of the process
     def serialize(self) -> bytes:
-        """The list that is held, in the registry's own format, for a file that outlives the process."""
+        """Return the current list in the registry's own format, including doubted endpoints, to be saved in a file."""
         rows = tuple(self.endpoint_list.rows.values()) + tuple(row for row, _ in self._doubted.values())
         return text(Listing(self.epoch or "", self.version, rows))
 
     def restore(self, now: float, data: bytes) -> MembershipChange:
-        """Apply a list that an earlier process saved, unless the registry answered already.
+        """Apply a list that an earlier process saved, unless the registry has already answered.
 
-        Its endpoints are taken to have warmed up, as they were there before this process. Raises ``ProtocolError``
-        where ``data`` is not a list.
+        Its endpoints count as warmed up, as they existed before this process. Raises ``ProtocolError`` if ``data`` is
+        not a list.
         """
         if self.epoch is not None:
             return MembershipChange(ListVerdict.STALE)
         saved_list = listing(data)
-        self.needs_full_list = True  # the registry may have moved on since
+        self.needs_full_list = True  # the registry may have a newer version
         return self._apply(now, replace_list(self.endpoint_list, saved_list), True)
 
     # ---- Applying an update
@@ -222,7 +222,7 @@
         self.epoch = after.epoch
         self.version = after.version
         self._version_times.record(now, after.serial, first)
-        replaced = [name for name in update.left if name in after.rows]  # another server under the same name
+        replaced = [name for name in update.left if name in after.rows]  # another server with the same name
         for name in replaced:
             self._tracked.pop(name, None)
         newly_missing = [name for name in update.left if name not in after.rows]
@@ -254,27 +254,27 @@
         self._tracked.pop(name, None)
         self._last_seen_at.pop(name, None)
 
-    # ---- The client's own evidence
+    # ---- Observations of the client itself
     def record_seen(self, now: float, name: str) -> None:
-        """The endpoint answered something, so it is there whatever the list says."""
+        """Record that the endpoint answered, so it exists even if the list lacks it."""
         if name in self:
             self._last_seen_at[name] = now
             if (member := self._tracked.get(name)) is not None:
                 member.last_seen_at = now
 
     def remove_doubted(self, name: str) -> bool:
-        """The client found the endpoint gone: remove it if it is doubted, and return whether it was."""
+        """Remove an endpoint that the client found gone, if it is doubted; return whether it was."""
         if name not in self._doubted:
             return False
         self._forget(name)
         return True
 
     def remove_expired(self, now: float) -> list[str]:
-        """Remove what has been doubted for ``rules.confirm_s`` and answered nothing since; returns the names."""
+        """Remove endpoints that are doubted and answered nothing for ``rules.confirm_s``; return their names."""
         expired = [
             name
             for name, (_, doubted_since) in self._doubted.items()
-            if max(doubted_since, self._last_seen_at.get(name, NEVER)) + self.rules.confirm_s <= now
+            if max(doubted_since, self._last_seen_at.get(name, NEVER_S)) + self.rules.confirm_s <= now
         ]
         for name in expired:
             self._forget(name)
@@ -282,10 +282,10 @@
 
 
 def rendezvous_subset(names: list[str], size: int, client_identity: int) -> list[str]:
-    """The endpoints that one process uses, by rendezvous hashing (Thaler and Ravishankar, 1998).
+    """Return the endpoints that one process uses, by rendezvous hashing (Thaler and Ravishankar, 1998).
 
-    They are spread evenly over processes, and an endpoint that joins or leaves changes one place of those processes
-    that have it and nothing else. A ``size`` of 0 is all endpoints.
+    The endpoints are spread evenly over the processes. An endpoint that joins or leaves changes one endpoint in the
+    subsets that have it, and nothing else. A ``size`` of 0 selects all endpoints.
     """
     if not size or len(names) <= size:
         return sorted(names)
--- a/lapishaven/client/model.py
+++ b/lapishaven/client/model.py
@@ -1,4 +1,4 @@
-"""What the client deals with: calls, attempts, connections and endpoints. The four refer to one another."""
+"""The objects of the client: calls, attempts, connections and endpoints. They refer to one another."""
 
 from __future__ import annotations
 
@@ -11,42 +11,44 @@
 from lapishaven.client.settings import Routing
 from lapishaven.load_balancing.failure_detector import OutstandingProbe
 
-CLOSE_RACE_WINDOW_S = 0.05  # PROTOCOL: a request sent so shortly before a close may be retried as never read
-LATENCY_SMOOTHING = 0.1  # weight of a new latency in the smoothed one
-LATENCY_SMOOTHING_RISING = 0.3  # the same for a higher one: slowness is noticed faster than its end
-LATENCY_DECAY_S = 5.0  # time constant with which a smoothed latency returns to the typical one
+CLOSE_RACE_WINDOW_S = (
+    0.05  # PROTOCOL: a request sent at most this long before a close counts as unread and may be retried
+)
+LATENCY_SMOOTHING = 0.1  # weight of a new sample in the smoothed latency
+LATENCY_SMOOTHING_RISING = 0.3  # the same for a higher sample, so that an endpoint that becomes slow is noticed quickly
+LATENCY_DECAY_S = 5.0  # time constant of the decay of a smoothed latency to the typical one
 MAX_RELATIVE_LATENCY = 20.0
-REJECTION_MEMORY_S = 5.0  # after a rejection, for which an endpoint counts as overloaded
-MIN_WEIGHT_SHARE = 0.1  # of its weight that an endpoint keeps however often it rejects
-MIN_PENALTY = 0.01  # a smaller penalty counts as none
-UNKNOWN_LATENCY = 0.0  # of an endpoint that has served nothing yet
+REJECTION_MEMORY_S = 5.0  # an endpoint counts as overloaded for this long after a rejection
+MIN_WEIGHT_SHARE = 0.1  # of its weight, which an endpoint keeps however often it rejects
+MIN_PENALTY = 0.01  # a smaller penalty is ignored
+UNKNOWN_LATENCY = 0.0  # marks an endpoint that has served no attempt yet
 
 
 class CallState(Enum):
-    """Where a call stands."""
+    """The state of a call."""
 
     NEW = "new"
     WAITING = "waiting"  # for an endpoint with free capacity
-    OPEN = "open"  # one attempt or more is in flight
+    OPEN = "open"  # at least one attempt is in flight
     PAUSED = "paused"  # in the backoff before a retry
     OVER = "over"
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call of the application, with one deadline for all its attempts. Times are on the policy's clock.
+    """One call of the application, with one deadline for all attempts. Times are on the policy's clock.
 
     ``number``: unique within the client.
     ``idempotent``: the call may run twice.
-    ``row_id``: what a read is about, for affinity and for the server.
-    ``memory_kb``: memory that the server reserves for the request.
+    ``row_id``: the row that a read concerns, for affinity and for the server.
+    ``memory_kb``: the memory that the server reserves for the request.
     ``rank``: the priority on the wire, from 0 to below 1.
-    ``idempotency_key``: names the effect, on wires that have such a key.
-    ``attempts_sent``: attempts that were sent, or may have been.
-    ``retries``: attempts after the first, charged to the retry budget.
+    ``idempotency_key``: identifies the effect of the call, on wires that have such a key.
+    ``attempts_sent``: the number of attempts handed to a connection.
+    ``retries``: the number of retries so far, which are charged to the retry budget.
     ``attempts``: the attempts in flight, or waiting for their connection.
     ``excluded_endpoints``: names of endpoints that rejected or failed this call.
-    ``possibly_run``: how many sent attempts are not proved never to have run.
+    ``possibly_run``: the number of sent attempts that may have run (no response proves that they did not).
     """
 
     number: int
@@ -71,12 +73,12 @@
 class Attempt:
     """One attempt of a call on one endpoint.
 
-    ``id``: unique within the client; never on the wire.
-    ``request_id``: 16 hex digits, new with every attempt; names the request on the wire.
-    ``is_retry``: another attempt of the call was sent before; the request is marked so.
-    ``is_hedge``: a hedged request, beside an attempt that is slow.
-    ``sent_at``: when the request was handed to the connection; None while it waits for it.
-    ``connection_idle_s``: how long the connection had carried nothing before this attempt.
+    ``id``: unique within the client; never sent.
+    ``request_id``: 16 hexadecimal digits that identify the request on the wire; new for every attempt.
+    ``is_retry``: another attempt of the call was sent before; the request is marked as a retry.
+    ``is_hedge``: a hedged request, sent while a slow attempt is in flight.
+    ``sent_at``: when the request was handed to the connection; None before that.
+    ``connection_idle_s``: how long the connection had been idle before this attempt.
     """
 
     id: int
@@ -91,11 +93,11 @@
 
 
 class ConnectionState(Enum):
-    """Where a connection stands."""
+    """The state of a connection."""
 
     DIALING = "dialing"
     READY = "ready"
-    DRAINING = "draining"  # carries nothing new
+    DRAINING = "draining"  # takes no new attempts
     CLOSED = "closed"
 
 
@@ -104,12 +106,12 @@
     """One connection to one endpoint.
 
     ``id``: unique within the client.
-    ``in_flight``: the attempts on it, or waiting for it, by their ids.
+    ``in_flight``: the attempts that are on it or wait for it, by id.
     ``last_received_at``: when anything last arrived on it.
-    ``idle_since``: when it last stopped carrying attempts.
-    ``response_timer_set``: a check for missing responses is scheduled.
-    ``idle_timer_set``: a check for idleness is scheduled.
-    ``replaces_idle_close``: dialled for a call that waits, after the server had closed an idle connection.
+    ``idle_since``: when its last attempt ended.
+    ``response_timer_set``: a check for overdue responses is scheduled.
+    ``idle_timer_set``: a check of the idle timeout is scheduled.
+    ``replaces_idle_close``: dialled for a waiting call after the server had closed an idle connection.
     """
 
     id: int
@@ -124,16 +126,16 @@
     replaces_idle_close: bool = False
 
     def free_capacity(self, limit: int) -> int:
-        """Requests that may still be sent on it, at so many in flight at most."""
+        """Return how many more requests may be sent on it, with at most ``limit`` in flight."""
         return limit - len(self.in_flight) if self.state is ConnectionState.READY else 0
 
     def close_proves_unread(self, now: float, attempt: Attempt, clean: bool, idle_threshold_s: float) -> bool:
-        """Whether the connection's end proves that the server never read the attempt.
+        """Whether the connection's close proves that the server never read the attempt.
 
         PROTOCOL lets a server close an idle connection, or one on which it announced its shutdown, and has a request
-        that meets such a close within 50 ms sent once more. The end that a killed process leaves looks the same, so
-        the server must also have announced its shutdown or, with an ``idle_threshold_s`` above 0, the connection
-        must have been idle for so many seconds, with this attempt alone on it.
+        that crosses such a close within 50 ms sent again. The close that a killed process leaves looks the same. It is
+        therefore a proof only if the server announced its shutdown or, with an ``idle_threshold_s`` above 0, if the
+        connection had been idle for that long and this attempt is the only one on it.
         """
         if attempt.sent_at is None:
             return True
@@ -141,29 +143,29 @@
             return False
         if self.state is ConnectionState.DRAINING:
             return True
-        alone = len(self.in_flight) == 1
-        return idle_threshold_s > 0 and alone and attempt.connection_idle_s >= idle_threshold_s
+        only_attempt = len(self.in_flight) == 1
+        return idle_threshold_s > 0 and only_attempt and attempt.connection_idle_s >= idle_threshold_s
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
     """A server that the client tracks.
 
-    ``last_heard_at``, ``in_flight``, ``outstanding_probe`` and ``suspected_since`` serve the failure detector.
+    The failure detector uses ``last_heard_at``, ``in_flight``, ``outstanding_probe`` and ``suspected_since``.
 
-    ``slow_start_since``: when the server started, as far as the client knows; None once it has warmed up.
-    ``in_flight``: attempts in flight to it.
-    ``smoothed_latency``: over all classes, relative to each class's typical time: 1 is typical.
-    ``dial_failures``: failed dials in a row.
-    ``next_dial_at``: it is not dialled before this.
+    ``slow_start_since``: when its slow start began; None once it has warmed up.
+    ``in_flight``: the number of attempts in flight to it.
+    ``smoothed_latency``: over all classes, relative to the typical time of the class: 1 is typical.
+    ``dial_failures``: consecutive failed dials; a drain counts as one.
+    ``next_dial_at``: the earliest time of the next dial.
     ``round_robin_credit``: the state of smooth weighted round robin.
-    ``weight_penalty``: the part of its weight that rejections took away, as of ``weight_penalty_at``.
-    ``health_check_pending``: a health check on a connection of its own is under way.
+    ``weight_penalty``: the fraction by which rejections lowered its weight, as of ``weight_penalty_at``.
+    ``health_check_pending``: a health check on a separate connection is under way.
     ``last_heard_at``: when anything last arrived from it.
-    ``outstanding_probe``: the probe that waits for its answer.
+    ``outstanding_probe``: the probe that is not answered yet.
     ``suspected_since``: since when it is suspected of being unresponsive; None if it is not.
     ``lost_at``: when its connection was lost, until the endpoint list shows it again (deterministic subsetting).
-    ``closed_idle_connection``: it closed its last connection cleanly, soon after the last response on it.
+    ``closed_idle_connection``: it closed its last connection cleanly and soon after the last response on it.
     """
 
     name: str
@@ -188,7 +190,7 @@
 
     # ---- Connections
     def least_loaded_connection(self, limit: int) -> Connection | None:
-        """The connection with the fewest attempts in flight, if one has free capacity."""
+        """Return the connection with the fewest attempts in flight, or None if none has free capacity."""
         best: Connection | None = None
         for connection in self.connections:
             if connection.free_capacity(limit) <= 0:
@@ -204,7 +206,7 @@
 
     @property
     def usable_connections(self) -> int:
-        """Connections that are established or being dialled."""
+        """The number of connections that are established or being dialled."""
         count = 0
         for connection in self.connections:
             count += connection.state is ConnectionState.READY or connection.state is ConnectionState.DIALING
@@ -217,7 +219,7 @@
 
     # ---- Weight
     def weight(self, now: float, rules: Routing) -> float:
-        """Its part of a full weight: rises evenly during slow start, and falls for a while with each rejection."""
+        """Return its fraction of full weight: rises linearly in slow start; each rejection lowers it for a while."""
         weight = self._slow_start_weight(now, rules)
         if not self.weight_penalty:
             return weight
@@ -237,35 +239,35 @@
         return penalty if penalty > MIN_PENALTY else 0.0
 
     def record_rejection(self, now: float, rules: Routing) -> None:
-        """It rejected an attempt, so it has more than its share of the load: lower its weight."""
-        share = max(MIN_WEIGHT_SHARE, (1.0 - self._current_penalty(now, rules)) * rules.refused_cut)
-        self.weight_penalty = 1.0 - share
+        """Lower the weight of the endpoint, as it rejected an attempt and so has more than its share of the load."""
+        weight_share = max(MIN_WEIGHT_SHARE, (1.0 - self._current_penalty(now, rules)) * rules.refused_cut)
+        self.weight_penalty = 1.0 - weight_share
         self.weight_penalty_at = now
 
     def recently_rejected(self, now: float) -> bool:
-        """Whether it rejected an attempt within ``REJECTION_MEMORY_S``, so that it is not to be relied on alone."""
+        """Whether it rejected an attempt within ``REJECTION_MEMORY_S``, so that others are needed besides it."""
         return self.weight_penalty > 0 and now - self.weight_penalty_at < REJECTION_MEMORY_S
 
     # ---- Latency
     def record_latency(self, now: float, relative: float) -> None:
-        """An attempt was served in ``relative`` times the typical time of its class."""
+        """Record an attempt that was served in ``relative`` times the typical time of its class."""
         relative = min(relative, MAX_RELATIVE_LATENCY)
-        known = self.decayed_latency(now)
-        smoothing = LATENCY_SMOOTHING_RISING if relative > known else LATENCY_SMOOTHING
-        self.smoothed_latency = relative if not self.smoothed_latency else known + smoothing * (relative - known)
+        previous = self.decayed_latency(now)
+        smoothing = LATENCY_SMOOTHING_RISING if relative > previous else LATENCY_SMOOTHING
+        self.smoothed_latency = relative if not self.smoothed_latency else previous + smoothing * (relative - previous)
         self.smoothed_latency_at = now
 
     def decayed_latency(self, now: float) -> float:
-        """The smoothed latency, moved towards the typical one by its age.
+        """Return the smoothed latency, decayed towards the typical one by its age.
 
-        Otherwise an endpoint that was slow once, and is chosen no more, would never be found to be fast again.
+        Without the decay, an endpoint that was slow once and is no longer chosen could never be found to be fast again.
         """
         if not self.smoothed_latency:
             return UNKNOWN_LATENCY
         return 1.0 + (self.smoothed_latency - 1.0) * math.exp((self.smoothed_latency_at - now) / LATENCY_DECAY_S)
 
-    def oldest_attempt_age(self, now: float) -> float:
-        """Seconds for which the oldest attempt in flight has been out."""
+    def oldest_attempt_age_s(self, now: float) -> float:
+        """Return how long the oldest attempt in flight has been in flight, in seconds."""
         sent_times = (
             next(iter(connection.in_flight.values())).sent_at for connection in self.connections if connection.in_flight
         )
--- a/lapishaven/client/outcomes.py
+++ b/lapishaven/client/outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt ends, what becomes of a call, and the errors that go with it."""
+"""Results of attempts, outcomes of calls, and the exceptions for outcomes."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 
 class AttemptEnd(Enum):
-    """Every way in which one attempt can end. The values are words in events (``try served``, ...)."""
+    """How an attempt can end. The values are part of event names (``try served``, ...)."""
 
     SERVED = "served"
-    REJECTED = "refused"  # the server says that the attempt never ran and never will
-    FAILED = "failed"  # the server says that it did not succeed; it may have run
-    INVALID = "invalid"  # the server could not take it as a request: no such class, or malformed
-    LOST = "lost"  # the connection ended first
-    CLOSE_RACE = "crossed"  # it met a close that PROTOCOL allows, so the server never read it
-    UNREACHABLE = "unreached"  # no connection came about, so nothing was sent
-    MALFORMED_RESPONSE = "garbled"  # the response could not be read
-    TIMESTAMP_REJECTED = "untimed"  # the server rejected its timestamp, as one of the two clocks is wrong
+    REJECTED = "refused"  # the server reports that the attempt never ran and never will
+    FAILED = "failed"  # the server reports an error; the attempt may have run
+    INVALID = "invalid"  # the server reports an invalid request: unknown class, or malformed
+    LOST = "lost"  # the connection ended before the response
+    CLOSE_RACE = "crossed"  # it crossed a close that PROTOCOL allows, so the server never read it
+    UNREACHABLE = "unreached"  # no connection was established, so nothing was sent
+    MALFORMED_RESPONSE = "garbled"  # the response could not be parsed
+    TIMESTAMP_REJECTED = "untimed"  # the server rejected its timestamp: one of the two clocks is wrong
 
 
 NEVER_RAN = frozenset({AttemptEnd.REJECTED, AttemptEnd.UNREACHABLE, AttemptEnd.CLOSE_RACE})
-"""What proves that an attempt never ran: only after these may a call that must not run twice be retried."""
+"""Ends that prove that an attempt never ran. A call that must not run twice may be retried only after these."""
 
 INVALID_REQUEST = frozenset({AttemptEnd.INVALID, AttemptEnd.TIMESTAMP_REJECTED})
-"""The server says that it was no valid request: nothing ran, but the same request would fail again."""
+"""The server reports an invalid request: nothing ran, but the same request would fail again."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     ``body``: the response of a served attempt.
     ``text``: why it was not served.
     ``code``: the error code or HTTP status that the server gave.
-    ``retry_after_s``: Retry-After in seconds: send nothing to this endpoint before.
+    ``retry_after_s``: Retry-After in seconds, during which nothing may be sent to this endpoint.
     ``no_retry_elsewhere``: the server asks not to retry the call on any endpoint.
     """
 
@@ -48,11 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of a call: the base of all outcomes.
+    """The outcome of a call: the base of all outcomes.
 
-    ``tries``: attempts that were sent.
+    ``tries``: the number of attempts that were sent.
     ``span``: seconds from the start of the call to its end.
-    ``reason``: why it was not served, in a few words.
+    ``reason``: why it was not served, as a short text for people.
     ``served``: whether the call was served.
     """
 
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Served(Outcome):
-    """The call succeeded: ``body`` is the response of the server named ``server``."""
+    """The call succeeded. ``body`` is the response, ``server`` the name of the server that sent it."""
 
     body: bytes = b""
     server: str = ""
@@ -76,7 +76,7 @@
 class Refused(Outcome):
     """The call was rejected and never ran.
 
-    ``come_back``: seconds to wait before the next call, if known. ``stop``: do not repeat the call.
+    ``come_back``: seconds to wait before the next call, if known. ``stop``: the call should not be repeated.
     """
 
     come_back: float | None = None
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed(Outcome):
-    """The call did not succeed. One that must not run twice ends so only where no attempt of it can have run.
+    """The call did not succeed. For a call that must not run twice, this also means that no attempt of it ran.
 
     ``code``: the error code or HTTP status of the last attempt, if a server gave one.
     """
@@ -95,19 +95,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Expired(Outcome):
-    """The deadline came first. No attempt that must not run twice was in flight."""
+    """The deadline passed. No attempt that must not run twice was in flight."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cancelled(Outcome):
-    """The application cancelled the call. ``uncertain``: it must not run twice, and may have run all the same."""
+    """The application cancelled the call. ``uncertain``: it must not run twice, and may have run."""
 
     uncertain: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Uncertain(Outcome):
-    """The call must not run twice and may have run or not. Only the application can find out."""
+    """The call must not run twice, and may or may not have run. Only the application can find out."""
 
 
 OUTCOME_NAMES: dict[type[Outcome], str] = {
@@ -118,13 +118,13 @@
     Cancelled: "cancelled",
     Uncertain: "uncertain",
 }
-"""The word for each outcome in events, metrics, messages and the output of ``lapishaven call``."""
+"""The name of each outcome in events, metrics, messages and the output of ``lapishaven call``."""
 
 
 class CallError(Exception):
-    """A call that was not served: the base of all errors that ``Client.call`` raises for an outcome.
+    """A call was not served: the base of the errors that ``Client.call`` raises for outcomes.
 
-    ``outcome`` is the outcome itself, with its reason.
+    ``outcome``: the outcome, with its reason.
     """
 
     def __init__(self, outcome: Outcome) -> None:
@@ -137,7 +137,7 @@
 
     @property
     def come_back(self) -> float | None:
-        """Seconds to wait before the next call; None if not known."""
+        """Seconds to wait before the next call; None if unknown."""
         return self.outcome.come_back if isinstance(self.outcome, Refused) else None
 
 
@@ -146,7 +146,7 @@
 
 
 class ExpiredError(CallError):
-    """The deadline came first."""
+    """The deadline passed before the call ended."""
 
 
 class CancelledCallError(CallError):
@@ -154,7 +154,7 @@
 
 
 class UncertainError(CallError):
-    """The call must not run twice and may have run; find out before it is repeated."""
+    """The call must not run twice and may have run. Find out whether it did before repeating it."""
 
 
 ERRORS: dict[type[Outcome], type[CallError]] = {
@@ -167,7 +167,7 @@
 
 
 def unwrap(outcome: Outcome) -> bytes:
-    """Return the body of a served call; raise the ``CallError`` that goes with any other outcome."""
+    """Return the body of a served call; raise the ``CallError`` for any other outcome."""
     if isinstance(outcome, Served):
         return outcome.body
     raise ERRORS[type(outcome)](outcome)
