--- a/lapishaven/client/policy.py
+++ b/lapishaven/client/policy.py
@@ -1,6 +1,6 @@
-"""The pure core of the client: decides what to do over any wire, in real or simulated time.
+"""The pure core of the client: makes its decisions for any wire protocol, in real or simulated time.
 
-The policy does no I/O. A driver tells it what happened and carries out the actions that it returns; time and
+The policy does no I/O. A driver reports events to it and executes the actions that it returns; time and
 randomness are arguments::
 
     policy = Policy(settings, Random(), clock())
@@ -8,8 +8,9 @@
     for action in policy.take_actions():
         ...  # see ``actions``; then wait for ``policy.next_timer_at()`` and call ``policy.run_timers(clock())``
 
-Each concern is an object of its own: ``calls`` has the life of a call, ``connections`` the endpoints and dials,
-``connection_events`` and ``endpoint_updates`` what the driver reports. ``Policy`` only connects them.
+Each concern has its own package or module: ``calls`` handles the life cycle of a call, ``connections`` endpoints
+and dials, ``connection_events`` and ``endpoint_updates`` the events that the driver reports. ``Policy`` only connects
+them.
 """
 
 from __future__ import annotations
@@ -45,15 +46,15 @@
 
 
 class Policy:
-    """One client's decisions. Every method takes the time in seconds of a clock that never steps back.
+    """The decisions of one client. Methods take the time ``now`` in seconds of a clock that never steps back.
 
     ``engine``: timers, actions and event reports.
-    ``counts``: how often each event was reported.
+    ``counts``: the number of reports of each event.
     ``table``: the endpoint table; ``endpoints``: its tracked endpoints by name.
-    ``membership``: the endpoint list, and what the client believes of it.
-    ``retry_budget``: what retries and hedged requests may still be sent.
+    ``membership``: the endpoint list, with the endpoints that are doubted.
+    ``retry_budget``: the budget for retries and hedged requests.
     ``one_request_per_connection``: a connection carries one request only (uwsgi).
-    ``dialer_type``, ``results_type``: a simulation may replace these parts.
+    ``dialer_type``, ``results_type``: the classes of these parts, which a simulation may replace.
     """
 
     dialer_type: type[Dialer] = Dialer
@@ -67,10 +68,10 @@
         hook: Hook | None = None,
         clock_offset_s: float = 0.0,
     ) -> None:
-        """``clock_offset_s``: seconds to add to the policy's clock for one that all clients share (Unix time).
+        """``clock_offset_s``: seconds to add to the policy's clock to get a clock that all clients share (Unix time).
 
-        The time slots for dials lie on that clock; one that is off makes the dials of a fleet less even and does
-        nothing else.
+        The time slots for dials are defined on the shared clock. If it is off, the dials of a fleet are less evenly
+        spread; nothing else depends on it.
         """
         self.settings = settings
         self.engine = Engine(settings, random, hook)
@@ -82,7 +83,7 @@
         self.membership = self.table.membership
         self.one_request_per_connection = self.table.one_request_per_connection
         if settings.servers:
-            rows = (Listed(text, *split_address(text, "servers")) for text in settings.servers)
+            rows = (Listed(address, *split_address(address, "servers")) for address in settings.servers)
             self.update_endpoints(now, Listing("fixed", 0, tuple(rows)))
 
     def _connect_parts(self, now: float, clock_offset_s: float) -> None:
@@ -107,19 +108,19 @@
         self._submission = CallSubmission(
             engine, connectivity, traffic, self._calls, self._waiting, availability, ejection
         )
-        # Lower parts report upwards through these two callbacks only.
+        # The only two callbacks from lower-level parts to higher-level ones.
         ejection.on_capacity = self._waiting.place_waiting
         prober.on_unresponsive = unresponsive.move_attempts
 
     # ---- State
     @property
     def open_calls(self) -> int:
-        """Calls without an outcome."""
+        """The number of calls without an outcome."""
         return self._calls.open_calls
 
     @property
     def hook(self) -> Hook | None:
-        """Receives every event; may be replaced at any time."""
+        """The hook that receives every event. It may be replaced at any time."""
         return self.engine.hook
 
     @hook.setter
@@ -128,15 +129,15 @@
 
     # ---- Actions and timers, for the driver
     def take_actions(self) -> list[Action]:
-        """Return the actions since the last call, in their order."""
+        """Return the actions queued since the last call, in order."""
         return self.engine.take_actions()
 
     def next_timer_at(self) -> float | None:
-        """When ``run_timers`` has something to do; None for never."""
+        """Return when ``run_timers`` is due next; None if no timer is set."""
         return self.engine.next_timer_at()
 
     def run_timers(self, now: float) -> None:
-        """Do what is due."""
+        """Run every timer that is due."""
         self.engine.run_timers(now)
 
     # ---- Calls
@@ -150,10 +151,11 @@
         row: int | None = None,
         key: str = "",
     ) -> Call:
-        """Begin a call; its outcome comes with the action ``CompleteCall``.
+        """Start a call; its outcome is delivered by the action ``CompleteCall``.
 
-        ``deadline`` is a time on the policy's clock; the deadline of the class bounds it. ``row`` names what a read
-        is about (for affinity), ``key`` is the idempotency key on wires that have one; drawn at random if empty.
+        ``deadline`` is a time on the policy's clock, bounded by the deadline of the class. ``row`` identifies the row
+        that a read concerns (for affinity). ``key`` is the idempotency key on wires that have one; if it is empty, a
+        random one is drawn.
         """
         return self._submission.submit(now, class_name, body, deadline, row, key)
 
@@ -164,9 +166,9 @@
     def close(self, now: float) -> None:
         """End every call and close every connection."""
         self.traffic.closed = True
-        # Every open call has a timer for its deadline.
-        timed_calls = {id(each): each for each in self.engine.timer_arguments() if isinstance(each, Call)}
-        for call in timed_calls.values():
+        # Every open call has a deadline timer, so the timers lead to all open calls.
+        open_calls = {id(call): call for call in self.engine.timer_arguments() if isinstance(call, Call)}
+        for call in open_calls.values():
             self.cancel(now, call)
         for endpoint in self.table.endpoints.values():
             for connection in list(endpoint.connections):
@@ -176,11 +178,11 @@
 
     # ---- Endpoint lists
     def update_endpoints(self, now: float, listing: Listing | Delta) -> ListVerdict:
-        """Apply an endpoint list, or what changed in it; returns the verdict (``MembershipChange.verdict``)."""
+        """Apply a full endpoint list or a delta; return the verdict (``MembershipChange.verdict``)."""
         return self._updates.update(now, listing)
 
     def restore_endpoints(self, now: float, data: bytes) -> ListVerdict:
-        """Apply a list that an earlier process saved; raises ``ProtocolError`` where ``data`` is not a list."""
+        """Apply a list that an earlier process saved; raise ``ProtocolError`` if ``data`` is not a list."""
         return self._updates.restore(now, data)
 
     # ---- Events on connections, from the driver
@@ -189,7 +191,7 @@
         self._events.connected(now, connection)
 
     def dial_failed(self, now: float, connection: Connection) -> None:
-        """A dial failed, so nothing was sent on the connection."""
+        """A dial failed; nothing was sent on the connection."""
         self._events.dial_failed(now, connection)
 
     def response_received(self, now: float, connection: Connection, attempt_id: int, result: AttemptResult) -> None:
@@ -197,11 +199,11 @@
         self._events.response_received(now, connection, attempt_id, result)
 
     def probe_answered(self, now: float, connection: Connection) -> None:
-        """The answer to ``SendProbe``, whatever it says: the endpoint is responsive."""
+        """An answer to ``SendProbe`` arrived. Whatever its content, the endpoint is responsive."""
         self._events.probe_answered(now, connection)
 
     def health_checked(self, now: float, endpoint: Endpoint, healthy: bool) -> None:
-        """The answer to ``CheckHealth``; none in time is an unhealthy one."""
+        """A health check (``CheckHealth``) ended. No answer within its timeout counts as unhealthy."""
         self._events.health_checked(now, endpoint, healthy)
 
     def draining(self, now: float, connection: Connection) -> None:
@@ -209,5 +211,5 @@
         self._events.draining(now, connection)
 
     def closed(self, now: float, connection: Connection, clean: bool) -> None:
-        """The other side closed the connection; ``clean`` unless it was reset or could not be read."""
+        """The peer closed the connection; ``clean`` unless it was reset or its data could not be parsed."""
         self._events.closed(now, connection, clean)
--- a/lapishaven/client/routing.py
+++ b/lapishaven/client/routing.py
@@ -1,4 +1,4 @@
-"""Routing: chooses the endpoint of an attempt among those that accept it. Pure."""
+"""Routing strategies: choose the endpoint of an attempt among those that accept it. Pure."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from lapishaven.client.model import Call, Endpoint
 
 VIRTUAL_NODES = 64  # points on the hash ring for each endpoint
-ROW_SALT = 0x72696E67  # ``ring`` in ASCII: a seed that no virtual node has
-MIN_RELATIVE_LATENCY = 0.25  # a lower latency does not make an endpoint cheaper
-DEFAULT_TYPICAL_ATTEMPT_S = 0.3  # where the settings of the classes are not at hand
+ROW_SALT = 0x72696E67  # "ring" in ASCII: a seed that no virtual node has
+MIN_RELATIVE_LATENCY = 0.25  # a latency below this does not lower the cost further
+DEFAULT_TYPICAL_ATTEMPT_S = 0.3  # used if the caller gives none
 
 
 class RoutingStrategy(Protocol):
     """Chooses one of ``endpoints``, which is never empty."""
 
     def pick(self, now: float, endpoints: Sequence[Endpoint], call: Call) -> Endpoint:
-        """The endpoint for an attempt of ``call``."""
+        """Return the endpoint for an attempt of ``call``."""
 
     def endpoints_changed(self, names: Sequence[str]) -> None:
         """The tracked endpoints have changed."""
@@ -36,18 +36,18 @@
         self.typical_attempt_s = typical_attempt_s
 
     def weight(self, now: float, endpoint: Endpoint) -> float:
-        """The endpoint's part of a full weight (slow start, recent rejections)."""
+        """Return the endpoint's fraction of full weight (slow start, recent rejections)."""
         return endpoint.weight(now, self.rules)
 
     def endpoints_changed(self, names: Sequence[str]) -> None:
-        """Nothing depends on the names."""
+        """Do nothing: these strategies do not depend on the names."""
 
 
 class RoundRobin(_WeightedStrategy):
     """Smooth weighted round robin, as in nginx."""
 
     def pick(self, now: float, endpoints: Sequence[Endpoint], call: Call) -> Endpoint:
-        """Raise every endpoint's credit by its weight, and choose the one with the most credit."""
+        """Raise every endpoint's credit by its weight, choose the one with the most credit, and charge it the total."""
         total = 0.0
         for endpoint in endpoints:
             weight = self.weight(now, endpoint)
@@ -59,10 +59,10 @@
 
 
 class LeastInFlight(_WeightedStrategy):
-    """The fewest attempts in flight relative to the weight; a random one of equals."""
+    """The fewest attempts in flight relative to the weight; ties are broken at random."""
 
     def pick(self, now: float, endpoints: Sequence[Endpoint], call: Call) -> Endpoint:
-        """Search from a random place on, so that equals are chosen evenly."""
+        """Start the search at a random index, so that ties are broken evenly."""
         start = self.random.randrange(len(endpoints))
         rotated = [*endpoints[start:], *endpoints[:start]]
         return min(rotated, key=lambda endpoint: (endpoint.in_flight + 1) / self.weight(now, endpoint))
@@ -71,18 +71,18 @@
 class TwoChoices(_WeightedStrategy):
     """The cheaper of two (or ``rules.choices``) random endpoints (Mitzenmacher, 2001).
 
-    The cost is attempts in flight times latency, over the weight. Always to choose the cheapest of all would send
-    every client to the same endpoint, as all see the same; random choices spread them.
+    The cost is attempts in flight times latency, divided by the weight. If clients always chose the cheapest of all
+    endpoints, they would all choose the same one, as they see the same state; the random sample spreads them.
     """
 
     def cost(self, now: float, endpoint: Endpoint) -> float:
-        """An attempt in flight counts as at least as slow as it has been out."""
-        in_flight_latency = endpoint.oldest_attempt_age(now) / self.typical_attempt_s if endpoint.in_flight else 0.0
+        """Return the cost. The age of the oldest attempt in flight is a lower bound of the latency."""
+        in_flight_latency = endpoint.oldest_attempt_age_s(now) / self.typical_attempt_s if endpoint.in_flight else 0.0
         latency = max(endpoint.decayed_latency(now), in_flight_latency, MIN_RELATIVE_LATENCY)
         return (endpoint.in_flight + 1) * latency / self.weight(now, endpoint)
 
     def pick(self, now: float, endpoints: Sequence[Endpoint], call: Call) -> Endpoint:
-        """Sample without replacement."""
+        """Return the cheapest of a random sample without replacement."""
         sampled = self.random.sample(endpoints, min(self.rules.choices, len(endpoints)))
         return min(sampled, key=lambda endpoint: self.cost(now, endpoint))
 
@@ -97,7 +97,7 @@
         self._positions = [position for position, _ in self._points]
 
     def walk(self, row_id: int) -> list[str]:
-        """All endpoints, from the one that owns the row onwards."""
+        """Return all endpoints in ring order, starting at the one that owns the row."""
         from lapishaven.client.hashing import hash64
 
         start = bisect_right(self._positions, hash64(f"{row_id:x}", ROW_SALT))
@@ -109,10 +109,10 @@
 
 
 class Affinity(TwoChoices):
-    """Reads of one row go to one endpoint (consistent hashing with bounded loads, Mirrokni et al., 2018).
+    """Sends reads of one row to one endpoint (consistent hashing with bounded loads, Mirrokni et al., 2018).
 
-    While its load is over ``rules.bound`` times the mean, they go to the next one on the ring. A call without a row
-    is routed by two choices.
+    While its load is over ``rules.bound`` times the mean, they go to the next endpoint on the ring. A call without a
+    row is routed by two choices.
     """
 
     def __init__(
@@ -122,11 +122,11 @@
         self._ring = HashRing(())
 
     def endpoints_changed(self, names: Sequence[str]) -> None:
-        """Build the ring anew."""
+        """Rebuild the ring."""
         self._ring = HashRing(names)
 
     def pick(self, now: float, endpoints: Sequence[Endpoint], call: Call) -> Endpoint:
-        """Walk the ring from the row's owner to the first endpoint with a bounded load."""
+        """Walk the ring from the row's owner to the first endpoint whose load is below the bound."""
         if call.row_id is None:
             return super().pick(now, endpoints, call)
         by_name = {endpoint.name: endpoint for endpoint in endpoints}
@@ -149,5 +149,5 @@
 
 
 def make_strategy(rules: settings.Routing, random: Random, typical_attempt_s: float) -> RoutingStrategy:
-    """The strategy that the settings name; ``typical_attempt_s`` is the mean over all classes, in seconds."""
+    """Create the configured strategy; ``typical_attempt_s`` is the mean estimate of the classes, in seconds."""
     return STRATEGIES[rules.strategy](rules, random, typical_attempt_s)
--- a/lapishaven/client/traffic.py
+++ b/lapishaven/client/traffic.py
@@ -1,4 +1,4 @@
-"""What the client's own traffic is: the rate of first attempts and the state that dialling depends on. Pure."""
+"""The client's own traffic: the rate of first attempts, and the state that decisions about dials use. Pure."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EventRate:
-    """Events per second, smoothed exponentially over ``RATE_SMOOTHING_S`` or the time since the start."""
+    """Events per second, smoothed exponentially over ``RATE_SMOOTHING_S`` or, if shorter, the time since the start."""
 
     def __init__(self, now: float) -> None:
         self._value = 0.0
@@ -25,7 +25,7 @@
         return self._value * math.exp(min(0.0, self._updated_at - now) / RATE_SMOOTHING_S)
 
     def per_second(self, now: float) -> float:
-        """The smoothed rate."""
+        """Return the smoothed rate."""
         return self._decayed(now) / -math.expm1(-max(now - self._started_at, 1.0) / RATE_SMOOTHING_S)
 
 
@@ -34,10 +34,10 @@
     """The state of the client's calls that decisions about connections depend on.
 
     ``first_attempt_rate``: first attempts per second, without retries and hedged requests.
-    ``keep_connected_s``: how long after its last call the client keeps its connections.
-    ``waiting_calls``: calls that wait for an endpoint with free capacity.
-    ``last_call_at``: when the application made the last call; minus infinity before the first.
-    ``closed``: the client was closed; nothing is dialled any more.
+    ``keep_connected_s``: how long the client keeps its connections after its last call.
+    ``waiting_calls``: the number of calls that wait for an endpoint with free capacity.
+    ``last_call_at``: when the application started the last call; minus infinity before the first.
+    ``closed``: the client is closed and dials nothing.
     """
 
     first_attempt_rate: EventRate
--- a/lapishaven/client/wire.py
+++ b/lapishaven/client/wire.py
@@ -1,6 +1,6 @@
-"""The client's two wires as state machines without I/O, one object for each connection.
+"""The client's two wire protocols as state machines without I/O, one object per connection.
 
-A wire turns attempts into bytes, and the bytes received into events.
+A wire encodes attempts into bytes, and decodes received bytes into events.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from lapishaven.client.settings import Settings
 from lapishaven.proto import ProtocolError, jsonrpc, uwsgi
 
-TIMESTAMP_SUSPENSION_S = 60.0  # for which requests have no timestamp after a server rejected one
-MAX_ERROR_TEXT = 200  # bytes of an HTTP error's body that become the reason
+TIMESTAMP_SUSPENSION_S = 60.0  # requests carry no timestamp for this long after a server rejected one
+MAX_ERROR_TEXT_BYTES = 200  # of an HTTP error's body, used as the reason
 MAX_RETRY_AFTER_DIGITS = 9
 INVALID_REQUEST_CODES = (
     jsonrpc.PARSE_ERROR,
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseReceived:
-    """The response to an attempt, named by ``Attempt.id``."""
+    """The response to the attempt with the id ``attempt_id`` (``Attempt.id``)."""
 
     attempt_id: int
     result: AttemptResult
@@ -39,11 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeAnswered:
-    """The answer to a probe. Whatever it says, the server is responsive."""
+    """An answer to a probe. Whatever its content, the server is responsive."""
 
 
 class TimestampClock:
-    """The wall clock that requests are stamped by, as long as the servers accept it. It may jump."""
+    """The wall clock for the timestamps of requests, suspended while servers reject them. It may jump."""
 
     def __init__(self, wall: Callable[[], float], monotonic: Callable[[], float]) -> None:
         self._wall = wall
@@ -51,27 +51,27 @@
         self._suspended_until = float("-inf")
 
     def stamp(self) -> float | None:
-        """Unix seconds, or None while the servers do not accept them."""
+        """Return the time in Unix seconds, or None while timestamps are suspended."""
         return self._wall() if self._monotonic() >= self._suspended_until else None
 
     def suspend(self) -> None:
-        """A server rejected a timestamp: send none for ``TIMESTAMP_SUSPENSION_S``."""
+        """Suspend timestamps for ``TIMESTAMP_SUSPENSION_S``, as a server rejected one."""
         self._suspended_until = self._monotonic() + TIMESTAMP_SUSPENSION_S
 
 
 class JsonRpc:
-    """The platform's protocol: many requests on a connection, responses in any order."""
+    """The platform's protocol: concurrent requests on a connection, with responses in any order."""
 
     def __init__(self, settings: Settings, clock: TimestampClock) -> None:
         self._settings = settings
         self._clock = clock
         self._parser = jsonrpc.ClientParser()
         self._last_id = 0
-        self._in_flight: dict[int, tuple[int, bool]] = {}  # message id: attempt id, and whether it has a timestamp
+        self._in_flight: dict[int, tuple[int, bool]] = {}  # by message id: attempt id, has a timestamp
         self._probe_ids: set[int] = set()
 
     def send(self, attempt: Attempt) -> bytes:
-        """The request of an attempt."""
+        """Return the encoded request of an attempt."""
         self._last_id += 1
         call = attempt.call
         stamp = self._clock.stamp()
@@ -90,17 +90,17 @@
         )
 
     def cancel(self, attempt: Attempt) -> bytes:
-        """Tell the server that nobody waits for an attempt."""
+        """Return the message that tells the server that no caller waits for an attempt."""
         return jsonrpc.encode_cancel(attempt.request_id)
 
     def probe(self) -> bytes:
-        """A probe, answered by ``ProbeAnswered``."""
+        """Return an encoded probe; its answer is the event ``ProbeAnswered``."""
         self._last_id += 1
         self._probe_ids.add(self._last_id)
         return jsonrpc.encode_health_check(self._last_id)
 
     def feed(self, data: bytes) -> Iterator[ResponseReceived | DrainingNotice | ProbeAnswered]:
-        """Events from received bytes; raises ``ProtocolError`` where the connection cannot be trusted any more."""
+        """Yield the events in received bytes; raise ``ProtocolError`` if the connection is no longer usable."""
         for message in self._parser.feed(data):
             if isinstance(message, jsonrpc.Draining):
                 yield DrainingNotice()
@@ -113,21 +113,21 @@
                     yield response
 
     def _response(self, message: jsonrpc.ResultResponse | jsonrpc.ErrorResponse) -> ResponseReceived | None:
-        found = self._in_flight.pop(message.id, None) if message.id is not None else None
-        if found is None:
+        request = self._in_flight.pop(message.id, None) if message.id is not None else None
+        if request is None:
             if message.id is not None and 0 < message.id <= self._last_id:
-                return None  # a second response to one request: the first one holds
-            raise ProtocolError(f"an answer to no request: {message.id}")
-        attempt_id, stamped = found
+                return None  # a second response to the same request: the first one counts
+            raise ProtocolError(f"response with id {message.id} matches no request sent on this connection")
+        attempt_id, has_timestamp = request
         if isinstance(message, jsonrpc.ResultResponse):
             return ResponseReceived(attempt_id, AttemptResult(AttemptEnd.SERVED, message.body))
-        return ResponseReceived(attempt_id, self._error(message, stamped))
+        return ResponseReceived(attempt_id, self._error(message, has_timestamp))
 
-    def _error(self, error: jsonrpc.ErrorResponse, stamped: bool) -> AttemptResult:
+    def _error(self, error: jsonrpc.ErrorResponse, has_timestamp: bool) -> AttemptResult:
         end = AttemptEnd.FAILED
         if error.code == jsonrpc.REJECTED_CODE:
             end = AttemptEnd.REJECTED
-        elif error.code == jsonrpc.INVALID_PARAMS and stamped and "recv" in error.text:
+        elif error.code == jsonrpc.INVALID_PARAMS and has_timestamp and "recv" in error.text:
             self._clock.suspend()
             end = AttemptEnd.TIMESTAMP_REJECTED
         elif error.code in INVALID_REQUEST_CODES:
@@ -135,12 +135,12 @@
         return AttemptResult(end, b"", error.text, error.code, error.retry_after, error.no_retry_elsewhere)
 
     def end_of_stream(self) -> Iterator[ResponseReceived]:
-        """The other side closed: a response that was cut off is none."""
+        """The peer closed the connection; a truncated response is discarded."""
         return iter(())
 
 
 class Uwsgi:
-    """uwsgi: one request on a connection, an HTTP response, then the close."""
+    """uwsgi: one request per connection, an HTTP response, then the close."""
 
     def __init__(self, settings: Settings, clock: TimestampClock) -> None:
         self._settings = settings
@@ -149,7 +149,7 @@
         self._attempt_id: int | None = None
 
     def send(self, attempt: Attempt) -> bytes:
-        """The request of an attempt."""
+        """Return the encoded request of an attempt."""
         call, settings = attempt.call, self._settings
         stamp = self._clock.stamp()
         self._attempt_id = attempt.id
@@ -168,15 +168,15 @@
         return uwsgi.encode_request(variables, call.body)
 
     def cancel(self, attempt: Attempt) -> bytes:
-        """Nothing: the close of the connection tells the server."""
+        """Return nothing: closing the connection cancels the request."""
         return b""
 
     def feed(self, data: bytes) -> Iterator[ResponseReceived | DrainingNotice]:
-        """Events from received bytes; raises ``ProtocolError`` where they are no HTTP response."""
+        """Yield the events in received bytes; raise ``ProtocolError`` if they are not an HTTP response."""
         yield from self._events(data)
 
     def end_of_stream(self) -> Iterator[ResponseReceived]:
-        """The other side closed, which may end the response."""
+        """The peer closed the connection, which may mark the end of the response."""
         yield from self._events(b"")
 
     def _events(self, data: bytes) -> Iterator[ResponseReceived]:
@@ -190,12 +190,12 @@
 
     def _result(self, response: uwsgi.Response) -> AttemptResult:
         status = response.status
-        text = response.body[:MAX_ERROR_TEXT].decode("latin-1")
+        text = response.body[:MAX_ERROR_TEXT_BYTES].decode("latin-1")
         if status == 200:
             return AttemptResult(AttemptEnd.SERVED, response.body)
         if status == 503:
             retry_after_s = _retry_after_seconds(response.headers)
-            # Without Retry-After another program may have answered, which says nothing of whether the request ran.
+            # Without Retry-After, the response may come from another program (a proxy), so the request may have run.
             end = AttemptEnd.FAILED if retry_after_s is None else AttemptEnd.REJECTED
             stop = response.headers.get("x-stop") == "1"
             return AttemptResult(end, b"", text, status, retry_after_s, stop)
@@ -207,7 +207,7 @@
 
 
 def _retry_after_seconds(headers: dict[str, str]) -> float | None:
-    """Retry-After in seconds; the exact header takes precedence over the one in whole seconds."""
+    """Return Retry-After in seconds; the header in milliseconds takes precedence over the one in whole seconds."""
     for name, units_per_s in (("x-pushback-ms", 1000.0), ("retry-after", 1.0)):
         value = headers.get(name, "")
         if value.isascii() and value.isdigit():
--- a/tests/client_world.py
+++ b/tests/client_world.py
@@ -1,7 +1,8 @@
-"""A test double for the driver, servers and clock around the client's policy.
+"""A simulated driver, clock and set of servers for tests of the client's policy.
 
-Nothing sleeps and no socket is opened. Every action is checked: no attempt past the deadline, every retry marked, at
-most 32 requests in flight on a connection.
+It neither sleeps nor opens sockets. It asserts that no request is sent after its deadline, that every retry is marked,
+that each attempt has its own request id, that at most 32 requests are in flight on a connection, and that each call
+has one outcome.
 """
 
 from __future__ import annotations
@@ -33,9 +34,9 @@
 
 
 def settings(servers: int = 4, **changes: Any) -> Settings:
-    """A fixed list of ``servers``, each kept connected (a window of all of them), unless ``changes`` say else."""
+    """Settings with a fixed list of ``servers``, all of them kept connected unless ``changes`` override that."""
     names = tuple(f"10.0.0.{n + 1}:80" for n in range(servers))
-    # Moves spread over a millisecond: the tests of the spread set their own.
+    # Dials are spread over 1 ms only. Tests of the spread set their own.
     changes.setdefault("connections", Connections(least=max(2, servers), spread_s=0.001, spread_least_s=0.001))
     if changes.get("catalog"):
         names = ()
@@ -47,38 +48,38 @@
 
 
 class ClientWorld:
-    """Time is set by hand; servers are known by name."""
+    """Runs a policy in simulated time. Servers are identified by name."""
 
-    def __init__(self, given: Settings | None = None, seed: int = 1) -> None:
+    def __init__(self, client_settings: Settings | None = None, seed: int = 1) -> None:
         self.now = 0.0
-        self.policy = Policy(given or settings(), Random(seed), 0.0)
-        self.dials: list[Connection] = []  # dials in progress
-        self.dialled: list[Connection] = []  # every dial that was made
+        self.policy = Policy(client_settings or settings(), Random(seed), 0.0)
+        self.pending_dials: list[Connection] = []  # in progress
+        self.dialled: list[Connection] = []  # all dials so far
         self.sent: list[Attempt] = []
-        self.withdrawn: list[Attempt] = []
-        self.probes: list[Endpoint] = []
+        self.cancelled: list[Attempt] = []
+        self.health_checks: list[Endpoint] = []
         self.outcomes: dict[int, Outcome] = {}
-        self.at: dict[str, list[float]] = {"dial": [], "try": []}
-        self.dead: set[str] = set()  # servers that refuse connections
+        self.event_times: dict[str, list[float]] = {"dial": [], "try": []}
+        self.unreachable: set[str] = set()  # names of servers that refuse connections
         self.closed: list[Connection] = []
-        self.silent: set[str] = set()  # stopped servers: their kernel accepts everything, nothing is answered
-        self.act()
+        self.unresponsive: set[str] = set()  # stopped servers: they accept connections and requests, and answer nothing
+        self.execute_actions()
 
-    def act(self) -> None:
+    def execute_actions(self) -> None:
         while actions := self.policy.take_actions():
             for action in actions:
                 if isinstance(action, OpenConnection):
-                    self.dials.append(action.connection)
+                    self.pending_dials.append(action.connection)
                     self.dialled.append(action.connection)
-                    self.at["dial"].append(self.now)
+                    self.event_times["dial"].append(self.now)
                 elif isinstance(action, SendRequest):
-                    self.check(action.connection, action.attempt)
+                    self.record_request(action.connection, action.attempt)
                 elif isinstance(action, CancelRequest):
-                    self.withdrawn.append(action.attempt)
+                    self.cancelled.append(action.attempt)
                 elif isinstance(action, CheckHealth):
-                    self.probes.append(action.endpoint)
+                    self.health_checks.append(action.endpoint)
                 elif isinstance(action, SendProbe):
-                    if action.connection.endpoint.name not in self.silent:
+                    if action.connection.endpoint.name not in self.unresponsive:
                         self.policy.probe_answered(self.now, action.connection)
                 elif isinstance(action, CloseConnection):
                     self.closed.append(action.connection)
@@ -86,75 +87,75 @@
                     assert action.call.number not in self.outcomes, "two outcomes for one call"
                     self.outcomes[action.call.number] = action.outcome
 
-    def check(self, connection: Connection, attempt: Attempt) -> None:
+    def record_request(self, connection: Connection, attempt: Attempt) -> None:
         call = attempt.call
         assert self.now < call.deadline, "an attempt after the deadline"
-        earlier = [each for each in self.sent if each.call is call]
+        earlier = [other for other in self.sent if other.call is call]
         assert attempt.is_retry == bool(earlier), "a retry that is not marked, or a first attempt that is"
-        assert all(each.request_id != attempt.request_id for each in earlier), "two attempts under one request id"
+        assert all(other.request_id != attempt.request_id for other in earlier), "two attempts under one request id"
         assert len(connection.in_flight) <= 32, "more requests in flight than the protocol allows"
         self.sent.append(attempt)
-        self.at["try"].append(self.now)
+        self.event_times["try"].append(self.now)
 
-    def connect(self) -> None:
+    def complete_dials(self) -> None:
         """Complete every dial in progress; it fails where the server is dead."""
-        while self.dials:
-            connection = self.dials.pop(0)
-            if connection.endpoint.name in self.dead:
+        while self.pending_dials:
+            connection = self.pending_dials.pop(0)
+            if connection.endpoint.name in self.unreachable:
                 self.policy.dial_failed(self.now, connection)
             else:
                 self.policy.connected(self.now, connection)
-            self.act()
+            self.execute_actions()
 
-    def go(self, span: float, connect: bool = True) -> None:
-        """Let time pass; dials complete at once unless ``connect`` is False."""
-        until = self.now + span
+    def advance(self, seconds: float, connect: bool = True) -> None:
+        """Advance the clock, running timers. Dials complete at once unless ``connect`` is False."""
+        until = self.now + seconds
         while True:
             if connect:
-                self.connect()
+                self.complete_dials()
             when = self.policy.next_timer_at()
             if when is None or when > until:
                 break
             self.now = max(self.now, when)
             self.policy.run_timers(self.now)
-            self.act()
+            self.execute_actions()
         self.now = until
 
     def call(self, cls: str = "fuzzy-match", **options: Any) -> Call:
         call = self.policy.submit(self.now, cls, b"body", **options)
-        self.act()
+        self.execute_actions()
         return call
 
-    def reply(self, attempt: Attempt, ending: AttemptEnd = AttemptEnd.SERVED, **fields: Any) -> None:
-        body = b"done" if ending is AttemptEnd.SERVED else b""
-        self.policy.response_received(self.now, attempt.connection, attempt.id, AttemptResult(ending, body, **fields))
-        self.act()
+    def respond(self, attempt: Attempt, end: AttemptEnd = AttemptEnd.SERVED, **fields: Any) -> None:
+        body = b"done" if end is AttemptEnd.SERVED else b""
+        self.policy.response_received(self.now, attempt.connection, attempt.id, AttemptResult(end, body, **fields))
+        self.execute_actions()
 
-    def cut(self, connection: Connection, clean: bool = True) -> None:
+    def close(self, connection: Connection, clean: bool = True) -> None:
         self.policy.closed(self.now, connection, clean)
-        self.act()
+        self.execute_actions()
 
     def kill(self, name: str) -> None:
-        self.dead.add(name)
+        self.unreachable.add(name)
         for connection in list(self.policy.endpoints[name].connections):
-            self.cut(connection)
+            self.close(connection)
 
-    def serve_all(self, span: float = 0.0) -> None:
-        """Serve every attempt in flight."""
-        self.now += span
+    def serve_all(self, seconds: float = 0.0) -> None:
+        """Serve every attempt in flight, after ``seconds``."""
+        self.now += seconds
         for attempt in [a for c in self.policy.table.open_connections() for a in list(c.in_flight.values())]:
             if attempt.sent_at is not None:
-                self.reply(attempt)
+                self.respond(attempt)
 
     def outcome(self, call: Call) -> Any:
         return self.outcomes.get(call.number)
 
-    def ends(self) -> Counter[str]:
+    def outcome_counts(self) -> Counter[str]:
         return Counter(type(outcome).__name__ for outcome in self.outcomes.values())
 
-    def worst_second(self, *kinds: str) -> int:
-        """The most of these events in any window of one second."""
-        times = sorted(t for kind in kinds for t in self.at[kind])
+    def max_per_second(self, *events: str) -> int:
+        """The maximum number of these events in any window of one second."""
+        times = sorted(t for event in events for t in self.event_times[event])
         return max((sum(t <= u < t + 1.0 for u in times) for t in times), default=0)
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership at the size of a fleet: shared endpoint lists, deltas in order, the last good list over a restart."""
+"""Membership: deltas, endpoint lists shared by many clients, and the last good list across restarts."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 RULES = Catalog()
 
 
-# A delta applied to another version than its own would produce a list that nobody sent.
+# Guards against a delta that is applied to another version than its own, which gives a list that nobody sent.
 def test_deltas_apply_in_order_and_a_gap_asks_for_the_full_list() -> None:
     one, two = listing(1, "n1", "n2", "n3"), listing(2, "n1", "n2", "n4", critical=("n2",))
     delta = delta_between(one, two)
@@ -48,16 +48,16 @@
     delta = delta_between(listing(1, "n1", "n2"), listing(4, "n1", "n3"))
     assert answer(delta_text(delta)) == delta
     assert answer(text(listing(4, "n1"))) == listing(4, "n1")
-    for bad, why in (
+    for data, reason in (
         (b'{"epoch":"e","version":4,"since":4}', "no earlier version"),
         (b'{"epoch":"e","version":4,"since":1,"left":[3]}', "not a list of names"),
         (b'{"epoch":"e","version":4,"since":1,"left":["a"],"joined":[{"name":"a","address":"h:1"}]}', "twice"),
     ):
-        with pytest.raises(ProtocolError, match=why):
-            answer(bad)
+        with pytest.raises(ProtocolError, match=reason):
+            answer(data)
 
 
-# Clients in one process share the endpoint lists.
+# Guards against a copy of the endpoint list for each client of a simulation.
 def test_three_thousand_clients_of_a_thousand_servers_share_one_list() -> None:
     rows = tuple(Listed(f"s{n}", "10.1.0.1", 1000 + n) for n in range(1000))
     first, second = listing(1), listing(2)
@@ -67,55 +67,55 @@
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     policies = [Policy(replace(settings, caller=n, callers=3000), Random(n), 0.0) for n in range(3000)]
-    delta = delta_between(first, second)  # one catalog's answer, as the simulation hands it to each
+    delta = delta_between(first, second)  # one delta object for all clients, as in the simulation
     for policy in policies:
         policy.update_endpoints(0.0, first)
         policy.update_endpoints(1.0, delta)
-    grown = (tracemalloc.get_traced_memory()[0] - before) / len(policies)
+    bytes_per_client = (tracemalloc.get_traced_memory()[0] - before) / len(policies)
     tracemalloc.stop()
     assert len({id(policy.membership.endpoint_list) for policy in policies}) == 1
-    assert grown < 16_000  # bytes a client; the list alone is some 200 KB
+    assert bytes_per_client < 16_000  # the list alone has some 200 KB
     assert all(len(policy.endpoints) <= 6 for policy in policies)
 
 
 def test_an_update_is_computed_once_for_all_clients() -> None:
     one = listing(1, "n1", "n2")
     assert replace_list(EMPTY, one) is replace_list(EMPTY, one)
-    step = replace_list(EMPTY, one)
+    update = replace_list(EMPTY, one)
     delta = delta_between(one, listing(2, "n1"))
-    assert apply_delta(step.endpoint_list, delta) is apply_delta(step.endpoint_list, delta)
+    assert apply_delta(update.endpoint_list, delta) is apply_delta(update.endpoint_list, delta)
     assert apply_delta(EMPTY, delta) is None
 
 
-# The last good list is kept in a file that is replaced atomically; a malformed file counts as no list.
+# Guards against a client that starts without endpoints, or fails to start, while the registry is down.
 def test_the_last_good_list_survives_a_restart_while_the_registry_is_down(tmp_path: Path) -> None:
     async def main() -> tuple[bytes, str, int]:
         catalog = CatalogStandIn(lag=0.0)
         await catalog.open("127.0.0.1")
         catalog.addresses["n1"] = ("127.0.0.1", 9)
         catalog.book.report(asyncio.get_running_loop().time(), "n1", True)
-        where = "{}:{}".format(*catalog.address)
+        address = "{}:{}".format(*catalog.address)
         rules = replace(Catalog(), file=str(tmp_path / "list.json"), save_s=0.0, poll_s=0.05)
-        settings = Settings(CLASSES, catalog=where, catalog_rules=rules)
+        settings = Settings(CLASSES, catalog=address, catalog_rules=rules)
         async with Client(settings) as client:
             while not (tmp_path / "list.json").exists():
                 await asyncio.sleep(0.01)
             assert client.policy.membership.names == {"n1"}
         await catalog.close()
-        async with Client(replace(settings, catalog="127.0.0.1:1")) as again:  # the catalog is not there
-            names = again.policy.membership.names
+        async with Client(replace(settings, catalog="127.0.0.1:1")) as restarted:  # the catalog is unreachable
+            names = restarted.policy.membership.names
             (tmp_path / "list.json").write_bytes(b"{garbled")
-        async with Client(replace(settings, catalog="127.0.0.1:1")) as broken:
-            counted = broken.policy.counts["list file unreadable"]
-            assert not broken.policy.membership.names
-        return (tmp_path / "list.json").read_bytes(), ",".join(sorted(names)), counted
+        async with Client(replace(settings, catalog="127.0.0.1:1")) as restarted:
+            unreadable_count = restarted.policy.counts["list file unreadable"]
+            assert not restarted.policy.membership.names
+        return (tmp_path / "list.json").read_bytes(), ",".join(sorted(names)), unreadable_count
 
-    data, names, counted = asyncio.run(main())
-    assert names == "n1" and counted == 1 and data == b"{garbled"
+    data, names, unreadable_count = asyncio.run(main())
+    assert names == "n1" and unreadable_count == 1 and data == b"{garbled"
     assert not list(tmp_path.glob("*.part"))
 
 
-# Once it has a version, a client is sent only what changed.
+# Guards against full lists for clients that already have a version.
 def test_the_stand_in_registry_sends_deltas() -> None:
     async def main() -> tuple[int, set[str]]:
         catalog = CatalogStandIn(lag=0.0)
