--- a/lapishaven/client/endpoint_list_watcher.py
+++ b/lapishaven/client/endpoint_list_watcher.py
@@ -54,7 +54,8 @@
                     async with asyncio.timeout(self._rules.timeout_s):
                         await self._poll(address)
                 except (TimeoutError, OSError, ProtocolError) as error:
-                    self._policy.engine.report(self._loop.time(), "catalog failed", error=str(error))
+                    reason = f"polling {self._settings.catalog}: {error!r:.200}"
+                    self._policy.engine.report(self._loop.time(), "catalog failed", error=reason)
                     self._disconnect()
                 jitter = self._random.uniform(1 - POLL_JITTER, 1 + POLL_JITTER)
                 await asyncio.sleep(self._rules.poll_s * jitter)
@@ -107,7 +108,8 @@
         except FileNotFoundError:
             pass
         except (OSError, ProtocolError) as error:
-            self._policy.engine.report(self._loop.time(), "list file unreadable", error=str(error))
+            reason = f"reading {self._rules.file}: {error!r:.200}"
+            self._policy.engine.report(self._loop.time(), "list file unreadable", error=reason)
 
     def _save(self) -> None:
         """Replace the file atomically (write a temporary file, then rename it), at most once every ``save_s``."""
@@ -123,4 +125,5 @@
                 os.fsync(file.fileno())
             os.replace(partial_path, path)
         except OSError as error:
-            self._policy.engine.report(self._loop.time(), "list file unwritable", error=str(error))
+            reason = f"writing {path}: {error!r:.200}"
+            self._policy.engine.report(self._loop.time(), "list file unwritable", error=reason)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,6 +7,7 @@
 from dataclasses import replace
 from pathlib import Path
 from random import Random
+from typing import Any
 
 import pytest
 from client_world import CLASSES, listing
@@ -105,9 +106,16 @@
         async with Client(replace(settings, catalog="127.0.0.1:1")) as restarted:  # the catalog is unreachable
             names = restarted.policy.membership.names
             (tmp_path / "list.json").write_bytes(b"{garbled")
-        async with Client(replace(settings, catalog="127.0.0.1:1")) as restarted:
+        reasons: list[str] = []
+
+        def hook(now: float, event: str, fields: dict[str, Any]) -> None:
+            if event == "list file unreadable":
+                reasons.append(fields["error"])
+
+        async with Client(replace(settings, catalog="127.0.0.1:1"), hook=hook) as restarted:
             unreadable_count = restarted.policy.counts["list file unreadable"]
             assert not restarted.policy.membership.names
+        assert len(reasons) == 1 and reasons[0].startswith(f"reading {tmp_path / 'list.json'}: ProtocolError(")
         return (tmp_path / "list.json").read_bytes(), ",".join(sorted(names)), unreadable_count
 
     data, names, unreadable_count = asyncio.run(main())
