--- a/lapishaven/ownership/agent.py
+++ b/lapishaven/ownership/agent.py
@@ -1,4 +1,4 @@
-"""One process's part in the fleet's work: a member with its driver, and a worker thread for the duties it owns."""
+"""Runs one process's membership: a driver thread for the member, and a worker thread for the shards that it owns."""
 
 from __future__ import annotations
 
@@ -14,78 +14,78 @@
 from lapishaven.ownership.model import Clock, Coordinator, CoordinatorError, Shard
 from lapishaven.ownership.notices import Notice, NoticeKind
 
-IDLE_INTERVAL_S = 0.5  # between two steps of a duty that did not say when
-RETRY_INTERVAL_S = 0.25  # until an effect without answer is sent again, or a step that failed is run again
-MAX_ATTEMPTS = 3  # of one effect within one step
-EFFECT_COUNT_INTERVAL = 64  # effects after which their count is recorded at the coordinator, at the latest
+IDLE_INTERVAL_S = 0.5  # longest wait of the worker between two passes over its shards
+RETRY_INTERVAL_S = 0.25  # before an unanswered effect is sent again or a failed step is run again
+MAX_ATTEMPTS = 3  # to send one effect within one step
+EFFECT_COUNT_INTERVAL = 64  # most effects between two records of their count at the coordinator
 WORKER_WAKING_KINDS = frozenset(
     {NoticeKind.SHARD_GAINED, NoticeKind.SHARD_LOST, NoticeKind.SHARD_TRANSFERRED, NoticeKind.SESSION_ENDED}
 )
 
-Facts = Mapping[str, Any]
-EventListener = Callable[[str, Facts], None]
+EventFields = Mapping[str, Any]
+EventListener = Callable[[str, EventFields], None]
 ApplyEffect = Callable[[str, Any], Any]
-"""``apply_effect(effect, detail)``: has the receiver apply one effect, and gives its answer."""
+"""``apply_effect(effect, detail)``: send one effect to the receiver and return its answer."""
 
 
 class Receiver(Protocol):
-    """Where effects are sent to."""
+    """Accepts effects and applies those that pass the fence."""
 
     def admit(self, request: EffectRequest, effect: str, detail: Any) -> Admission:
-        """Judge an effect and apply it. ``FencedStoreError``: it failed or got no answer; the same request may be
-        sent again."""
+        """Judge an effect and apply it if admitted. Raises ``FencedStoreError`` if that failed or got no answer; the
+        same request may then be sent again."""
 
 
 class NotOwnerError(Exception):
-    """The shard is not this member's (any more); the duty's step ends here."""
+    """This member does not own the shard, or may no longer act on it; the duty's step ends."""
 
 
 class ReceiverBehindError(Exception):
-    """The receiver has lost effects that it acknowledged: an older copy was put back. Nothing more is sent for the
-    shard under this token."""
+    """The receiver lacks effects that it had acknowledged, as after a restore from an older copy. Nothing more is sent
+    for the shard under this token."""
 
 
 class Duty(Protocol):
-    """Work of the fleet, in shards. A step has to be safe to run again from any point."""
+    """Work of the fleet, divided into shards. A step must be safe to run again from any point."""
 
     name: str
     shards: int
 
     def step(self, shard_number: int, apply_effect: ApplyEffect, now: float) -> float:
-        """Do what is due for one shard; gives the seconds until the next step. Lets ``NotOwnerError`` through."""
+        """Do what is due for one shard; returns the seconds until the next step. Must not catch ``NotOwnerError``."""
 
 
 @dataclass(slots=True)
 class PendingEffect:
-    """An effect that was sent and may have been applied."""
+    """An effect that was sent and not answered: it may have been applied."""
 
     number: int
     effect: str
     detail: Any
 
     def is_same(self, effect: str, detail: Any) -> bool:
-        """Whether sending ``effect`` again would be a repeat of this one."""
+        """Whether sending ``effect`` with ``detail`` would repeat this one."""
         return self.effect == effect and bool(self.detail == detail)
 
 
 @dataclass(slots=True)
 class ShardProgress:
-    """What the worker keeps of a shard that this member owns."""
+    """The worker's state of one shard that this member owns."""
 
     token: int
     number: int = 0
-    """Of the last effect under this token."""
+    """Number of the last acknowledged effect under this token."""
     effect_count: int = 0
-    """Effects that the receiver has acknowledged."""
+    """How many effects of the shard the receiver is known to hold."""
     recorded_effect_count: int = 0
-    """The count that the coordinator was last given."""
-    due: float = 0.0
+    """The count that was last recorded at the coordinator."""
+    next_step_at: float = 0.0
     pending: PendingEffect | None = None
 
 
 @dataclass(slots=True)
 class OwnershipCounters:
-    """Counts for the gauges, since the start of the process."""
+    """Totals since the start of the process, shown as gauges."""
 
     effects_acknowledged: int = 0
     repeats: int = 0
@@ -100,7 +100,7 @@
     sessions_ended: int = 0
 
     def count_notice(self, kind: NoticeKind) -> None:
-        """Count one notice of the member."""
+        """Increment the counter of a notice's kind, if it has one."""
         if kind is NoticeKind.SHARD_GAINED:
             self.shards_gained += 1
         elif kind is NoticeKind.SHARD_LOST:
@@ -115,15 +115,16 @@
             self.sessions_ended += 1
 
 
-def _ignore_event(kind: str, facts: Facts) -> None:
+def _ignore_event(kind: str, fields: EventFields) -> None:
     pass
 
 
 class Agent:
-    """``start`` it, ask it to ``drain`` and wait with ``join``.
+    """Runs the driver and the worker of one member. Call ``start``, then ``drain`` and ``join`` to shut down.
 
-    ``on_event`` gets the words of ``NoticeKind`` with the facts, from two threads. ``progress_coordinator`` is the
-    worker's own connection to the coordinator, on which it records effect counts; without one it records none.
+    ``on_event`` is called from both threads, with a value of ``NoticeKind`` and the fields of the event.
+    ``progress_coordinator`` is the worker's own connection to the coordinator, on which it records effect counts;
+    without one it records none.
     """
 
     def __init__(
@@ -157,55 +158,56 @@
         self._worker.start()
 
     def drain(self) -> None:
-        """Transfer everything, then end. Never blocks."""
+        """Transfer all shards, deregister and end, in the background. Never blocks."""
         self.driver.drain()
 
-    def join(self, timeout: float | None = None) -> bool:
-        """Wait for the end after ``drain``, each thread for ``timeout`` seconds; whether the member has left."""
-        self.driver.join(timeout)
+    def join(self, timeout_s: float | None = None) -> bool:
+        """Wait for both threads to end after ``drain``, each for at most ``timeout_s``; returns whether the driver has
+        ended."""
+        self.driver.join(timeout_s)
         self._stopped = True
         self._wake.set()
-        self._worker.join(timeout)
+        self._worker.join(timeout_s)
         return not self.driver.is_alive()
 
     def stop(self) -> None:
-        """End at once: leases run out by themselves."""
+        """End both threads without transferring anything; the lease expires by itself."""
         self._stopped = True
         self.driver.stop()
         self._wake.set()
 
-    # ---- Notices of the member
+    # ---- Notices
     def _on_notice(self, notice: Notice) -> None:
         self.counters.count_notice(notice.kind)
-        facts: dict[str, Any] = {}
+        fields: dict[str, Any] = {}
         if notice.shard is not None:
-            facts = _shard_facts(notice.shard, notice.token)
+            fields = _shard_fields(notice.shard, notice.token)
         if notice.reason:
-            facts["why"] = notice.reason
-        self._emit(notice.kind, facts)
+            fields["why"] = notice.reason
+        self._emit(notice.kind, fields)
         if notice.kind in WORKER_WAKING_KINDS:
             self._wake.set()
 
-    def _emit(self, kind: NoticeKind, facts: Facts) -> None:
-        self._on_event(kind.value, facts)
+    def _emit(self, kind: NoticeKind, fields: EventFields) -> None:
+        self._on_event(kind.value, fields)
 
-    # ---- The worker
+    # ---- Worker thread
     def _work(self) -> None:
         while not self._stopped:
             self._wake.clear()
             now = self.clock.now()
             self._update_progress(now)
-            next_due = now + IDLE_INTERVAL_S
+            next_pass_at = now + IDLE_INTERVAL_S
             for shard, progress in sorted(self._progress.items(), key=lambda item: item[0]):
                 if self._stopped:
                     return
-                if progress.due <= self.clock.now():
+                if progress.next_step_at <= self.clock.now():
                     self._run_step(shard, progress)
-                next_due = min(next_due, progress.due)
-            self._wake.wait(max(0.0, next_due - self.clock.now()))
+                next_pass_at = min(next_pass_at, progress.next_step_at)
+            self._wake.wait(max(0.0, next_pass_at - self.clock.now()))
 
     def _update_progress(self, now: float) -> None:
-        """Take over which shards the member owns, and what their receiver is known to hold."""
+        """Refresh which shards the member owns, and how many effects their receiver is known to hold."""
         with self.driver.lock:
             self.member.expire_lease(now)
             tokens = dict(self.member.assignment.tokens)
@@ -223,7 +225,7 @@
         duty_name, number = shard
         duty = self.duties.get(duty_name)
         if duty is None:
-            progress.due = float("inf")
+            progress.next_step_at = float("inf")
             return
 
         def apply_effect(effect: str, detail: Any) -> Any:
@@ -235,21 +237,21 @@
         except NotOwnerError:
             delay = IDLE_INTERVAL_S
         except ReceiverBehindError:
-            delay = float("inf")  # for as long as this token is in force; operators have been notified
+            delay = float("inf")  # not retried under this token; operators were notified by RECEIVER_BEHIND
         except Exception as error:
-            # Whatever a step raises, the worker goes on: nobody else works on its other shards meanwhile.
+            # A fault in one step must not end the worker: the other shards of this member have no other worker.
             self.counters.failed += 1
             reason = str(error) if isinstance(error, FencedStoreError) else f"{type(error).__name__}: {error}"
-            self._emit(NoticeKind.FAILED, {**_shard_facts(shard, progress.token), "why": reason})
+            self._emit(NoticeKind.FAILED, {**_shard_fields(shard, progress.token), "why": reason})
             delay = RETRY_INTERVAL_S
-        progress.due = self.clock.now() + delay
+        progress.next_step_at = self.clock.now() + delay
 
     # ---- Effects
     def _apply_effect(self, shard: Shard, progress: ShardProgress, effect: str, detail: Any) -> Any:
-        """Send one effect until it is answered or the shard is another member's.
+        """Send one effect, up to ``MAX_ATTEMPTS`` times while it is not answered.
 
-        The same effect as one that got no answer is sent as a repeat of it. Another one takes the next number: under
-        the same one it would get the first one's answer without being applied.
+        An effect equal to the unanswered one is sent under the same number, as a repeat. A different effect takes the
+        next number: under the same number the receiver would return the first one's answer without applying it.
         """
         number = self._effect_number(progress, effect, detail)
         progress.pending = PendingEffect(number, effect, detail)
@@ -274,7 +276,7 @@
         return pending.number if pending.is_same(effect, detail) else pending.number + 1
 
     def _send(self, request: EffectRequest, effect: str, detail: Any) -> Admission:
-        """Send a request once, while the member may act; the shard is not transferred before it is answered."""
+        """Send a request once if the member may act on the shard, which is not transferred until the call returns."""
         with self.driver.lock:
             if self._stopped or self.member.token(self.clock.now(), request.shard) != request.token:
                 raise NotOwnerError
@@ -296,32 +298,32 @@
     def _record_admission(
         self, shard: Shard, progress: ShardProgress, number: int, effect: str, admission: Admission
     ) -> Any:
-        facts = {**_shard_facts(shard, progress.token), "number": number, "effect": effect}
+        fields = {**_shard_fields(shard, progress.token), "number": number, "effect": effect}
         if admission.verdict in (Verdict.ADMIT, Verdict.REPEAT):
             self.counters.effects_acknowledged += 1
             self.counters.repeats += admission.verdict is Verdict.REPEAT
             progress.number = number
             progress.effect_count = admission.effect_count
             progress.pending = None
-            self._emit(NoticeKind.EFFECT_ACKNOWLEDGED, {**facts, "held": admission.effect_count})
+            self._emit(NoticeKind.EFFECT_ACKNOWLEDGED, {**fields, "held": admission.effect_count})
             self._record_effect_count(shard, progress)
             return admission.answer
         if admission.verdict is Verdict.STALE:
             self.counters.effects_stale += 1
-            self._emit(NoticeKind.EFFECT_STALE, {**facts, "in_force": admission.token})
+            self._emit(NoticeKind.EFFECT_STALE, {**fields, "in_force": admission.token})
             with self.driver.lock:
                 self.member.effect_rejected(self.clock.now(), shard, progress.token, admission.token)
             self.driver.wake()
             raise NotOwnerError
         self.counters.receiver_behind += 1
         self._emit(
-            NoticeKind.RECEIVER_BEHIND, {**facts, "known": progress.effect_count, "held": admission.effect_count}
+            NoticeKind.RECEIVER_BEHIND, {**fields, "known": progress.effect_count, "held": admission.effect_count}
         )
         raise ReceiverBehindError
 
     def _record_effect_count(self, shard: Shard, progress: ShardProgress) -> None:
-        """Record at the coordinator how many effects the receiver holds: each time that the count has doubled, and
-        every ``EFFECT_COUNT_INTERVAL``."""
+        """Record at the coordinator how many effects the receiver holds, whenever the count has doubled or grown by
+        ``EFFECT_COUNT_INTERVAL``."""
         session = self.member.session.id
         if self._progress_coordinator is None or session is None:
             return
@@ -332,10 +334,10 @@
         try:
             self._progress_coordinator.record_effect_count(session, shard, progress.token, count)
         except CoordinatorError:
-            return  # tried again after the next effect
+            return  # retried after the next effect
         progress.recorded_effect_count = count
 
 
-def _shard_facts(shard: Shard, token: int) -> dict[str, Any]:
+def _shard_fields(shard: Shard, token: int) -> dict[str, Any]:
     duty, number = shard
     return {"duty": duty, "shard": number, "token": token}
--- a/lapishaven/ownership/assignment.py
+++ b/lapishaven/ownership/assignment.py
@@ -1,7 +1,7 @@
-"""The shards of a member: which it owns, which to claim, and which to transfer to whom. Pure.
+"""A member's shards: which it owns, which to claim, and which to transfer to which successor. Pure.
 
-What to claim and to transfer follows from the view by ``placement``, which gives the same plan at every member that
-has the same view.
+Claims and transfers follow from the view by ``placement``, which is deterministic: every member with the same view
+computes the same plan.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from lapishaven.ownership.placement import Candidate, cached_placement
 from lapishaven.ownership.rules import MembershipRules
 
-SHEDDING_WEIGHT_FACTOR = 0.5  # of its full weight, while a member sheds load
+SHEDDING_WEIGHT_FACTOR = 0.5  # applied to a member's weight while it sheds load
 
 
 class ShardAssignment:
-    """Tokens of the shards that are owned, and the claims and transfers that are due."""
+    """Tokens of the owned shards, and the claims and transfers that are due."""
 
     def __init__(
         self,
@@ -40,33 +40,33 @@
         self._rules = rules
         self._random = random
         self._notices = notices
-        self._effects_in_flight: set[Shard] = set()  # their transfer waits for the effect
-        self._shed_until: dict[Shard, float] = {}  # shed for overload: not claimed again before
+        self._effects_in_flight: set[Shard] = set()  # not transferred before their effect ends
+        self._shed_until: dict[Shard, float] = {}  # shards shed for overload, not claimed before this instant
         self._shedding_until = 0.0
         self._claims: list[Shard] = []
-        self._transfers: list[tuple[Shard, int | None]] = []  # with the successor's session
-        self._expected_since: float | None = None
+        self._transfers: list[tuple[Shard, int | None]] = []  # with the successor's session, None for nobody
+        self._transfer_expected_since: float | None = None
         self._claims_left = rules.claims_per_renewal
 
     # ---- Effects
     def begin_effect(self, shard: Shard) -> None:
-        """Keep the shard until ``end_effect``."""
+        """Prevent the shard's transfer until ``end_effect``."""
         self._effects_in_flight.add(shard)
 
     def end_effect(self, shard: Shard) -> None:
-        """The effect was answered, or given up."""
+        """Allow the shard's transfer again: the effect was answered or has failed."""
         self._effects_in_flight.discard(shard)
 
     # ---- Shedding load
     def shed(self, now: float, shard: Shard, duration: float, view: View | None) -> None:
-        """Transfer a shard to another member, and go by a lower weight for ``duration`` seconds."""
+        """Queue the transfer of a shard, and announce a reduced weight for ``duration`` seconds."""
         if shard in self.tokens:
             self._shedding_until = now + duration
             self._shed_until[shard] = self._shedding_until
             self._transfers.append((shard, self._successors(view).get(shard)))
 
     def extend_shedding(self, now: float, duration: float) -> None:
-        """Go by the lower weight for ``duration`` seconds from now, if the member does so already."""
+        """If the member is shedding, announce the reduced weight for ``duration`` seconds from now."""
         if now < self._shedding_until:
             self._shedding_until = now + duration
             self._shed_until = {shard: self._shedding_until for shard in self._shed_until}
@@ -78,15 +78,15 @@
     # ---- Operations
     @property
     def transfers_pending(self) -> bool:
-        """Whether shards wait to be transferred."""
+        """Whether any shard is queued for transfer."""
         return bool(self._transfers)
 
     def renew_claims(self) -> None:
-        """Allow as many claims again as there may be between two renewals."""
+        """Restore the number of claims allowed between two renewals."""
         self._claims_left = self._rules.claims_per_renewal
 
     def next_transfer(self, session: int) -> Transfer | None:
-        """The next transfer that is due, if no effect is in flight on its shard."""
+        """The next queued transfer; None without one, or while an effect is in flight on its shard."""
         while self._transfers:
             shard, successor = self._transfers[0]
             if shard in self._effects_in_flight:
@@ -97,7 +97,7 @@
         return None
 
     def next_claim(self, now: float, session: int) -> Claim | None:
-        """The next claim that is due, within the number that is allowed."""
+        """The next planned claim; None without one, or if no more are allowed before the next renewal."""
         while self._claims and self._claims_left > 0:
             shard = self._claims.pop(0)
             if shard not in self.tokens and self._shed_until.get(shard, now) <= now:
@@ -114,25 +114,27 @@
         return None
 
     def _transfer(self, session: int, shard: Shard, successor: int | None) -> Transfer:
-        # Given up before it is sent: nothing may be done under a token that the coordinator may already have replaced.
+        # Dropped before the transfer is sent: no effect may use a token that the coordinator may already have replaced.
         token = self.tokens.pop(shard)
         self._notices.add(NoticeKind.SHARD_TRANSFERRED, shard, token)
         return Transfer(session, shard, token, successor)
 
     # ---- Outcomes
     def record_claim(self, claim: Claim, outcome: Outcome) -> bool:
-        """What became of a claim; False if the state has to be read again."""
+        """Take the outcome of a claim; returns False if the state has to be read again."""
         if isinstance(outcome, Completed):
             assert isinstance(outcome.value, int)
             self.tokens[claim.shard] = outcome.value
             self._notices.add(NoticeKind.SHARD_GAINED, claim.shard, outcome.value)
             return True
         if isinstance(outcome, Unknown):
-            self._notices.add(NoticeKind.OUTCOME_UNCERTAIN, claim.shard, reason="a claim got no answer")
+            self._notices.add(
+                NoticeKind.OUTCOME_UNCERTAIN, claim.shard, reason="no answer to a claim, the state is read back"
+            )
         return False
 
     def lose_all(self, reason: str) -> None:
-        """The session is over, and all shards with it."""
+        """Give up all shards: the session has ended."""
         for shard, token in self.tokens.items():
             self._notices.add(NoticeKind.SHARD_LOST, shard, token, reason)
         self.tokens.clear()
@@ -140,9 +142,9 @@
         self._transfers.clear()
 
     def update(self, now: float, session: int, view: View, draining: bool) -> None:
-        """Take over the owners in the view, and plan claims and transfers from it."""
+        """Adopt the owners in the view, and plan claims and transfers from it."""
         self._reconcile(session, view)
-        self._shed_until = {shard: until for shard, until in self._shed_until.items() if until > now}
+        self._shed_until = {shard: ends_at for shard, ends_at in self._shed_until.items() if ends_at > now}
         placement = cached_placement(self.shards, _candidates(view), _owner_names(view))
         self._plan_claims(view, placement)
         self._plan_transfers(view, placement, draining)
@@ -153,7 +155,12 @@
         for shard in list(self.tokens):
             if listed.get(shard) != self.tokens[shard]:
                 token = self.tokens.pop(shard)
-                self._notices.add(NoticeKind.SHARD_LOST, shard, token, "the coordinator names another owner")
+                self._notices.add(
+                    NoticeKind.SHARD_LOST,
+                    shard,
+                    token,
+                    "the coordinator no longer lists this member as the owner under this token",
+                )
         for shard, token in listed.items():
             if shard not in self.tokens:
                 self.tokens[shard] = token
@@ -181,20 +188,22 @@
         self._transfers = transfers
 
     def _expect_transfers(self, now: float, session: int, view: View, placement: Mapping[Shard, str]) -> None:
-        """Expect transfers for no longer than one lease: operators may hold a shard for hours, and a dead owner
-        transfers nothing."""
+        """Decide whether another member is about to transfer a shard here. That is expected for at most one lease time:
+        an operator may hold a shard for hours, and a dead owner transfers nothing."""
         planned = any(
             name == self._name and shard in view.owners and view.owners[shard].session != session
             for shard, name in placement.items()
         )
         if not planned:
-            self._expected_since = None
-        elif self._expected_since is None:
-            self._expected_since = now
-        self.transfer_expected = self._expected_since is not None and now - self._expected_since < self._rules.ttl
+            self._transfer_expected_since = None
+        elif self._transfer_expected_since is None:
+            self._transfer_expected_since = now
+        self.transfer_expected = (
+            self._transfer_expected_since is not None and now - self._transfer_expected_since < self._rules.ttl
+        )
 
     def _successors(self, view: View | None) -> dict[Shard, int]:
-        """The session that would own each shard if this member were not there."""
+        """The session that would own each shard without this member."""
         if view is None:
             return {}
         sessions = _sessions_by_name(view)
@@ -216,6 +225,6 @@
 
 
 def _owner_names(view: View) -> dict[Shard, str]:
-    """The name of each shard's owner; empty where its session is not listed any more."""
+    """The name of each shard's owner; empty if its session is no longer listed."""
     names = {member.session: member.record.name for member in view.members}
     return {shard: names.get(owner.session, "") for shard, owner in view.owners.items()}
--- a/lapishaven/ownership/command.py
+++ b/lapishaven/ownership/command.py
@@ -1,6 +1,6 @@
-"""``lapishaven ownership``: what operators see and do. Each command prints, and gives its exit code.
+"""Commands of ``lapishaven ownership``. Each prints its result and returns the exit code.
 
-All raise ``OwnershipError`` with one plain line where the coordinator or the receiver's store cannot be reached.
+All raise ``OwnershipError`` if the coordinator or the receiver's store cannot be opened.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 # ---- The state of the coordinator
 def members(path: str, as_json: bool) -> int:
-    """Print the living members."""
+    """Print the live members."""
     view = _read_view(path)
     rows = [
         {
@@ -54,7 +54,7 @@
 
 
 def status(path: str, as_json: bool) -> int:
-    """Print the owners of all shards; exit 1 where a shard that was ever owned has none."""
+    """Print the owner of each shard; exit code 1 if a shard that was owned before has no owner."""
     view = _read_view(path)
     names = {member.session: member.record.name for member in view.members}
     shards = sorted(set(view.owners) | set(view.effect_counts))
@@ -74,50 +74,57 @@
     }
 
 
-# ---- Changes of owner
+# ---- Changes of ownership
 def release(path: str, duty: str, shard: int) -> int:
-    """Take a shard from its owner; another member claims it. The old owner's effects are rejected once the new one
-    acts."""
+    """Take a shard from its owner, so that another member claims it. The receiver rejects effects of the old owner
+    from the first effect of the new one."""
     view = _read_view(path)
     coordinator = open_coordinator(load(path))
     owner = view.owners.get((duty, shard))
     if owner is None:
-        raise OwnershipError(f"{duty} {shard} has no owner")
+        raise OwnershipError(f"cannot release {duty} {shard}: it has no owner")
     try:
         released = coordinator.transfer(owner.session, (duty, shard), owner.token, None)
     except (CoordinatorError, SessionExpiredError) as error:
-        raise OwnershipError(f"no answer, look again: {error}") from None
+        raise OwnershipError(
+            f"release of {duty} {shard} may or may not have been carried out, check with `ownership status`:"
+            f" {str(error) or 'session expired'}"
+        ) from None
     finally:
         coordinator.close()
     print(f"{duty} {shard}: token {owner.token} {'released' if released else 'was no longer in force'}")
     return 0 if released else 1
 
 
-def claim(path: str, duty: str, shard: int, span: float) -> int:
-    """Own a shard as an operator, so that nobody works on it, for ``span`` seconds or until Ctrl-C."""
+def claim(path: str, duty: str, shard: int, duration_s: float) -> int:
+    """Own a shard as an operator, so that no member works on it, for ``duration_s`` or until Ctrl-C."""
     settings = load(path)
     coordinator = open_coordinator(settings)
     ttl = settings.rules.ttl
     try:
         name = f"operator-{os.getpid()}"
-        # Listed as leaving, so that it is given no work.
+        # Listed as leaving, so that no other shard is placed on it.
         record = MemberRecord(name, f"{name}:{time.time():.0f}", MemberState.LEAVING)
         session = coordinator.join(record, ttl).session
         token = _take_shard(coordinator, session, (duty, shard))
-        print(f"{duty} {shard}: held with token {token} for {span:g} s", flush=True)
-        _hold_session(coordinator, session, ttl, span)
+        print(f"{duty} {shard}: held with token {token} for {duration_s:g} s", flush=True)
+        _hold_session(coordinator, session, ttl, duration_s)
         coordinator.deregister(session)
     except AlreadyOwnedError:
-        raise OwnershipError(f"{duty} {shard} was taken by another just now") from None
+        raise OwnershipError(
+            f"cannot claim {duty} {shard}: another session took the shard, or the name {name}, at the same time"
+        ) from None
     except (CoordinatorError, SessionExpiredError) as error:
-        raise OwnershipError(f"the coordinator did not keep it: {error}") from None
+        raise OwnershipError(
+            f"claim of {duty} {shard} failed or ended early: {str(error) or 'the coordinator ended the session'}"
+        ) from None
     finally:
         coordinator.close()
     return 0
 
 
 def _take_shard(coordinator: Coordinator, session: int, shard: Shard) -> int:
-    """Own a shard, whoever owns it now; gives its token."""
+    """Claim a shard, or transfer it from its present owner; returns the fencing token."""
     owner = coordinator.read_state().owners.get(shard)
     if owner is None:
         return coordinator.claim(session, shard)
@@ -125,34 +132,34 @@
     new_owner = coordinator.read_state().owners.get(shard)
     if new_owner is None or new_owner.session != session:
         duty, number = shard
-        raise OwnershipError(f"{duty} {number} changed hands meanwhile")
+        raise OwnershipError(f"cannot claim {duty} {number}: its owner changed during the transfer")
     return new_owner.token
 
 
-def _hold_session(coordinator: Coordinator, session: int, ttl: float, span: float) -> None:
-    """Renew a session for ``span`` seconds or until Ctrl-C."""
-    until = time.monotonic() + span
+def _hold_session(coordinator: Coordinator, session: int, ttl: float, duration_s: float) -> None:
+    """Renew a session for ``duration_s`` or until Ctrl-C."""
+    ends_at = time.monotonic() + duration_s
     with suppress(KeyboardInterrupt):
-        while (remaining := until - time.monotonic()) > 0:
+        while (remaining := ends_at - time.monotonic()) > 0:
             time.sleep(min(ttl / RENEWALS_PER_TTL, remaining))
             coordinator.renew(session)
 
 
 # ---- The receiver's store
 def history(path: str, duty: str | None, last: int, as_json: bool) -> int:
-    """Print the last effects that the receiver admitted, the oldest first."""
+    """Print the ``last`` newest effects that the receiver admitted, the oldest first."""
     with _open_store(path) as store:
-        found = store.read(
+        rows = store.read(
             "select position, duty, shard, token, number, effect, detail, answer from fence_log"
             " where ? is null or duty = ? order by position desc limit ?",
             (duty, duty, last),
         )
-        _print_table(EFFECT_COLUMNS, list(reversed(found)), as_json)
+        _print_table(EFFECT_COLUMNS, list(reversed(rows)), as_json)
     return 0
 
 
 def find_store_violation(store: FencedStore) -> str | None:
-    """The first thing in a store that does not hold."""
+    """Check the invariants of a store; returns the first violation, None without one."""
     rows = [
         EffectRow((duty, shard), token, number)
         for duty, shard, token, number in store.read(
@@ -174,45 +181,45 @@
 
 
 def verify(path: str) -> int:
-    """Check the store; exit 1 and one line if something does not hold."""
+    """Check the invariants of the store; on a violation print it and return exit code 1."""
     with _open_store(path) as store:
         violation = find_store_violation(store)
         count = store.read("select count(*) from fence_log")[0][0]
-    print(violation or f"{count} effects hold together")
+    print(violation or f"{count} effects checked, no violation found")
     return 1 if violation else 0
 
 
 # ---- Rolling restarts
 def permitted(path: str, as_json: bool) -> int:
-    """Print the members that a rolling restart permits to leave now, for what upgrades them; exit 1 where there are
-    none.
+    """Print the members that a rolling restart permits to restart now, for the supervisor that upgrades them; exit
+    code 1 if there are none.
 
-    ``start`` is the incarnation that has to be followed by another: a supervisor need not act twice on the same one.
+    ``start`` is the incarnation to be replaced, so that a supervisor acts only once on each.
     """
     with _open_store(path) as store:
-        found = store.read(
+        rows = store.read(
             "select name, start, token, rollout from restart_member where state = 'permitted' order by name"
         )
-        _print_table(PERMIT_COLUMNS, found, as_json)
-    return 0 if found else 1
+        _print_table(PERMIT_COLUMNS, rows, as_json)
+    return 0 if rows else 1
 
 
 def rollout(path: str, name: str, at_once: int, share: float) -> int:
-    """Order a rolling restart; the duty's owner carries it out."""
+    """Order a rolling restart, which the owner of the restart duty carries out."""
     with _open_store(path) as store:
         number = store.read("select coalesce(max(number), 0) + 1 from restart_rollout")[0][0]
-        store.write(lambda base: restart.order_rollout(base, name, at_once, share, number))
+        store.write(lambda connection: restart.order_rollout(connection, name, at_once, share, number))
     print(f"rollout {name}: ordered, at most {at_once} at once and {share:.0%} of the capacity")
     return 0
 
 
-# ---- Common to the commands
+# ---- Helpers
 def _read_view(path: str) -> View:
     coordinator = open_coordinator(load(path))
     try:
         return coordinator.read_state()
     except CoordinatorError as error:
-        raise OwnershipError(f"the coordinator does not answer: {error}") from None
+        raise OwnershipError(f"cannot read the coordinator's state (settings {path}): {error}") from None
     finally:
         coordinator.close()
 
--- a/lapishaven/ownership/coordinators/__init__.py
+++ b/lapishaven/ownership/coordinators/__init__.py
@@ -1,1 +1,1 @@
-"""Where leases are kept: a SQLite file that the processes of one box share, or etcd v3."""
+"""Implementations of the coordinator: a SQLite file shared by the processes of one machine, or etcd v3."""
--- a/lapishaven/ownership/coordinators/etcd.py
+++ b/lapishaven/ownership/coordinators/etcd.py
@@ -1,11 +1,12 @@
-"""The coordinator on etcd v3, over its JSON gateway, by etcd3gw.
+"""The coordinator on etcd v3, over its JSON gateway, with etcd3gw.
 
-A member is a key with its own lease; so is each shard that it owns. All of them go when the lease ends, by etcd's own
-clock. A shard's token is the revision that last wrote its key, so tokens grow over the whole store and a transfer is
-one transaction on that revision. No watch is needed: every answer bears the store's revision, and the state is read
-only when it has moved. Nothing is read at an old revision, so compaction does not matter.
+A session is an etcd lease. The member's key and the keys of its shards are attached to it, so etcd deletes them when
+the lease expires by its own clock. A shard's token is the revision that last modified its key, so tokens increase over
+the whole store, and a transfer is one transaction on that revision. No watch is needed: every answer carries the
+store's revision, and the state is read only when it has changed. Nothing is read at an old revision, so compaction is
+harmless.
 
-Keys, behind the prefix: ``member/NAME``, ``owner/DUTY/SHARD``, ``mark/DUTY/SHARD`` (effect counts) and ``past/NAME``
+Keys, after the prefix: ``member/NAME``, ``owner/DUTY/SHARD``, ``mark/DUTY/SHARD`` (effect counts) and ``past/NAME``
 (join counts). See https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/.
 """
 
@@ -36,19 +37,19 @@
 )
 
 DEFAULT_TIMEOUT_S = 1.0
-MIN_TTL_S = 1  # etcd takes whole seconds
+MIN_TTL_S = 1  # etcd leases are in whole seconds
 
 
 class EtcdCoordinator:
-    """``timeout`` in seconds for each request. Not to be shared by threads."""
+    """A client of one etcd endpoint; ``timeout_s`` is the limit of each request. Not thread-safe."""
 
-    def __init__(self, host: str, port: int, prefix: str, timeout: float = DEFAULT_TIMEOUT_S) -> None:
-        self._client = Etcd3Client(host, port, timeout=timeout, api_path="/v3/")
-        self._client.session.trust_env = False  # the address is used as given, whatever proxies the environment names
+    def __init__(self, host: str, port: int, prefix: str, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
+        self._client = Etcd3Client(host, port, timeout=timeout_s, api_path="/v3/")
+        self._client.session.trust_env = False  # ignores proxies in the environment: the address is used as configured
         self._prefix = prefix.rstrip("/") + "/"
 
     def join(self, record: MemberRecord, ttl: float) -> SessionGrant:
-        """Open a session: a lease, and the member's key under it."""
+        """Open a session: a lease, with the member's key attached to it."""
         ttl_s = max(MIN_TTL_S, math.ceil(ttl))
         session = int(self._post("/lease/grant", {"TTL": str(ttl_s), "ID": "0"})["ID"])
         past = self._post("/kv/range", {"key": self._key("past", record.name)}).get("kvs", [])
@@ -67,7 +68,7 @@
         return SessionGrant(session, join_count)
 
     def renew(self, session: int) -> int:
-        """Renew the session's lease; gives the revision."""
+        """Renew the session's lease; returns the revision."""
         answer = self._post("/lease/keepalive", {"ID": str(session)})
         with self._translated_errors():
             result = answer["result"]
@@ -76,7 +77,7 @@
             return int(result["header"]["revision"])
 
     def read_revision(self) -> int:
-        """The store's revision."""
+        """Read the store's revision."""
         with self._translated_errors():
             answer = self._post("/kv/range", {"key": self._key("none"), "count_only": True})
             return int(answer["header"]["revision"])
@@ -87,12 +88,12 @@
         operations = [_put(key, _record_text(session, record), session)]
         if stable:
             operations.append({"request_delete_range": {"key": self._key("past", record.name)}})
-        # The lease names the session; etcd rejects a put with one that has ended.
+        # The lease is the session; etcd rejects a put with a lease that has ended.
         if self._transaction([_has_lease(key, session)], operations) is None:
             raise SessionExpiredError
 
     def read_state(self) -> View:
-        """All keys behind the prefix."""
+        """Read all keys under the prefix."""
         start = self._prefix.encode()
         end = start[:-1] + bytes([start[-1] + 1])
         answer = self._post(
@@ -117,7 +118,7 @@
         return View(int(answer["header"]["revision"]), tuple(members), owners, effect_counts)
 
     def claim(self, session: int, shard: Shard) -> int:
-        """Take a shard that has no owner; gives its token."""
+        """Take a shard that has no owner; returns its token."""
         key = self._key("owner", *shard)
         revision = self._transaction([_is_absent(key)], [_put(key, str(session), session)])
         if revision is None:
@@ -125,7 +126,7 @@
         return revision
 
     def transfer(self, session: int, shard: Shard, token: int, successor: int | None) -> bool:
-        """Give a shard to another session, or to nobody, also where the successor's session has ended."""
+        """Transfer a shard to another session, or release it if there is no successor or its session has ended."""
         key = self._key("owner", *shard)
         if successor is not None:
             try:
@@ -137,7 +138,7 @@
         return self._transaction([_is_at_revision(key, token)], [delete]) is not None
 
     def record_effect_count(self, session: int, shard: Shard, token: int, effect_count: int) -> bool:
-        """Keep how many effects the shard's receiver holds."""
+        """Store how many effects the shard's receiver holds."""
         in_force = _is_at_revision(self._key("owner", *shard), token)
         put = _put(self._key("mark", *shard), str(effect_count))
         return self._transaction([in_force], [put]) is not None
@@ -156,25 +157,25 @@
         try:
             yield
         except Etcd3Exception as error:
-            # "requested lease not found" is an answer, of which the gateway makes an error.
+            # "requested lease not found" is a definite answer, although the gateway reports it as an error.
             if "lease not found" in (error.detail_text or ""):
                 raise SessionExpiredError from None
-            raise CoordinatorError(f"{type(error).__name__}: {error.detail_text}") from None
+            raise CoordinatorError(f"etcd call failed: {type(error).__name__}: {error.detail_text}") from None
         except (requests.RequestException, ValueError, KeyError, TypeError) as error:
-            raise CoordinatorError(f"{type(error).__name__}: {error}") from None
+            raise CoordinatorError(f"no usable answer from etcd: {type(error).__name__}: {error}") from None
 
     def _post(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
         with self._translated_errors():
             answer = self._client.post(self._client.get_url(path), json=body)
             if not isinstance(answer, dict):
-                raise ValueError("the answer is no object")
+                raise ValueError(f"the gateway's answer to {path} is a {type(answer).__name__}, not a JSON object")
             return answer
 
     def _key(self, *parts: object) -> str:
         return _encode(self._prefix + "/".join(str(part) for part in parts))
 
     def _transaction(self, comparisons: list[dict[str, Any]], operations: list[dict[str, Any]]) -> int | None:
-        """The revision if the transaction was done, None if a comparison failed."""
+        """The revision if the transaction was committed, None if a comparison failed."""
         with self._translated_errors():
             answer = self._client.transaction({"compare": comparisons, "success": operations, "failure": []})
             return int(answer["header"]["revision"]) if answer.get("succeeded") else None
--- a/lapishaven/ownership/driver.py
+++ b/lapishaven/ownership/driver.py
@@ -1,4 +1,4 @@
-"""The thread that carries out a member's operations. Calls to the coordinator block here and nowhere else."""
+"""The thread that carries out a member's operations, so that calls to the coordinator block no other thread."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
     Unknown,
 )
 
-MAX_WAIT_S = 0.5  # between two looks at the clock, which may have moved on while the process was stopped
-MIN_WAIT_S = 0.001  # no busy loop while what is due has to wait, as a transfer does for an effect in flight
+MAX_WAIT_S = 0.5  # between two reads of the clock, which advances while the process is stopped
+MIN_WAIT_S = 0.001  # prevents a busy loop while a due operation is blocked, as a transfer is by an effect in flight
 
 
 class FaultPoint(Protocol):
-    """Called at named points of the code, where tests stop or kill the process."""
+    """A hook called at named points, where tests stop or kill the process."""
 
     def __call__(self, point: str) -> None:
-        """The thread has come to ``point``."""
+        """Called when the thread reaches ``point``."""
 
 
 def ignore_fault_point(point: str) -> None:
-    """Do nothing: the fault point outside of tests."""
+    """Do nothing: the hook in production."""
 
 
 def perform(coordinator: Coordinator, operation: Operation, ttl: float) -> Outcome:
-    """Carry out one operation. ``ttl``: of the lease of a new session, in seconds. Raises nothing."""
+    """Carry out one operation. ``ttl`` is the time to live of a new session's lease, in seconds. Never raises."""
     try:
         return Completed(_call(coordinator, operation, ttl))
     except AlreadyOwnedError:
@@ -49,7 +49,7 @@
     except SessionExpiredError:
         return SessionExpired()
     except Exception:
-        # ``CoordinatorError``, or an answer that makes no sense and is as good as none: the thread must go on.
+        # ``CoordinatorError``, or a malformed answer, which counts as none. The driver's thread must not end.
         return Unknown()
 
 
@@ -74,8 +74,8 @@
 
 
 class Driver(threading.Thread):
-    """Runs a member until it has deregistered. ``lock`` guards the member; ``on_notice`` is called on this thread,
-    without the lock."""
+    """Runs a member until it has deregistered. ``lock`` protects the member; ``on_notice`` is called on this thread
+    without holding the lock."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
         self.clock = clock
         self.lock = threading.Lock()
         self.call_count = 0
-        """Calls to the coordinator so far."""
+        """Number of calls made to the coordinator."""
         self._on_notice = on_notice
         self._fault_point = fault_point
         self._wake = threading.Event()
@@ -99,22 +99,22 @@
         self._draining = False
 
     def wake(self) -> None:
-        """Something about the member has changed. Never blocks."""
+        """Wake the thread after a change to the member. Never blocks."""
         self._wake.set()
 
     def drain(self) -> None:
-        """Have the member transfer its shards and deregister; ``run`` ends then. Never blocks: the event path may
-        call it."""
+        """Have the member transfer its shards and deregister, after which ``run`` returns. Never blocks, as the event
+        path calls it."""
         self._draining = True
         self._wake.set()
 
     def stop(self) -> None:
-        """End at once, with nothing transferred."""
+        """End the thread without transferring anything."""
         self._stopped = True
         self._wake.set()
 
     def run(self) -> None:
-        """Carry out operations as they become due."""
+        """Carry out operations as they become due, until the member has deregistered or ``stop`` is called."""
         while not self._stopped:
             self._wake.clear()
             with self.lock:
--- a/lapishaven/ownership/duties/budgets.py
+++ b/lapishaven/ownership/duties/budgets.py
@@ -1,14 +1,15 @@
-"""Quota grants: a contract's rate, granted to members for short spans by demand. Pure decisions, and the effect.
+"""Quota grants: divides a contract's rate over the members by demand, for short spans. Pure decisions, and the effect.
 
-A contract's rate is divided over members in grants that last for ``span`` seconds. Grants that may still be used over a
-change of owner are counted before new ones are made, as the store holds them. A member without a grant falls back to
-its static part, ``fallback_share / members`` of the rate. So valid grants sum to at most the rate, and with members on
-their static parts beside them at most ``1 + fallback_share`` of it can be used: that is the stated overshoot. Tokens
-that members report as overflowed are granted once more, up to ``MAX_OVERFLOW_SHARE`` of the rate, which adds that much
-to the bound.
+A contract's rate is divided over members in grants that last for ``span`` seconds. A new owner of the shard reads from
+the store the grants that may still be in use, and counts them before it makes new ones. A member without a grant falls
+back to its static share, ``fallback_share / members`` of the rate. So valid grants sum to at most the rate, and
+together with members on their static shares at most ``1 + fallback_share`` of it can be used: this is the stated
+overshoot. Tokens that members report as overflowed are granted again, up to ``MAX_OVERFLOW_SHARE`` of the rate, which
+adds that much to the bound.
 
-No instant is compared between clocks. A grant lasts for ``span`` from when its member asked for it. Its owner, old or
-new, counts it as outstanding for two spans from when it was made, or until the member reports a newer round.
+Clocks of different processes are never compared. A grant lasts for ``span`` from when its member asked for it. Its
+owner, old or new, counts it as outstanding for two spans from when it was made, or until the member reports a newer
+round.
 
 Sources: token bucket (RFC 2697); max-min fairness (Bertsekas and Gallager, "Data Networks", 6.5).
 """
@@ -39,52 +40,52 @@
 ) without rowid;
 create table if not exists budget_round (contract text primary key, round integer not null) without rowid
 """
-MIN_BUCKET_DEPTH = 12.0  # tokens: at 3 requests a second arrivals come in bunches
+MIN_BUCKET_TOKENS = 12.0  # allows for bunched arrivals at low rates (3 requests a second)
 SMOOTHING_S = 4.0  # time constant of the moving averages
-MAX_OVERFLOW_SHARE = 0.03  # of the rate that may be granted on top, in place of tokens that overflowed
-MIN_RATE = 1e-9  # requests a second: keeps Retry-After finite
+MAX_OVERFLOW_SHARE = 0.03  # share of the rate that may be granted on top, to replace tokens that overflowed
+MIN_RATE_PER_S = 1e-9  # keeps Retry-After finite
 STEPS_PER_SPAN = 8
-IDLE_INTERVAL_S = 60.0  # where there is no contract
+IDLE_INTERVAL_S = 60.0  # between steps of a shard without a contract
 NEVER = float("-inf")
 NOT_MEASURED = -1.0
 
 ReadRows = Callable[..., list[tuple[Any, ...]]]
 
 
-# ---- The member's side
+# ---- Token bucket of a member
 @dataclass(slots=True)
 class QuotaBucket:
-    """A member's token bucket for one contract. ``now`` in seconds, on the member's own clock that never steps.
+    """A member's token bucket for one contract. ``now`` is in seconds on the member's own monotonic clock.
 
-    A grant lasts for ``span`` seconds from when it was **asked for**, and is not taken anew once its round has stood
-    for a span: its owner is gone then. After it the member falls back to its static part of the rate.
+    A grant lasts for ``span`` seconds from when it was **asked for**. It is not extended by reading it again once its
+    round has not changed for a span, as its owner is then gone. After it the member falls back to its static share.
     """
 
     rate: float
-    """Of the whole contract, in requests a second."""
+    """Rate of the whole contract, in requests a second."""
     members: int
-    """The installation's size, for the static part."""
+    """Number of members in the installation, for the static share."""
     fallback_share: float
-    """Part of the rate that members without a grant may use, all together."""
+    """Share of the rate that members without a grant may use together."""
     burst_s: float
-    """Seconds of the rate in force that may be saved up, ``MIN_BUCKET_DEPTH`` tokens at the least."""
+    """Depth of the bucket in seconds of the rate in force; at least ``MIN_BUCKET_TOKENS``."""
     granted_rate: float = 0.0
     granted_until: float = NEVER
     round: int = 0
-    """Of the grant in use."""
+    """Round of the grant in use."""
     overflow_rate: float = 0.0
-    """Tokens a second that found the bucket full; a moving average."""
+    """Moving average of the tokens a second that overflowed the bucket."""
     _tokens: float = 0.0
     _refilled_at: float = NEVER
     _requests: int = 0  # since the demand was last measured
-    _overflow: float = 0.0  # tokens, since then
+    _overflow_tokens: float = 0.0  # since the demand was last measured
     _measured_at: float = NEVER
     _demand: float = NOT_MEASURED
     _newest_round: int = -1
     _newest_round_since: float = 0.0
 
     def grant(self, now: float, asked_at: float, rate: float, span: float, round_number: int) -> None:
-        """A grant of ``rate`` that was read at ``asked_at``; one that is over already does nothing."""
+        """Adopt a grant of ``rate`` that was asked for at ``asked_at``, unless it has already expired."""
         self._refill(now)
         if round_number != self._newest_round:
             self._newest_round = round_number
@@ -95,24 +96,24 @@
             self.round = round_number
 
     def take(self, now: float) -> float | None:
-        """Take a token for one request: None if there is one, else the seconds until there might be."""
+        """Take a token for one request: returns None if one was available, else the seconds until one may be."""
         self._requests += 1
         self._refill(now)
         if self._tokens >= 1.0:
             self._tokens -= 1.0
             return None
         rate = self.granted_rate if now < self.granted_until else self._static_rate()
-        return (1.0 - self._tokens) / max(rate, MIN_RATE)
+        return (1.0 - self._tokens) / max(rate, MIN_RATE_PER_S)
 
     def measure_demand(self, now: float) -> float:
-        """Requests a second as a moving average, since a few requests in half a second say little."""
+        """Requests a second since the last call, as a moving average: single intervals hold too few requests."""
         measured_at = self._measured_at
         self._measured_at = now
         self._refill(now)
         requests = self._requests
         self._requests = 0
-        overflow = self._overflow
-        self._overflow = 0.0
+        overflow = self._overflow_tokens
+        self._overflow_tokens = 0.0
         if now > measured_at > NEVER:
             elapsed = now - measured_at
             weight = 1.0 - math.exp(-elapsed / SMOOTHING_S)
@@ -134,18 +135,18 @@
         under_grant = max(0.0, min(now, self.granted_until) - refilled_at)
         after_grant = (now - refilled_at) - under_grant
         rate = self.granted_rate if now < self.granted_until else static_rate
-        depth = max(MIN_BUCKET_DEPTH, self.burst_s * rate)
+        depth = max(MIN_BUCKET_TOKENS, self.burst_s * rate)
         tokens = self._tokens + under_grant * self.granted_rate + after_grant * static_rate
         self._tokens = min(depth, tokens)
-        self._overflow += tokens - self._tokens
+        self._overflow_tokens += tokens - self._tokens
 
 
 # ---- Decisions
 def max_min_fair_rates(rate: float, demands: Mapping[str, float]) -> dict[str, float]:
-    """Rates for the members, which sum to at most ``rate``: each its demand, or an even part of what there is.
+    """Divide ``rate`` over the members: each gets its demand, or an even share of what remains.
 
-    Max-min fair: nobody gets more than its demand while another has less than that. What is left over is divided evenly
-    on top, so that a member whose demand begins to grow is not limited to what it was.
+    Max-min fair: no member gets more than its demand while another gets less than its own. A surplus is divided evenly,
+    so that a member whose demand starts to grow is not limited to its last measured demand.
     """
     if not demands:
         return {}
@@ -160,39 +161,48 @@
 
 
 def grantable_rates(rate: float, wanted: Mapping[str, float], outstanding: Mapping[str, float]) -> dict[str, float]:
-    """What of ``wanted`` may be granted now, while members may still use ``outstanding``: the larger of both for each
-    member sums to at most ``rate``. Cuts take effect at once; rises share what is free."""
-    base = {name: min(wanted_rate, outstanding.get(name, 0.0)) for name, wanted_rate in wanted.items()}
+    """The part of ``wanted`` that may be granted now, while members may still use ``outstanding``.
+
+    Over all members, the larger of outstanding and granted rate sums to at most ``rate``. Cuts take effect at once;
+    rises share what is free.
+    """
+    kept_rates = {name: min(wanted_rate, outstanding.get(name, 0.0)) for name, wanted_rate in wanted.items()}
     committed = sum(outstanding.values())
-    rises = {name: wanted_rate - base[name] for name, wanted_rate in wanted.items() if wanted_rate > base[name]}
+    rises = {
+        name: wanted_rate - kept_rates[name] for name, wanted_rate in wanted.items() if wanted_rate > kept_rates[name]
+    }
     free = max(0.0, rate - committed)
     total_rise = sum(rises.values())
-    part = min(1.0, free / total_rise) if total_rise > 0 else 0.0
-    return {name: base[name] + rises.get(name, 0.0) * part for name in sorted(wanted)}
+    granted_share = min(1.0, free / total_rise) if total_rise > 0 else 0.0
+    return {name: kept_rates[name] + rises.get(name, 0.0) * granted_share for name in sorted(wanted)}
 
 
-# ---- The effect, and what members report
-def replace_grants(base: sqlite3.Connection, detail: Any) -> Any:
-    """The effect ``grant``: replace a contract's grants by those of a new round. What members may still use of the last
-    round runs out by itself, and the owner counts it until then (``QuotaDistribution``)."""
+# ---- The effect, and reports of members
+def replace_grants(connection: sqlite3.Connection, detail: Any) -> Any:
+    """The effect ``grant``: replace a contract's grants by those of a new round. Grants of the last round that members
+    still use expire by themselves; the owner counts them until then (``QuotaDistribution``)."""
     contract = detail["contract"]
-    base.execute("delete from budget_grant where contract = ?", (contract,))
-    base.executemany(
+    connection.execute("delete from budget_grant where contract = ?", (contract,))
+    connection.executemany(
         "insert into budget_grant values (?, ?, ?, ?, ?)",
         [(contract, name, rate, most, detail["round"]) for name, (rate, most) in sorted(detail["grants"].items())],
     )
-    base.execute("insert or replace into budget_round values (?, ?)", (contract, detail["round"]))
+    connection.execute("insert or replace into budget_round values (?, ?)", (contract, detail["round"]))
     return {"grants": len(detail["grants"])}
 
 
 def report_demand(
-    base: sqlite3.Connection, contract: str, member: str, need: float, seen: int, adopted: int, spill: float = 0.0
+    connection: sqlite3.Connection, contract: str, member: str, need: float, seen: int, adopted: int, spill: float = 0.0
 ) -> None:
-    """Store a member's demand for a contract in requests a second (``need``), a count that grows with each report, so
-    that dead members can be told from living ones (``seen``), the round that it uses (``adopted``), and its overflow
-    rate (``spill``)."""
-    base.execute("insert or replace into budget_need values (?, ?, ?, ?, ?)", (contract, member, need, seen, adopted))
-    base.execute("insert or replace into budget_spill values (?, ?, ?)", (contract, member, spill))
+    """Store a member's report on a contract.
+
+    ``need`` is its demand in requests a second, ``seen`` a count that increases with each report, which tells live
+    members from dead ones, ``adopted`` the round in use, and ``spill`` the overflow rate.
+    """
+    connection.execute(
+        "insert or replace into budget_need values (?, ?, ?, ?, ?)", (contract, member, need, seen, adopted)
+    )
+    connection.execute("insert or replace into budget_spill values (?, ?, ?)", (contract, member, spill))
 
 
 DUTY_SCHEMA = DutySchema(SCHEMA, ("budget_grant", "budget_round"), {"grant": replace_grants})
@@ -200,7 +210,7 @@
 
 # ---- The duty
 class OutstandingGrant(NamedTuple):
-    """A grant that its member may still use."""
+    """A grant that its member may still be using."""
 
     round: int
     rate: float
@@ -214,9 +224,9 @@
 
 @dataclass(slots=True)
 class _ContractProgress:
-    """What the owner keeps of one contract."""
+    """The owner's state of one contract."""
 
-    granted_round: int | None = None  # the last that this process made
+    granted_round: int | None = None  # last round that this process granted
     outstanding: dict[str, list[OutstandingGrant]] = field(default_factory=dict)  # by member, the oldest first
     reports: dict[str, _LastReport] = field(default_factory=dict)  # by member
 
@@ -226,13 +236,13 @@
 
 
 class QuotaDistribution:
-    """The duty: each contract is a shard. A member is granted more only out of what surely nobody may use any more."""
+    """The duty: each contract is a shard. Members are granted only what certainly no other member may still use."""
 
     name = "budgets"
 
     def __init__(self, contracts: Mapping[str, float], span: float, read: ReadRows) -> None:
-        """``contracts``: rates by name, in requests a second; ``span`` in seconds; ``read`` reads rows from the
-        store."""
+        """``contracts``: rates in requests a second, by name; ``span``: lifetime of a grant in seconds; ``read`` reads
+        rows from the store."""
         self._contracts = sorted(contracts.items())
         self.shards = max(1, len(self._contracts))
         self._span = span
@@ -249,7 +259,7 @@
             0
         ]
         if progress.granted_round != last_round:
-            # A new owner, or one that owns the shard again after another has made grants.
+            # A new owner, or one that owns the shard again after another owner made grants.
             progress.outstanding = self._read_outstanding(contract, now)
         demands, rounds_in_use = self._read_demands(contract, progress, now)
         rate += self._overflow_rate(contract, rate, demands)
@@ -269,16 +279,16 @@
         return self._span / STEPS_PER_SPAN
 
     def _read_outstanding(self, contract: str, now: float) -> dict[str, list[OutstandingGrant]]:
-        """All that members may use by the store, for two spans from now."""
+        """Grants in the store that members may still use, counted for two spans from now."""
         rows = self._read("select member, rate, most, round from budget_grant where contract = ?", (contract,))
         until = now + 2 * self._span
         return {
-            member: [OutstandingGrant(made - 1, most, until), OutstandingGrant(made, rate, until)]
-            for member, rate, most, made in rows
+            member: [OutstandingGrant(round_number - 1, most, until), OutstandingGrant(round_number, rate, until)]
+            for member, rate, most, round_number in rows
         }
 
     def _overflow_rate(self, contract: str, rate: float, demands: Mapping[str, float]) -> float:
-        """What to grant once more, as living members report that it overflowed."""
+        """The rate to grant on top, for tokens that live members report as overflowed."""
         rows = self._read("select member, spill from budget_spill where contract = ?", (contract,))
         overflow_rate: float = sum(overflow for member, overflow in rows if member in demands)
         return min(MAX_OVERFLOW_SHARE * rate, overflow_rate)
@@ -286,7 +296,7 @@
     def _read_demands(
         self, contract: str, progress: _ContractProgress, now: float
     ) -> tuple[dict[str, float], dict[str, int]]:
-        """Demands of members that have reported within a span, by this owner's clock, and the rounds in use by all."""
+        """Demands of members with a report within the last span by this owner's clock, and rounds in use by all."""
         demands: dict[str, float] = {}
         rounds_in_use: dict[str, int] = {}
         rows = self._read("select member, need, seen, adopted from budget_need where contract = ?", (contract,))
@@ -302,11 +312,11 @@
 
 
 def _drop_unused(outstanding: dict[str, list[OutstandingGrant]], rounds_in_use: Mapping[str, int], now: float) -> None:
-    """Forget grants that have run out, and those before the one that their member uses."""
+    """Remove grants that have expired, and those older than the one that their member uses."""
     for member in list(outstanding):
         in_use = rounds_in_use.get(member, -1)
-        kept = [grant for grant in outstanding[member] if grant.round >= in_use and grant.until > now]
-        if kept:
-            outstanding[member] = kept
+        remaining = [grant for grant in outstanding[member] if grant.round >= in_use and grant.until > now]
+        if remaining:
+            outstanding[member] = remaining
         else:
             del outstanding[member]
--- a/lapishaven/ownership/duties/restart.py
+++ b/lapishaven/ownership/duties/restart.py
@@ -1,8 +1,7 @@
-"""Rolling restart: which members may restart now, so many at once and no more than a share of the capacity.
+"""Rolling restart: which members may restart now, within a limit on their number and on their share of the capacity.
 
-``choose_permitted`` is pure. The rollout is kept in the store, so an owner that dies is followed by one that goes on
-where it stood. A member obeys a permit only if its token is not older than the newest that it has obeyed
-(``PermitGuard``).
+The rollout's progress is in the store, so a new owner continues where the last one stopped. A member obeys a permit
+only if its token is not older than the newest that it has obeyed (``PermitGuard``). ``choose_permitted`` is pure.
 """
 
 from __future__ import annotations
@@ -34,10 +33,10 @@
 
 
 class RolloutStage(Enum):
-    """Where a member of a rollout stands. The values are stored."""
+    """Progress of one member in a rollout. The values are stored."""
 
     WAITING = "waiting"
-    PERMITTED = "permitted"  # may restart; counted as away until it is back
+    PERMITTED = "permitted"  # may restart; counts as unavailable until it is back
     DONE = "done"
 
 
@@ -49,52 +48,53 @@
     weight: float
     stage: RolloutStage
     incarnation: str
-    """Of the process that has to be followed by another."""
+    """Incarnation to be replaced by another."""
 
 
 class MemberReport(NamedTuple):
-    """What a member reports of itself."""
+    """A member's report of its readiness."""
 
     incarnation: str
     ready: bool
     obeys: bool = False
-    """Whether it, or what started it, obeys permits."""
+    """Whether the process or its supervisor obeys permits."""
 
 
 class Rollout(NamedTuple):
-    """A rolling restart that was ordered."""
+    """An ordered rolling restart."""
 
     name: str
     at_once: int
-    """Members that may be away at one time."""
+    """Most members that may be unavailable at one time."""
     share: float
-    """Of the capacity that may be away at one time."""
+    """Largest share of the capacity that may be unavailable at one time."""
 
 
 def choose_permitted(
     members: Sequence[RolloutMember], unavailable: frozenset[str], at_once: int, share: float
 ) -> list[str]:
-    """Who may restart now, by name. ``unavailable``: members that are not ready for whatever reason; they count too.
+    """Names of the members that may restart now. ``unavailable`` members, not ready for any reason, count towards the
+    limits.
 
-    One may always go where nobody is away, whatever its share, or a small fleet would never get through.
+    While no member is unavailable one may always restart, whatever its share, or a small fleet would never finish.
     """
     total_weight = sum(member.weight for member in members)
-    away = {member.name for member in members if member.stage is RolloutStage.PERMITTED or member.name in unavailable}
-    away_weight = sum(member.weight for member in members if member.name in away)
+    absent = {member.name for member in members if member.stage is RolloutStage.PERMITTED or member.name in unavailable}
+    absent_weight = sum(member.weight for member in members if member.name in absent)
     chosen: list[str] = []
     for member in sorted(members, key=lambda member: member.name):
         if member.stage is not RolloutStage.WAITING or member.name in unavailable:
             continue
-        if len(away) >= at_once or (away and away_weight + member.weight > share * total_weight):
+        if len(absent) >= at_once or (absent and absent_weight + member.weight > share * total_weight):
             break
-        away.add(member.name)
-        away_weight += member.weight
+        absent.add(member.name)
+        absent_weight += member.weight
         chosen.append(member.name)
     return chosen
 
 
 def find_restarted(members: Sequence[RolloutMember], reports: Mapping[str, MemberReport]) -> list[str]:
-    """Permitted members that are back: ready, as another incarnation."""
+    """Names of the permitted members that are back: ready, as another incarnation."""
     return [
         member.name
         for member in members
@@ -107,10 +107,10 @@
 
 @dataclass(slots=True)
 class PermitGuard:
-    """The member's side: rejects permits of older owners."""
+    """A member's protection against permits of older owners."""
 
     token: int = 0
-    """The newest that it has obeyed."""
+    """Newest token that the member has obeyed."""
 
     def accept(self, token: int) -> bool:
         """Whether to obey a permit with this fencing token."""
@@ -121,11 +121,11 @@
 
 
 # ---- Effects
-def permit_members(base: sqlite3.Connection, detail: Any) -> Any:
-    """The effect ``permit``: let members restart; who is not waiting any more is left as it is."""
+def permit_members(connection: sqlite3.Connection, detail: Any) -> Any:
+    """The effect ``permit``: permit members to restart; those that are no longer waiting stay unchanged."""
     permitted = 0
     for name, incarnation in detail["members"]:
-        permitted += base.execute(
+        permitted += connection.execute(
             "update restart_member set state = 'permitted', token = ?, start = ?"
             " where rollout = ? and name = ? and state = 'waiting'",
             (detail["token"], incarnation, detail["rollout"], name),
@@ -133,21 +133,21 @@
     return {"permitted": permitted}
 
 
-def complete_members(base: sqlite3.Connection, detail: Any) -> Any:
-    """The effect ``complete``: permitted members are back."""
+def complete_members(connection: sqlite3.Connection, detail: Any) -> Any:
+    """The effect ``complete``: mark permitted members as done."""
     done = 0
     for name in detail["members"]:
-        done += base.execute(
+        done += connection.execute(
             "update restart_member set state = 'done' where rollout = ? and name = ? and state = 'permitted'",
             (detail["rollout"], name),
         ).rowcount
     return {"done": done}
 
 
-def enlist_members(base: sqlite3.Connection, detail: Any) -> Any:
-    """The effect ``enlist``: take members into a rollout; those that are there stay as they are."""
+def enlist_members(connection: sqlite3.Connection, detail: Any) -> Any:
+    """The effect ``enlist``: add members to a rollout; those that it already has stay unchanged."""
     for name, weight in detail["members"]:
-        base.execute(
+        connection.execute(
             "insert or ignore into restart_member values (?, ?, ?, 'waiting', 0, '')", (detail["rollout"], name, weight)
         )
     return {"members": len(detail["members"])}
@@ -161,25 +161,25 @@
 
 
 # ---- Writes of operators and members
-def order_rollout(base: sqlite3.Connection, rollout: str, at_once: int, share: float, number: int) -> None:
-    """Order a rolling restart, which the duty's owner carries out. ``number``: its place among all that were
-    ordered."""
-    base.execute("insert or ignore into restart_rollout values (?, ?, ?, ?)", (rollout, at_once, share, number))
+def order_rollout(connection: sqlite3.Connection, rollout: str, at_once: int, share: float, number: int) -> None:
+    """Order a rolling restart, which the duty's owner carries out. ``number`` is its position in the order of
+    execution."""
+    connection.execute("insert or ignore into restart_rollout values (?, ?, ?, ?)", (rollout, at_once, share, number))
 
 
-def report_member(base: sqlite3.Connection, name: str, incarnation: str, ready: bool, obeys: bool) -> None:
-    """Store what a member reports of itself."""
-    base.execute(
+def report_member(connection: sqlite3.Connection, name: str, incarnation: str, ready: bool, obeys: bool) -> None:
+    """Store a member's report of its readiness."""
+    connection.execute(
         "insert or replace into restart_report values (?, ?, ?, ?)", (name, incarnation, int(ready), int(obeys))
     )
 
 
 class RollingRestart:
-    """The duty: one shard, all rollouts in the order in which they were ordered.
+    """The duty: one shard, which carries out all rollouts in the order in which they were ordered.
 
-    ``read`` reads rows from the store; ``token`` gives the fencing token of the duty's shard; ``serving`` gives the
-    members that the coordinator lists as serving, by weight. One that it does not list is away, whatever it last
-    reported.
+    ``read`` reads rows from the store; ``token`` returns the fencing token of the duty's shard; ``serving`` returns the
+    weights of the members that the coordinator lists as serving. A member that is not listed is unavailable, whatever
+    it last reported.
     """
 
     name = "restart"
@@ -190,15 +190,15 @@
         read: ReadRows,
         token: Callable[[], int],
         serving: Callable[[], Mapping[str, float]],
-        step_interval: float = STEP_INTERVAL_S,
+        step_interval_s: float = STEP_INTERVAL_S,
     ) -> None:
         self._read = read
         self._token = token
         self._serving = serving
-        self._step_interval = step_interval
+        self._step_interval_s = step_interval_s
 
     def step(self, shard_number: int, apply_effect: ApplyEffect, now: float) -> float:
-        """Go on with the first rollout that is not done."""
+        """Continue the first rollout that is not done."""
         serving = self._serving()
         reports = self._read_reports(serving)
         for rollout in self._read_rollouts():
@@ -206,14 +206,14 @@
             if not members:
                 if _enlist(rollout, serving, reports, apply_effect):
                     return 0.0
-                continue  # nobody there obeys
+                continue  # no serving member obeys permits
             if restarted := find_restarted(members, reports):
                 apply_effect("complete", {"rollout": rollout.name, "members": restarted})
                 return 0.0
             if any(member.stage is not RolloutStage.DONE for member in members):
                 self._permit(rollout, members, reports, apply_effect)
                 break
-        return self._step_interval
+        return self._step_interval_s
 
     def _permit(
         self,
@@ -250,7 +250,7 @@
 def _enlist(
     rollout: Rollout, serving: Mapping[str, float], reports: Mapping[str, MemberReport], apply_effect: ApplyEffect
 ) -> bool:
-    """Take the members that serve and obey into a rollout; whether there are any."""
+    """Add the members that serve and obey permits to a rollout; returns whether there are any."""
     obeying = [(name, weight) for name, weight in sorted(serving.items()) if name in reports and reports[name].obeys]
     if obeying:
         apply_effect("enlist", {"rollout": rollout.name, "members": obeying})
--- a/lapishaven/ownership/fence.py
+++ b/lapishaven/ownership/fence.py
@@ -1,8 +1,8 @@
-"""The fence: what a receiver of effects decides of a request that bears a fencing token. Pure; ``fenced_store`` keeps
-its state durably.
+"""The fence: how a receiver of effects judges a request by its fencing token. Pure; ``fenced_store`` keeps the state
+durably.
 
-A lease cannot keep an old owner from writing, as the process may be stopped between its check and its write. So each
-request bears its owner's token, and the receiver rejects what is older than the highest token that it has seen. See
+A lease alone cannot prevent writes of an old owner, as the process may be stopped between its check and its write. So
+each request carries its owner's token, and the receiver rejects tokens older than the highest that it has seen. See
 Kleppmann, "How to do distributed locking", 2016.
 """
 
@@ -15,39 +15,39 @@
 
 
 class Verdict(Enum):
-    """What becomes of a request. The values are sent by ``receiver``."""
+    """Decision on a request. The values are sent by ``receiver``."""
 
     ADMIT = "admit"
-    REPEAT = "repeat"  # it was applied before, and gets its first answer
-    STALE = "stale"  # a newer owner has acted here
-    BEHIND = "behind"  # the receiver holds fewer effects than it acknowledged: an older copy was put back
+    REPEAT = "repeat"  # applied before; the first answer is returned again
+    STALE = "stale"  # a newer owner has already acted on the shard
+    BEHIND = "behind"  # the receiver holds fewer effects than it acknowledged, as after a restore from an older copy
 
 
 @dataclass(frozen=True, slots=True)
 class EffectRequest:
-    """One effect that an owner asks for."""
+    """One effect that an owner sends."""
 
     shard: Shard
     token: int
     number: int
-    """Grows within a token; a repeat bears the same one."""
+    """Increases within a token; a repeat carries the same number."""
     known_effects: int = 0
-    """How many effects of the shard the receiver is known to hold, at the least."""
+    """Lower bound of the number of effects of the shard that the receiver should hold."""
 
 
 @dataclass(frozen=True, slots=True)
 class HighWaterMark:
-    """What a receiver keeps of a shard."""
+    """A receiver's state of one shard."""
 
     token: int = 0
     """The highest fencing token."""
     number: int = 0
-    """The last request under that token."""
+    """Number of the last request admitted under that token."""
     effect_count: int = 0
 
 
 def judge(mark: HighWaterMark, request: EffectRequest) -> Verdict:
-    """Whether the request may take effect on a receiver that stands at ``mark``."""
+    """Judge a request on a receiver whose state is ``mark``."""
     if request.token < mark.token:
         return Verdict.STALE
     if request.token == mark.token and request.number <= mark.number:
@@ -58,11 +58,11 @@
 
 
 def judge_unfenced(mark: HighWaterMark, request: EffectRequest) -> Verdict:
-    """The baseline that measurements compare with: leases without fencing. Repeats are recognized all the same."""
+    """Judge without fencing, as a baseline for measurements: every token is accepted, repeats are recognized."""
     is_repeat = request.token == mark.token and request.number <= mark.number
     return Verdict.REPEAT if is_repeat else Verdict.ADMIT
 
 
 def advance(mark: HighWaterMark, request: EffectRequest) -> HighWaterMark:
-    """The receiver's mark once an admitted request has taken effect."""
+    """The mark after an admitted request has been applied."""
     return HighWaterMark(request.token, request.number, mark.effect_count + 1)
--- a/lapishaven/ownership/fenced_store.py
+++ b/lapishaven/ownership/fenced_store.py
@@ -1,7 +1,7 @@
-"""A receiver of effects in one SQLite file, behind the fence.
+"""A receiver of effects in a SQLite file, protected by the fence.
 
-The high-water mark, the effect and its first answer are written in one transaction. Tables of effects are guarded by
-triggers: SQLite itself rejects a write to them outside ``FencedStore.admit``.
+The high-water mark, the effect and its first answer are written in one transaction. Triggers guard the tables that
+effects write: SQLite itself rejects a write to them outside ``FencedStore.admit``.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from lapishaven.ownership.model import Shard
 
 SCHEMA_VERSION = 1
-# ``fence_open`` has a row only within a transaction that applies an effect: the triggers let writes pass while it does.
+# ``fence_open`` has a row only within a transaction that applies an effect; the triggers allow writes only then.
 SCHEMA = """
 create table if not exists fence_mark (
     duty text not null, shard integer not null, token integer not null, number integer not null,
@@ -30,36 +30,36 @@
 );
 create table if not exists fence_open (one integer primary key check (one = 1));
 """
-BUSY_TIMEOUT_S = 5.0  # a call waits this long for another writer
+BUSY_TIMEOUT_S = 5.0  # how long a call waits for another writer
 
 
 class FencedStoreError(Exception):
-    """The receiver could not do it (disk full, I/O, busy, an unknown effect): nothing took effect.
+    """A call to the receiver failed (disk full, I/O error, busy, unknown effect) and nothing was written.
 
-    From a ``RemoteReceiver`` it may also mean that no answer came: then the effect may have been applied.
+    From a ``RemoteReceiver`` it may also mean that no answer came; the effect may then have been applied.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """What became of a request."""
+    """Result of a request."""
 
     verdict: Verdict
     token: int
     """The fencing token in force."""
     effect_count: int
-    """How many effects the shard has now."""
+    """Number of effects applied to the shard so far."""
     answer: Any = None
-    """What the effect answered, also to a repeat; JSON."""
+    """The effect's answer, the first one for a repeat; JSON."""
 
 
 Effect = Callable[[sqlite3.Connection, Any], Any]
-"""Applies one effect within the transaction, from its detail; gives its answer. Both are JSON."""
+"""Applies one effect within the transaction, given its detail; returns its answer. Both are JSON values."""
 
 
 @dataclass(frozen=True, slots=True)
 class DutySchema:
-    """What a duty keeps in a store."""
+    """Tables and effects of a duty in a store."""
 
     schema: str
     """SQL that creates its tables."""
@@ -78,31 +78,34 @@
 
 
 class FencedStore:
-    """One file, which processes may share. Not synchronized: one thread at a time may use an instance.
+    """A store in one file, which processes may share. Not thread-safe: one thread at a time may use an instance.
 
-    ``busy_timeout`` in seconds. ``fenced=False`` is for measurements only: the baseline of leases without fencing.
+    ``fenced=False`` is for measurements only: the baseline of leases without fencing.
     """
 
     def __init__(
         self,
         path: str,
         duty_schemas: Mapping[str, DutySchema],
-        busy_timeout: float = BUSY_TIMEOUT_S,
+        busy_timeout_s: float = BUSY_TIMEOUT_S,
         fenced: bool = True,
     ) -> None:
         self._judge = judge if fenced else judge_unfenced
         self._effects = {name: effect for duty in duty_schemas.values() for name, effect in duty.effects.items()}
         try:
-            self._connection = sqlite.connect(path, busy_timeout)
+            self._connection = sqlite.connect(path, busy_timeout_s)
             with sqlite.writing(self._connection):
                 self._create_tables(path, duty_schemas.values())
         except sqlite3.Error as error:
-            raise FencedStoreError(f"{path}: {error}") from None
+            raise FencedStoreError(f"cannot open the store {path}: {error}") from None
 
     def _create_tables(self, path: str, duty_schemas: Iterable[DutySchema]) -> None:
         version = self._connection.execute("pragma user_version").fetchone()[0]
         if version > SCHEMA_VERSION:
-            raise FencedStoreError(f"{path} is of schema {version}, newer than {SCHEMA_VERSION}")
+            raise FencedStoreError(
+                f"cannot open the store {path}: its schema version {version} is newer than {SCHEMA_VERSION},"
+                " the newest that this program supports"
+            )
         sqlite.script(self._connection, SCHEMA)
         for duty in duty_schemas:
             sqlite.script(self._connection, duty.schema)
@@ -112,7 +115,7 @@
         self._connection.execute(f"pragma user_version = {SCHEMA_VERSION}")
 
     def admit(self, request: EffectRequest, effect: str, detail: Any) -> Admission:
-        """Judge a request and, if it is admitted, apply its effect; all or nothing. Raises ``FencedStoreError`` if
+        """Judge a request and, if it is admitted, apply its effect, in one transaction. Raises ``FencedStoreError`` if
         that failed."""
         apply = self._effects.get(effect)
         if apply is None:
@@ -161,7 +164,7 @@
         )
 
     def write(self, work: Callable[[sqlite3.Connection], Any]) -> Any:
-        """Write to tables that are not guarded (what members report of themselves), in one transaction."""
+        """Run ``work`` in one transaction, for writes to tables that are not guarded (reports of members)."""
         try:
             with sqlite.writing(self._connection):
                 return work(self._connection)
@@ -169,7 +172,7 @@
             raise FencedStoreError(str(error)) from None
 
     def read(self, query: str, values: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-        """All rows of a query."""
+        """Run a query and return all rows."""
         try:
             return self._connection.execute(query, values).fetchall()
         except sqlite3.Error as error:
--- a/lapishaven/ownership/lease.py
+++ b/lapishaven/ownership/lease.py
@@ -1,4 +1,4 @@
-"""A lease as its holder sees it: a table of states, and the rule of how long it may be used. Pure.
+"""A lease from its holder's point of view: its state transitions, and how long it may be used. Pure.
 
 ``Lease`` and the model checker (``lapishaven.lab.modelcheck``) share the table. See Gray and Cheriton, "Leases: an
 efficient fault-tolerant mechanism for distributed file cache consistency", 1989.
@@ -11,28 +11,28 @@
 
 
 class LeaseState(Enum):
-    """Where a lease stands."""
+    """State of a lease at its holder."""
 
     FREE = "free"  # not requested
-    REQUESTING = "asking"  # requested, not answered yet
+    REQUESTING = "asking"  # requested, no answer yet
     HELD = "held"
     RENEWING = "renewing"  # held, with a renewal in flight
-    UNCERTAIN = "doubtful"  # a request got no answer: it may have been granted or not, and has to be read back
-    LOST = "lost"  # expired, or another's by the coordinator's word
+    UNCERTAIN = "doubtful"  # a request got no answer: whether it was granted has to be read back
+    LOST = "lost"  # expired, or revoked by the coordinator
     RELEASED = "released"
 
 
 class LeaseEvent(Enum):
-    """What may happen to a lease."""
+    """An input of the state machine."""
 
     REQUEST = "ask"
     GRANTED = "granted"
     DENIED = "denied"
-    NO_ANSWER = "silent"  # within the time of a call
+    NO_ANSWER = "silent"  # within the timeout of a call
     RENEW = "renew"
     RENEWED = "renewed"
-    CONFIRMED = "ours"  # read back: the lease is this holder's
-    REVOKED = "not ours"  # read back or answered: it is not
+    CONFIRMED = "ours"  # a read showed that this holder has the lease
+    REVOKED = "not ours"  # a read or an answer showed that it does not
     EXPIRED = "expired"  # by the holder's own clock
     RELEASE = "release"
 
@@ -65,7 +65,7 @@
     (LeaseState.RENEWING, LeaseEvent.RELEASE): LeaseState.RELEASED,
     (LeaseState.UNCERTAIN, LeaseEvent.RELEASE): LeaseState.RELEASED,
 }
-"""The next state by state and event; what is not listed is a programming error."""
+"""The next state by state and event; any other pair is a programming error."""
 NEVER = float("-inf")
 
 
@@ -75,10 +75,10 @@
 
 @dataclass(slots=True)
 class Lease:
-    """One lease. Times in seconds, on a clock that never steps nor stands still.
+    """One lease. Times in seconds, on a monotonic clock that also runs while the process is stopped.
 
-    It may be used until ``ttl`` less ``margin`` after the last answered request was **sent**: the coordinator cannot
-    have counted from an earlier instant. ``margin`` covers that its clock may run faster than the holder's.
+    It may be used until ``ttl - margin`` after the last answered request was **sent**, as the coordinator cannot have
+    started to count before that. ``margin`` allows for a coordinator's clock that runs faster than the holder's.
     """
 
     ttl: float
@@ -88,10 +88,10 @@
     _sent_at: float = NEVER
 
     def apply(self, event: LeaseEvent) -> LeaseState:
-        """Move to the next state. Raises ``LeaseError`` if the event is impossible."""
+        """Move to the next state. Raises ``LeaseError`` if the event is impossible in the present one."""
         new_state = TRANSITIONS.get((self.state, event))
         if new_state is None:
-            raise LeaseError(f"{event.value} in state {self.state.value}")
+            raise LeaseError(f"lease event {event.value!r} is impossible in state {self.state.value!r}")
         self.state = new_state
         if new_state in ENDED_STATES:
             self.expires_at = NEVER
@@ -99,26 +99,26 @@
         return new_state
 
     def request(self, now: float) -> None:
-        """A request for the lease is sent."""
+        """Record that a request for the lease is sent."""
         self.apply(LeaseEvent.REQUEST)
         self._sent_at = now
 
     def renew(self, now: float) -> None:
-        """A renewal is sent."""
+        """Record that a renewal is sent."""
         self.apply(LeaseEvent.RENEW)
         self._sent_at = now
 
     def confirm(self, event: LeaseEvent) -> None:
-        """The lease is held: ``GRANTED`` or ``RENEWED``, or ``CONFIRMED`` by a read. A request that is confirmed by
-        a read counts from when it was sent; a renewal that is confirmed so does not lengthen the lease."""
+        """Apply ``GRANTED``, ``RENEWED`` or ``CONFIRMED``, after which the lease is held. A request confirmed by a read
+        counts from when it was sent; a renewal confirmed by a read does not extend the lease."""
         read_back_of_request = event is LeaseEvent.CONFIRMED and self.expires_at == NEVER
-        lengthens = read_back_of_request or event in (LeaseEvent.GRANTED, LeaseEvent.RENEWED)
+        extends = read_back_of_request or event in (LeaseEvent.GRANTED, LeaseEvent.RENEWED)
         self.apply(event)
-        if lengthens:
+        if extends:
             self.expires_at = max(self.expires_at, self._sent_at + self.ttl - self.margin)
 
     def expire(self, now: float) -> bool:
-        """End the lease if its time is over; whether it ended just now."""
+        """End the lease if its time is over; returns whether this call ended it."""
         if self.state in USABLE_STATES and self.expires_at != NEVER and now >= self.expires_at:
             self.apply(LeaseEvent.EXPIRED)
             return True
--- a/lapishaven/ownership/member.py
+++ b/lapishaven/ownership/member.py
@@ -1,8 +1,8 @@
-"""A member of the fleet: what it asks of the coordinator, when, and which shards it may act on. Pure.
+"""State machine of a fleet member: which coordinator operation is due, and which shards it may act on. Pure.
 
-``next_operation(now)`` says what to ask; ``record_outcome`` takes what became of it. Nothing here blocks or reads a
-clock. One session carries all shards of the member, so the load on the coordinator does not grow with the shards. A
-session that ends takes all of them along, and the member joins again.
+``next_operation(now)`` returns the operation that is due; ``record_outcome`` takes its outcome. Nothing here blocks or
+reads a clock. One session covers all shards of the member, so renewals do not grow with the number of shards. When the
+session ends, the member loses all its shards and joins again.
 
     operation = member.next_operation(clock.now())
     if operation is not None:
@@ -40,81 +40,83 @@
 from lapishaven.ownership.session import MemberSession
 
 NO_REVISION = -1
-SESSION_OVER = "the session is over"
+SESSION_EXPIRED_REASON = "the coordinator reported the session as expired"
 
 
 class Member:
-    """Orders the operations of a session and of its shards. ``record.incarnation`` has to be new for each start of a
-    process. All times in seconds, on a clock that never steps nor stands still."""
+    """Sequences the operations of a session and of its shards. ``record.incarnation`` must be new for each start of a
+    process. All times in seconds, on a monotonic clock that also runs while the process is stopped."""
 
     def __init__(self, record: MemberRecord, shards: Sequence[Shard], rules: MembershipRules, random: Random) -> None:
         self.rules = rules
         self.view: View | None = None
         """The latest state that was read in this session."""
         self.notices = NoticeQueue()
-        """Events since the driver last took them."""
+        """Notices that the driver has not taken yet."""
         self.draining = False
         self.deregistered = False
-        """Whether the member has left for good."""
+        """Whether the member has left and will not join again."""
         self._schedule = OperationSchedule(rules, random)
         self.session = MemberSession(record, rules, random, self._schedule, self.notices)
         self.assignment = ShardAssignment(record.name, record.weight, shards, rules, random, self.notices)
         self._revision = NO_REVISION
         self._view_outdated = True  # the coordinator's state is known to be newer than the view
 
-    # ---- For duties and the driver
+    # ---- Called by the agent and the participant
     def token(self, now: float, shard: Shard) -> int | None:
-        """The fencing token to act with on a shard; None where this member may not act (any more)."""
+        """The fencing token for effects on a shard; None if this member may not act on it, or no longer."""
         return self.assignment.tokens.get(shard) if self.session.lease.usable(now) else None
 
     def effect_rejected(self, now: float, shard: Shard, token: int, token_in_force: int) -> None:
-        """A receiver rejected an effect as an older owner's. The process was away for longer than its lease, so the
-        session and all its shards are given up."""
-        self.notices.add(NoticeKind.EFFECT_REJECTED, shard, token, f"{token_in_force} is in force")
+        """A receiver rejected an effect as stale. The process was stopped for longer than its lease, so the session and
+        all its shards are given up."""
+        self.notices.add(
+            NoticeKind.EFFECT_REJECTED, shard, token, f"the receiver has seen the newer token {token_in_force}"
+        )
         if self.assignment.tokens.get(shard) == token:
-            self._lose_session(now, "a newer owner has acted")
+            self._lose_session(now, "the receiver has seen a newer owner of one of its shards")
 
     def shed(self, now: float, shard: Shard, duration: float) -> None:
-        """Transfer a shard to another member because of overload, and announce half the weight for ``duration``
-        seconds, so that none comes back in its place."""
+        """Transfer a shard to another member because of overload, and announce a reduced weight for ``duration``
+        seconds, so that no other shard is placed here instead."""
         self.assignment.shed(now, shard, duration, self.view)
 
     def drain(self, now: float) -> None:
-        """Transfer all shards, then deregister."""
+        """Start to drain: transfer all shards, then deregister."""
         if not self.draining:
             self.draining = True
             self._schedule.drain(now)
             self.notices.add(NoticeKind.DRAINING)
 
-    # ---- Time
+    # ---- Deadlines
     def expire_lease(self, now: float) -> None:
-        """Give everything up once the lease has ended by the member's own clock."""
+        """Give up the session and all shards if the lease has expired by the member's own clock."""
         if self.session.lease.expire(now) and self.session.id is not None:
-            self.assignment.lose_all("its time is over")
+            self.assignment.lose_all("the lease expired by the member's own clock")
             self._rejoin(now)
 
     def next_due(self) -> float:
-        """The latest instant at which ``next_operation`` has to be called again."""
+        """The instant by which ``next_operation`` has to be called again."""
         if self.deregistered:
             return float("inf")
         schedule = self._schedule
         if self.session.id is None:
-            due = [schedule.quiet_until, schedule.read_state_at]
+            deadlines = [schedule.quiet_until, schedule.read_state_at]
         else:
-            due = [schedule.renew_at, schedule.read_revision_at]
+            deadlines = [schedule.renew_at, schedule.read_revision_at]
             if self.session.record.state is MemberState.JOINING:
-                due.append(schedule.settled_at)
+                deadlines.append(schedule.settled_at)
         if self._view_outdated or self.assignment.transfer_expected:
-            due.append(schedule.read_state_at)
+            deadlines.append(schedule.read_state_at)
         if self.session.lease.expires_at > NEVER:
-            due.append(self.session.lease.expires_at)
+            deadlines.append(self.session.lease.expires_at)
         if self.draining:
-            due.append(schedule.transfer_at)
-        return min(due)
+            deadlines.append(schedule.transfer_at)
+        return min(deadlines)
 
     # ---- Operations
     def next_operation(self, now: float) -> Operation | None:
-        """What to ask of the coordinator now, one operation at a time; None if nothing is due."""
+        """The operation that is due now, None if there is none. One operation is in flight at a time."""
         self.expire_lease(now)
         if self.deregistered or now < self._schedule.quiet_until:
             return None
@@ -133,7 +135,7 @@
             self.deregistered = True
             return None
         if self.session.lease.state is LeaseState.UNCERTAIN:
-            return ReadState()  # an attempt to join without answer is read back
+            return ReadState()  # finds out whether an unanswered attempt to join was carried out
         if self.session.lease.state is LeaseState.REQUESTING:
             return None
         return self.session.join(now)
@@ -170,7 +172,7 @@
 
     # ---- Outcomes
     def record_outcome(self, now: float, operation: Operation, outcome: Outcome) -> None:
-        """What became of an operation, and when that was known."""
+        """Take the outcome of an operation, known at ``now``."""
         if isinstance(operation, Join):
             self.session.record_join(now, outcome)
             self._view_outdated |= self.session.id is not None
@@ -181,7 +183,7 @@
         elif isinstance(operation, ReadRevision):
             self._view_outdated |= isinstance(outcome, Completed) and outcome.value != self._revision
         elif isinstance(outcome, SessionExpired):
-            self._lose_session(now, SESSION_OVER)
+            self._lose_session(now, SESSION_EXPIRED_REASON)
         else:
             self._record_change(now, operation, outcome)
 
@@ -198,11 +200,11 @@
         else:
             self.deregistered = True
             self.session.id = None
-            self.assignment.lose_all("it left")
+            self.assignment.lose_all("the member deregistered")
 
     def _record_renewal(self, now: float, operation: Renew, outcome: Outcome) -> None:
         if operation.session != self.session.id:
-            return  # of an earlier session
+            return  # the answer belongs to an earlier session
         if isinstance(outcome, Completed):
             self.session.renewal_completed()
             self._view_outdated |= outcome.value != self._revision
@@ -210,7 +212,7 @@
         elif isinstance(outcome, Unknown):
             self.session.renewal_unanswered(now)
         else:
-            self._lose_session(now, SESSION_OVER)
+            self._lose_session(now, SESSION_EXPIRED_REASON)
 
     def _record_state(self, now: float, outcome: Outcome) -> None:
         self._schedule.state_read(now, self.assignment.transfer_expected)
@@ -227,7 +229,7 @@
             self._view_outdated |= self.session.id is not None
             return
         if not self.session.is_current(listed):
-            self._lose_session(now, "the coordinator does not list it")
+            self._lose_session(now, "the coordinator no longer lists the session")
             return
         self._set_view(view)
         self._view_outdated = False
@@ -235,7 +237,7 @@
         if self.assignment.transfer_expected:
             self._schedule.expect_transfer(now)
 
-    # ---- The end of a session
+    # ---- End of a session
     def _lose_session(self, now: float, reason: str) -> None:
         self.session.revoke_lease()
         self.assignment.lose_all(reason)
--- a/lapishaven/ownership/model.py
+++ b/lapishaven/ownership/model.py
@@ -1,4 +1,4 @@
-"""What ownership deals in: shards, members, the coordinator's state, and the ports to coordinator and clock."""
+"""Types of ownership: shards, members and the coordinator's state; interfaces of the coordinator and the clock."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class MemberState(Enum):
-    """What a member announces of itself. The values are stored by the coordinators."""
+    """State that a member announces. The values are stored by the coordinators."""
 
-    JOINING = "joining"  # alive, given no work yet
+    JOINING = "joining"  # live, takes no shards yet
     SERVING = "serving"
-    LEAVING = "leaving"  # draining: transfers its shards, and is given none
+    LEAVING = "leaving"  # draining: transfers its shards and takes none
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,24 +27,24 @@
 
     name: str
     incarnation: str
-    """Names one start of the process; two processes of one name differ in it."""
+    """Identifies one start of the process; two processes with the same name differ in it."""
     state: MemberState = MemberState.JOINING
     weight: float = 1.0
-    """The member's part of the work, relative to the others' weights."""
+    """The member's share of the work, relative to the weights of the others."""
 
 
 @dataclass(frozen=True, slots=True)
 class SessionGrant:
-    """A session was opened."""
+    """Answer to a successful join."""
 
     session: int
     join_count: int
-    """How often this name has joined since it was last stable, this time included."""
+    """Joins of this name since it was last stable, this one included."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListedMember:
-    """A living member in a view."""
+    """A live member in a view."""
 
     session: int
     record: MemberRecord
@@ -61,25 +61,25 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """All that the coordinator holds, at one revision."""
+    """The coordinator's whole state at one revision."""
 
     revision: int
     members: tuple[ListedMember, ...]
     owners: Mapping[Shard, ShardOwner]
     effect_counts: Mapping[Shard, int]
-    """How many effects each shard's receiver is known to hold, at the least."""
+    """Lower bound of the number of effects that each shard's receiver holds."""
 
     def find_member(self, name: str) -> ListedMember | None:
-        """The living member of that name."""
+        """The live member of that name, None without one."""
         return next((member for member in self.members if member.record.name == name), None)
 
 
 class CoordinatorError(Exception):
-    """The coordinator gave no answer that says whether the call was done: it may have been, and may still be."""
+    """The coordinator gave no usable answer: the call may have been carried out, or may still be."""
 
 
 class SessionExpiredError(Exception):
-    """The coordinator answered that the session is over."""
+    """The coordinator answered that the session has expired."""
 
 
 class AlreadyOwnedError(Exception):
@@ -87,58 +87,56 @@
 
 
 class Coordinator(Protocol):
-    """Where leases are kept.
+    """Stores the leases.
 
-    Each call blocks for a bounded time. It raises ``CoordinatorError`` where no answer came, and
-    ``SessionExpiredError`` where the session is over. All calls but ``read_state`` may have been done although they
-    raised.
+    Each call blocks for a bounded time. It raises ``CoordinatorError`` if no answer came, and ``SessionExpiredError``
+    if the session has expired. Any call that writes may have been carried out although it raised.
     """
 
     def join(self, record: MemberRecord, ttl: float) -> SessionGrant:
-        """Open a session for a new member, for ``ttl`` seconds from now unless it is renewed. Raises
-        ``AlreadyOwnedError`` where a living member has the name."""
+        """Open a session for a new member; it expires ``ttl`` seconds from now unless renewed. Raises
+        ``AlreadyOwnedError`` if a live member has the name."""
 
     def renew(self, session: int) -> int:
-        """Renew the session for its time to live; gives the revision."""
+        """Renew the session for its time to live; returns the revision."""
 
     def read_revision(self) -> int:
-        """The revision alone, which is cheap. It differs whenever ``read_state`` would give something else."""
+        """Read only the revision, which is cheap. It changes whenever the result of ``read_state`` does."""
 
     def announce(self, session: int, record: MemberRecord, stable: bool = False) -> None:
-        """Replace the member's record. ``stable``: forget how often its name has joined."""
+        """Replace the member's record. ``stable`` resets the join count of its name."""
 
     def read_state(self) -> View:
-        """All that the coordinator holds."""
+        """Read the whole state."""
 
     def claim(self, session: int, shard: Shard) -> int:
-        """Take a shard that has no owner; gives its fencing token. Raises ``AlreadyOwnedError`` where it has one."""
+        """Take a shard that has no owner; returns its fencing token. Raises ``AlreadyOwnedError`` if it has one."""
 
     def transfer(self, session: int, shard: Shard, token: int, successor: int | None) -> bool:
-        """Give a shard to another session, which gets a new token, or to nobody. False if ``token`` is not in
-        force."""
+        """Transfer a shard to another session, under a new token, or release it. False if ``token`` is not in force."""
 
     def record_effect_count(self, session: int, shard: Shard, token: int, effect_count: int) -> bool:
-        """Keep how many effects the shard's receiver holds. False if ``token`` is not in force."""
+        """Store how many effects the shard's receiver holds. False if ``token`` is not in force."""
 
     def deregister(self, session: int) -> None:
         """End the session at once, and its ownership of shards with it."""
 
     def close(self) -> None:
-        """Close the connection. Sessions are left to run out."""
+        """Close the connection; sessions are left to expire."""
 
 
 class Clock(Protocol):
-    """Time, as ownership needs it."""
+    """Source of monotonic and wall-clock time."""
 
     def now(self) -> float:
-        """Seconds on a clock that never steps, and goes on while the process is stopped or the machine sleeps."""
+        """Seconds on a monotonic clock that also runs while the process is stopped or the machine sleeps."""
 
     def wall(self) -> float:
-        """Unix time in seconds; may step. Nothing that has to be safe depends on it."""
+        """Unix time in seconds, which may step. No safety property depends on it."""
 
 
 class SystemClock:
-    """CLOCK_BOOTTIME: CLOCK_MONOTONIC stands still while the machine sleeps, and the wall clock may step."""
+    """The system's clocks. Uses CLOCK_BOOTTIME, as CLOCK_MONOTONIC stops while the machine sleeps."""
 
     def now(self) -> float:
         """Seconds since the machine booted, sleep included."""
--- a/lapishaven/ownership/notices.py
+++ b/lapishaven/ownership/notices.py
@@ -9,7 +9,7 @@
 
 
 class NoticeKind(Enum):
-    """What happened. The values are the words that are logged (``docs/operators/ownership.md``)."""
+    """Kind of an event. The values are logged (``docs/operators/ownership.md``)."""
 
     JOINED = "joined"
     NAME_TAKEN = "name taken"
@@ -20,7 +20,7 @@
     SHARD_TRANSFERRED = "handed"
     OUTCOME_UNCERTAIN = "doubt"
     EFFECT_REJECTED = "refused"
-    # From here on: events of the agent and the participant.
+    # Events of the agent and the participant.
     EFFECT_ACKNOWLEDGED = "acked"
     EFFECT_STALE = "stale"
     RECEIVER_BEHIND = "behind"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """One event of a member. ``token`` is 0 and ``reason`` empty where there is none."""
+    """One event of a member. ``token`` is 0 and ``reason`` is empty if it has none."""
 
     kind: NoticeKind
     shard: Shard | None = None
@@ -40,7 +40,7 @@
 
 
 class NoticeQueue:
-    """Notices in order, until the driver takes them."""
+    """Notices in order of occurrence, until the driver takes them."""
 
     def __init__(self) -> None:
         self._notices: list[Notice] = []
--- a/lapishaven/ownership/operations.py
+++ b/lapishaven/ownership/operations.py
@@ -1,8 +1,8 @@
-"""What a member may ask of the coordinator (operations), and what became of it (outcomes).
+"""Calls of a member to the coordinator (operations) and their results (outcomes).
 
 ``Member`` decides which operation is due, ``driver.perform`` carries it out, and ``Member.record_outcome`` takes the
-outcome. ``fault_point`` names an operation at the points where tests stop or kill a process: ``before-join``,
-``after-join`` and so on.
+outcome. ``fault_point`` is the operation's part of the names of the points at which tests stop or kill a process:
+``before-join``, ``after-join`` and so on.
 """
 
 from __future__ import annotations
@@ -32,21 +32,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadState:
-    """Read all that the coordinator holds."""
+    """Read the coordinator's whole state."""
 
     fault_point: ClassVar[str] = "read-state"
 
 
 @dataclass(frozen=True, slots=True)
 class ReadRevision:
-    """Read the revision alone, to learn cheaply whether the state has changed."""
+    """Read only the revision, as a cheap check whether the state has changed."""
 
     fault_point: ClassVar[str] = "read-revision"
 
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """Replace the member's record. ``stable``: the coordinator is to forget how often this name has joined."""
+    """Replace the member's record. ``stable`` resets the join count of its name."""
 
     fault_point: ClassVar[str] = "announce"
     session: int
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transfer:
-    """Give a shard that is owned under ``token`` to the session ``successor``, or to nobody."""
+    """Transfer a shard that is owned under ``token`` to the session ``successor``, or release it if that is None."""
 
     fault_point: ClassVar[str] = "transfer"
     session: int
@@ -88,19 +88,19 @@
 # ---- Outcomes
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """The coordinator answered. ``value``: a session, a revision or token, a view, yes or no, or nothing."""
+    """The coordinator answered. ``value``: a session, a revision or token, a view, a bool, or None without a result."""
 
     value: int | bool | View | SessionGrant | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """No answer came: the operation may have been carried out, and may still be."""
+    """No usable answer came: the operation may have been carried out, or may still be."""
 
 
 @dataclass(frozen=True, slots=True)
 class SessionExpired:
-    """The coordinator answered that the session is over."""
+    """The coordinator answered that the session has expired."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/lapishaven/ownership/overload.py
+++ b/lapishaven/ownership/overload.py
@@ -1,10 +1,10 @@
 """When an overloaded member sheds shards, and how many. Pure.
 
 A server is overloaded while it rejects ``rejected_share`` of what it answers, or reads requests too late for every
-latency objective. A member sheds once that has lasted for ``sustained_for`` seconds without a break, so that a burst
-moves nothing. It then announces a reduced weight and transfers what is more than its fair share at that weight,
-one shard each ``shed_interval``, as long as some other member is not overloaded: where all are, moving work helps
-nobody. It takes its full share again ``recovery_time`` seconds after the last time that it was overloaded.
+latency objective. A member starts to shed once that has lasted for ``sustained_for`` seconds without a break, so that
+bursts move nothing. It then announces a reduced weight and transfers what exceeds its fair share at that weight, one
+shard per ``shed_interval``, as long as some other member is not overloaded: if all are, moving work helps nobody. It
+takes its full share again ``recovery_time`` seconds after it was last overloaded.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
 @dataclass(frozen=True, slots=True)
 class OverloadRules:
-    """Times in seconds."""
+    """Thresholds of shedding. Times in seconds."""
 
     sustained_for: float = 2.0
     shed_interval: float = 0.5
     recovery_time: float = 20.0
     rejected_share: float = 0.2
-    """Of the answers, from which on a server counts as overloaded."""
+    """Share of rejections among the answers from which a server counts as overloaded."""
 
 
 class OverloadDetector:
-    """``observe`` the server from time to time; ``shard_to_shed`` says what to give up."""
+    """Detects overload from periodic calls of ``observe``; ``shard_to_shed`` chooses what to give up."""
 
     def __init__(self, rules: OverloadRules) -> None:
         self.rules = rules
@@ -41,11 +41,11 @@
         self._rejections = 0
         self._rejected_share = 0.0  # moving average
         self._next_shed_at = float("-inf")
-        self._full_weights: dict[str, float] = {}  # the highest that each incarnation of another member has announced
+        self._full_weights: dict[str, float] = {}  # highest weight announced so far, by incarnation of other members
 
     def observe(self, now: float, answers: int, rejections: int, reads_late: bool) -> None:
-        """``answers`` and ``rejections``: since the start of the process. ``reads_late``: whether the server reads
-        requests too late now."""
+        """Take a sample of the server. ``answers`` and ``rejections`` are totals since the start of the process;
+        ``reads_late`` is whether the server now reads requests too late."""
         new_answers = answers - self._answers
         new_rejections = rejections - self._rejections
         self._answers = answers
@@ -64,8 +64,11 @@
     def shard_to_shed(
         self, now: float, name: str, weight: float, view: View | None, tokens: dict[Shard, int], shard_count: int
     ) -> Shard | None:
-        """A shard to give up now, if any. ``weight``: of this member, ``name``, when it is not overloaded;
-        ``tokens``: of the shards that it owns; ``shard_count``: of the whole fleet."""
+        """The shard to give up now, if any.
+
+        ``name`` is this member, ``weight`` its weight without overload, ``tokens`` the tokens of its shards, and
+        ``shard_count`` the number of shards of the whole fleet.
+        """
         if view is None or not self.overloaded(now) or now < self._next_shed_at or not tokens:
             return None
         records = [member.record for member in view.members if member.record.state is MemberState.SERVING]
@@ -78,12 +81,12 @@
             return None
         self._next_shed_at = now + self.rules.shed_interval
         self.shed_count += 1
-        # The newest token: the shard that was taken last has the least in flight here.
+        # The newest token: the shard that was gained last has the least work in flight here.
         return max(tokens, key=lambda shard: (tokens[shard], shard))
 
     def _some_at_full_weight(self, others: Sequence[MemberRecord]) -> bool:
-        """Whether some other member is not overloaded, which shows by its announcing its highest weight so far."""
+        """Whether some other member is not overloaded: it announces its highest weight so far, not a reduced one."""
         for record in others:
-            known = self._full_weights.get(record.incarnation, 0.0)
-            self._full_weights[record.incarnation] = max(record.weight, known)
+            highest = self._full_weights.get(record.incarnation, 0.0)
+            self._full_weights[record.incarnation] = max(record.weight, highest)
         return any(record.weight >= self._full_weights[record.incarnation] for record in others)
--- a/lapishaven/ownership/participant.py
+++ b/lapishaven/ownership/participant.py
@@ -1,7 +1,7 @@
-"""A match server's part in the fleet's work, behind the server's port: the event path waits for nothing here.
+"""Connects a match server to the fleet's duties. Methods called on the server's event path never block.
 
-Three threads: the driver (coordinator), the worker (duties) and the reporter (this server's consumption, demand, grants
-and permits), each with connections of its own.
+Three threads, each with its own connections: the driver (calls to the coordinator), the worker (steps of the duties)
+and the reporter (this server's consumption and demand, its grants and restart permits).
 """
 
 from __future__ import annotations
@@ -33,14 +33,13 @@
     "restart": restart.DUTY_SCHEMA,
     "budgets": budgets.DUTY_SCHEMA,
 }
-ETCD_TIMEOUTS_PER_TTL = 5  # the time to live of a lease, in timeouts of one call to etcd
-FINAL_FLUSH_TIMEOUT_S = 0.1  # the process is killed 0.15 s after the loop's end
+ETCD_TIMEOUTS_PER_TTL = 5  # the timeout of one call to etcd is the time to live of a lease divided by this
+FINAL_FLUSH_TIMEOUT_S = 0.1  # the process is killed 0.15 s after the end of the event loop
 FINAL_JOIN_TIMEOUT_S = 0.02
 
 
 def open_coordinator(settings: OwnershipSettings, clock: Clock | None = None) -> Coordinator:
-    """The coordinator that the settings name. Raises ``OwnershipError`` if it cannot be opened or its library is not
-    installed."""
+    """Open the configured coordinator. Raises ``OwnershipError`` if that fails or its library is not installed."""
     try:
         if isinstance(settings.coordinator, tuple):
             from lapishaven.ownership.coordinators.etcd import EtcdCoordinator
@@ -51,13 +50,15 @@
 
         return SqliteCoordinator(settings.coordinator, clock)
     except ImportError:
-        raise OwnershipError("ownership on etcd needs lapishaven[ownership]") from None
+        raise OwnershipError(
+            f"cannot use the etcd coordinator {settings.coordinator}: install lapishaven[ownership]"
+        ) from None
     except CoordinatorError as error:
         raise OwnershipError(f"cannot open the coordinator: {error}") from None
 
 
 def terminate_process() -> None:
-    """Shut down gracefully, as at a SIGTERM from outside."""
+    """Send this process a SIGTERM, which shuts it down gracefully."""
     os.kill(os.getpid(), signal.SIGTERM)
 
 
@@ -66,11 +67,11 @@
 
 
 class Participant:
-    """Start with ``start``; the server calls the other public methods on its event path.
+    """A match server's membership in the fleet. The server calls the public methods on its event path.
 
-    ``classes`` are the names behind the contracts' class numbers, which may differ between servers. ``log`` gets one
-    JSON line for each event that operators care about. ``terminate`` is called on the reporter's thread when a rolling
-    restart permits this process to leave.
+    ``classes`` are the names of the contracts' class indexes, which may differ between servers. ``log`` gets one JSON
+    line for each event of interest to operators. ``terminate`` is called on the reporter's thread when a rolling
+    restart permits this process to shut down.
     """
 
     def __init__(
@@ -94,7 +95,7 @@
             self._worker_store = FencedStore(settings.receiver, DUTY_SCHEMAS)
             self._reporter_store = FencedStore(settings.receiver, DUTY_SCHEMAS)
         except FencedStoreError as error:
-            raise OwnershipError(f"cannot open the book: {error}") from None
+            raise OwnershipError(f"cannot start ownership: {error}") from None
         self._consumption = self._consumption_recorder()
         self._quota: QuotaClient | None = None
         if settings.budgets is not None and contracts:
@@ -102,7 +103,7 @@
         self._restarts = RestartReporter(name, self.incarnation, settings.obeys_restarts, settings.supervised)
         self.agent = self._agent(self._duties(contracts, classes))
         self._overload = OverloadDetector(settings.overload) if settings.overload is not None else None
-        # So far; written by the event path, read by the reporter.
+        # Totals since the start; written by the event path, read by the reporter.
         self._answers = 0
         self._rejections = 0
         self._reads_late = False
@@ -110,7 +111,7 @@
         self._closed = threading.Event()
         self._reporter = threading.Thread(target=self._run_reporter, name="errands", daemon=True)
 
-    # ---- Parts
+    # ---- Construction
     def _consumption_recorder(self) -> ConsumptionRecorder | None:
         settings = self.settings.periods
         if settings is None:
@@ -157,41 +158,42 @@
             return self.agent.member.token(self._clock.now(), (restart.RollingRestart.name, 0)) or 0
 
     def _serving_members(self) -> Mapping[str, float]:
-        """The members that the coordinator lists as serving, with their weights."""
+        """Weights of the members that the coordinator lists as serving, by name."""
         with self.agent.driver.lock:
             view = self.agent.member.view
         records = [member.record for member in view.members] if view is not None else []
         return {record.name: record.weight for record in records if record.state is MemberState.SERVING}
 
-    # ---- The server's port
+    # ---- Called by the server
     def start(self) -> None:
         """Start all threads."""
         self.agent.start()
         self._reporter.start()
 
     def request_served(self, team: str | None, class_name: str, weight: float, idempotency_key: str | None) -> None:
-        """A request was served, of the given priority weight."""
+        """Record a request that was served, with its priority weight."""
         self._answers += 1
         if self._consumption is not None:
             self._consumption.record(team or "", class_name, weight, idempotency_key)
 
     def take_budget(self, now: float, contract: Contract) -> float:
-        """Take a token of a contract's quota: 0 if there is one, else the seconds until there might be; negative if
-        the contract is not under quota grants."""
+        """Take a token of a contract's quota: returns 0 if one was available, else the seconds until one may be;
+        negative if the contract is not under quota grants."""
         return self._quota.take(contract) if self._quota is not None else NOT_GRANTED_HERE
 
     def request_not_served(self, rejected: bool) -> None:
-        """A request was answered without being served."""
+        """Record a request that was answered without being served."""
         self._answers += 1
         self._rejections += rejected
 
     def set_overloaded(self, reads_late: bool) -> None:
-        """Whether the server reads requests too late now."""
+        """Set whether the server now reads requests too late for their latency objectives."""
         self._reads_late = reads_late
 
     def state(self) -> dict[str, int]:
-        """The gauges and counters of ``docs/operators/ownership.md``."""
-        # Without the member's lock, which the event path must not wait for: each figure by itself is right.
+        """Gauges and counters, described in ``docs/operators/ownership.md``."""
+        # Read without the member's lock, for which the event path must not wait. Each value is right by itself; the
+        # values may be of different instants.
         member = self.agent.member
         counters = self.agent.counters
         view = member.view
@@ -220,16 +222,16 @@
         self.agent.drain()
 
     def close(self) -> None:
-        """Flush the last rows; what has not been transferred runs out by itself."""
+        """Flush the last rows and stop. Shards that were not transferred become free when the lease expires."""
         self._closed.set()
         self._reporter.join(FINAL_FLUSH_TIMEOUT_S)
         self.agent.join(FINAL_JOIN_TIMEOUT_S)
         self.agent.stop()
 
     # ---- Events
-    def _log_event(self, kind: str, facts: Mapping[str, Any]) -> None:
+    def _log_event(self, kind: str, fields: Mapping[str, Any]) -> None:
         if kind != NoticeKind.EFFECT_ACKNOWLEDGED.value:
-            self._log(json.dumps({"ownership": kind, "start": self.incarnation, **facts}))
+            self._log(json.dumps({"ownership": kind, "start": self.incarnation, **fields}))
 
     # ---- The reporter's thread
     def _run_reporter(self) -> None:
@@ -250,7 +252,7 @@
             self._log_event(NoticeKind.FAILED.value, {"why": str(error)})
 
     def _shed_if_overloaded(self) -> None:
-        """Shed a shard while the server has long rejected much of what comes, or read late."""
+        """Shed one shard if the server has been overloaded for the configured time."""
         detector = self._overload
         driver = self.agent.driver
         if detector is None or self._draining:
@@ -277,6 +279,6 @@
         permit = self._restarts.report(self._reporter_store, ready)
         if permit is not None:
             self._log_event(NoticeKind.RESTARTING.value, {"token": permit.token})
-            # The reporter goes on to the end: the server still serves while it drains.
+            # The reporter runs on until ``close``: the server still serves while it drains.
             self._draining = True
             self._terminate()
--- a/lapishaven/ownership/placement.py
+++ b/lapishaven/ownership/placement.py
@@ -1,9 +1,8 @@
 """Which member should own which shard: rendezvous hashing with bounded load and few moves. Pure.
 
-Every member computes the same placement from the same view. A shard stays where it is while its owner is alive, serves
-and is not over its bound; only shards without an owner are placed anew, each at the first member in its own order
-(highest hash) that has capacity. A member under its fair share then takes shards from the fullest, no more than it
-lacks.
+Every member computes the same placement from the same view. A shard stays with its owner while that is alive, serving
+and within its load bound. A shard without an owner goes to the member with the highest score for it among those with
+capacity. A member under its fair share then takes the shards that it lacks from the most loaded members.
 
 Sources: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998 (rendezvous hashing); Mirrokni,
 Thorup and Zadimoghaddam, "Consistent hashing with bounded loads", 2016.
@@ -20,7 +19,7 @@
 
 from lapishaven.ownership.model import Shard
 
-LOAD_BOUND = 1.25  # factor of the mean: no member is given more
+LOAD_BOUND = 1.25  # a member owns at most this multiple of the mean
 _HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 divided by the golden ratio (Fibonacci hashing)
 _HASH_MASK = (1 << 64) - 1
 
@@ -39,10 +38,11 @@
 
 
 def rendezvous_score(shard: Shard, candidate: Candidate) -> float:
-    """The member's rank in the shard's order, the highest first.
+    """The score of a member for a shard; the highest is preferred.
 
-    Members whose weights are all 1, or all not, rank first in proportion to their weights. Weight 1 ranks by ``u``, and
-    not by the ``1 + ln u / w`` of other weights: among mixed weights it comes first more often than in proportion.
+    If all weights are 1, or none is, each member is preferred in proportion to its weight. Weight 1 is scored by ``u``
+    and other weights by ``1 + ln u / w``, so among mixed weights a member of weight 1 is preferred more often than in
+    proportion.
     """
     duty, number = shard
     bits = (_hash(f"{duty}/{number}") ^ _hash(candidate.name)) * _HASH_MULTIPLIER & _HASH_MASK
@@ -52,36 +52,36 @@
 
 
 def max_shards(shard_count: int, candidate: Candidate, total_weight: float, load_bound: float = LOAD_BOUND) -> int:
-    """Shards that a member may own at most; together the members always have capacity for all."""
+    """Most shards that a member may own; together the members always have capacity for all."""
     mean = shard_count * candidate.weight / total_weight
     return max(math.ceil(mean), math.floor(load_bound * mean))
 
 
 @dataclass(slots=True)
 class _Plan:
-    """A placement in the making."""
+    """A placement under construction."""
 
     candidates: Mapping[str, Candidate]
     fair_counts: Mapping[str, float]
     owned: dict[str, list[Shard]]
 
     def assign(self, shards: Sequence[Shard]) -> None:
-        """Give each shard to the first member in its own order of those that lack work, and then of those that have
-        capacity."""
-        lacking = {name for name in self.owned if len(self.owned[name]) < math.floor(self.fair_counts[name])}
+        """Give each shard to the member with the highest score, first among the members under their fair share (rounded
+        down), then among those with capacity."""
+        below_fair_share = {name for name in self.owned if len(self.owned[name]) < math.floor(self.fair_counts[name])}
         with_capacity = {name for name in self.owned if len(self.owned[name]) < math.ceil(self.fair_counts[name])}
         for shard in shards:
-            best = max(lacking or with_capacity, key=lambda name: (self._score(shard, name), name))
+            best = max(below_fair_share or with_capacity, key=lambda name: (self._score(shard, name), name))
             self.owned[best].append(shard)
             if len(self.owned[best]) >= math.floor(self.fair_counts[best]):
-                lacking.discard(best)
+                below_fair_share.discard(best)
             if len(self.owned[best]) >= math.ceil(self.fair_counts[best]):
                 with_capacity.discard(best)
 
     def rebalance(self) -> None:
-        """Members under their fair share take shards from those that are furthest over it, until they have it."""
-        lacking = [name for name in self.owned if len(self.owned[name]) < math.floor(self.fair_counts[name])]
-        for name in sorted(lacking, key=lambda name: (self._excess(name), name)):
+        """Move shards to the members under their fair share from those that exceed theirs the most."""
+        below_fair_share = [name for name in self.owned if len(self.owned[name]) < math.floor(self.fair_counts[name])]
+        for name in sorted(below_fair_share, key=lambda name: (self._excess(name), name)):
             while len(self.owned[name]) < math.floor(self.fair_counts[name]):
                 fullest = max(self.fair_counts, key=lambda other: (self._excess(other), other))
                 if len(self.owned[fullest]) <= self.fair_counts[fullest]:
@@ -91,7 +91,7 @@
                 self.owned[name].append(taken)
 
     def take_over_bound(self, name: str, bound: int) -> list[Shard]:
-        """Take from a member what it has over ``bound``: the shards that rank it lowest."""
+        """Remove from a member the shards beyond ``bound``, those for which it scores lowest; returns them."""
         shards = self.owned[name]
         excess = len(shards) - bound
         if excess <= 0:
@@ -116,8 +116,8 @@
 ) -> dict[Shard, str]:
     """The owner of every shard, by name; empty without candidates.
 
-    ``current`` has the present owners; those that are not candidates do not count. What has to move goes to members
-    that lack work, so that nothing moves twice.
+    ``current`` holds the present owners; owners that are not candidates are ignored. Shards that have to move go to
+    members under their fair share, so that none moves twice.
     """
     if not candidates:
         return {}
@@ -154,5 +154,5 @@
 def cached_placement(
     shards: tuple[Shard, ...], candidates: Sequence[Candidate], current: Mapping[Shard, str]
 ) -> Mapping[Shard, str]:
-    """``compute_placement``, cached by its arguments: a view is read several times before it changes."""
+    """``compute_placement``, cached by its arguments: the same view is evaluated several times."""
     return _placement(shards, tuple(candidates), frozenset(current.items()))
--- a/lapishaven/ownership/quota.py
+++ b/lapishaven/ownership/quota.py
@@ -1,4 +1,5 @@
-"""This server's quota of the contracts: token buckets on the event path, refilled by grants in the background."""
+"""This server's quota of each contract: token buckets for the event path, whose rates come from grants that a
+background thread reads."""
 
 from __future__ import annotations
 
@@ -13,8 +14,8 @@
 from lapishaven.ownership.model import Clock
 from lapishaven.ownership.settings import BudgetSettings
 
-BURST_S = 1.0  # seconds of a grant that may be saved up
-NOT_GRANTED_HERE = -1.0  # ``take``: the contract is not under quota grants
+BURST_S = 1.0  # bucket depth in seconds of the granted rate
+NOT_GRANTED_HERE = -1.0  # result of ``take`` for a contract that is not under quota grants
 
 
 class _Demand(NamedTuple):
@@ -30,13 +31,13 @@
 
 
 def contract_name(contract: Contract, classes: Sequence[str]) -> str:
-    """The contract's name in the store: the same on all servers, whose class numbers may differ."""
+    """The contract's name in the store, the same on all servers although their class indexes may differ."""
     class_name = classes[contract.class_index] if contract.class_index < len(classes) else str(contract.class_index)
     return f"{contract.team}/{contract.service}/{class_name}"
 
 
 class QuotaClient:
-    """Takes tokens of granted quota, and exchanges demand for grants. ``take`` never waits for the store."""
+    """Takes tokens of granted quota, reports demand and reads grants. ``take`` never waits for the store."""
 
     def __init__(
         self,
@@ -56,11 +57,11 @@
         self._span = settings.span
         self._classes = classes
         self._clock = clock
-        self._lock = threading.Lock()  # of the buckets; held for moments only
+        self._lock = threading.Lock()  # protects the buckets; never held during a call to the store
         self._exchanges = 0
 
     def take(self, contract: Contract) -> float:
-        """Take a token: 0 if there is one, else the seconds until there might be; ``NOT_GRANTED_HERE``."""
+        """Take a token: returns 0 if one was available, else the seconds until one may be, or ``NOT_GRANTED_HERE``."""
         bucket = self.buckets.get(contract_name(contract, self._classes))
         if bucket is None:
             return NOT_GRANTED_HERE
@@ -68,12 +69,12 @@
             return bucket.take(self._clock.now()) or 0.0
 
     def exchange(self, store: FencedStore) -> None:
-        """Report the demand and take over the grants. Raises ``FencedStoreError``."""
+        """Report the demand and adopt the granted rates. Raises ``FencedStoreError``."""
         if not self.buckets:
             return
         asked_at = self._clock.now()
         self._exchanges += 1
-        # Grows with each report, also over restarts, so that the owner can tell dead members from living ones.
+        # Increases with each report, also across restarts, so that the owner can tell dead members from live ones.
         report_count = self._exchanges + int(asked_at * 1000)
         with self._lock:
             demands = {
@@ -81,12 +82,20 @@
                 for name, bucket in self.buckets.items()
             }
 
-        def report_and_read(base: sqlite3.Connection) -> list[_Grant]:
+        def report_and_read(connection: sqlite3.Connection) -> list[_Grant]:
             for name, demand in demands.items():
                 budgets.report_demand(
-                    base, name, self._member, demand.requests_per_s, report_count, demand.round, demand.overflow_rate
+                    connection,
+                    name,
+                    self._member,
+                    demand.requests_per_s,
+                    report_count,
+                    demand.round,
+                    demand.overflow_rate,
                 )
-            rows = base.execute("select contract, rate, round from budget_grant where member = ?", (self._member,))
+            rows = connection.execute(
+                "select contract, rate, round from budget_grant where member = ?", (self._member,)
+            )
             return [_Grant(*row) for row in rows.fetchall()]
 
         grants: list[_Grant] = store.write(report_and_read)
--- a/lapishaven/ownership/receiver.py
+++ b/lapishaven/ownership/receiver.py
@@ -1,7 +1,8 @@
-"""The receiver of effects over TCP, for members that do not share its file: JSON lines, one request, one answer.
+"""A receiver of effects over TCP, for members that do not share its file. JSON lines, one answer per request.
 
-A member that is stopped within a call then holds no lock of the file. ``serve_receiver`` answers for a ``FencedStore``;
-``RemoteReceiver`` is the member's side, which knows of a lost answer only that there was none.
+Unlike with a shared file, a member that is stopped within a call holds no lock of the file. ``serve_receiver`` is the
+server in front of a ``FencedStore``; ``RemoteReceiver`` is the client, which cannot tell whether an unanswered request
+was applied.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from lapishaven.ownership.fence import EffectRequest, Verdict
 from lapishaven.ownership.fenced_store import Admission, FencedStore, FencedStoreError
 
-MAX_LINE_BYTES = 64 * 1024  # of one request or answer
+MAX_LINE_BYTES = 64 * 1024  # longest request or answer
 LISTEN_BACKLOG = 512
 DEFAULT_TIMEOUT_S = 1.0
 
@@ -28,20 +29,20 @@
 
 
 def serve_receiver(host: str, port: int, store: FencedStore) -> tuple[socketserver.ThreadingTCPServer, int]:
-    """Answer requests at an address, on threads; gives the server, to be shut down, and its port."""
+    """Serve a store at an address, on background threads; returns the server, for its shutdown, and its port."""
     lock = threading.Lock()
 
     class Handler(socketserver.StreamRequestHandler):
-        """One connection."""
+        """Handles one connection."""
 
         disable_nagle_algorithm = True
 
         def handle(self) -> None:
-            """Answer requests until the connection ends."""
+            """Answer requests until the connection is closed."""
             with suppress(OSError):
                 while line := self.rfile.readline(MAX_LINE_BYTES):
                     if not line.endswith(b"\n"):
-                        return  # cut off within a request, or too long: not done
+                        return  # truncated or too long: not applied
                     with lock:
                         answer = _answer_request(store, line)
                     self.wfile.write(json.dumps(answer).encode() + b"\n")
@@ -94,17 +95,16 @@
 
 
 class RemoteReceiver:
-    """A receiver at an address. ``timeout`` in seconds for each request; one without an answer in it may still be
-    applied."""
+    """Client of a receiver at an address. A request that is not answered within ``timeout_s`` may still be applied."""
 
-    def __init__(self, host: str, port: int, timeout: float = DEFAULT_TIMEOUT_S) -> None:
+    def __init__(self, host: str, port: int, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
         self._address = host, port
-        self._timeout = timeout
+        self._timeout_s = timeout_s
         self._socket: socket.socket | None = None
-        self._answers: Any = None  # the socket's lines
+        self._answers: Any = None  # buffered reader of the socket
 
     def admit(self, request: EffectRequest, effect: str, detail: Any) -> Admission:
-        """Send a request and wait for its answer. Raises ``FencedStoreError`` if it failed or got none."""
+        """Send a request and wait for its answer. Raises ``FencedStoreError`` if it failed or was not answered."""
         line = _encode_request(request, effect, detail)
         try:
             if self._socket is None:
@@ -112,13 +112,16 @@
             answer = json.loads(self._exchange(line))
         except (OSError, ValueError) as error:
             self.close()
-            raise FencedStoreError(f"no answer: {error}") from None
+            raise FencedStoreError(
+                f"no answer from the receiver {self._address[0]}:{self._address[1]},"
+                f" effect {effect!r:.80} may have been applied: {error}"
+            ) from None
         if "error" in answer:
             raise FencedStoreError(answer["error"])
         return Admission(Verdict(answer["verdict"]), answer["token"], answer["held"], answer["answer"])
 
     def _connect(self) -> None:
-        self._socket = socket.create_connection(self._address, self._timeout)
+        self._socket = socket.create_connection(self._address, self._timeout_s)
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._answers = self._socket.makefile("rb")
 
@@ -127,7 +130,7 @@
         self._socket.sendall(line)
         answer: bytes = self._answers.readline(MAX_LINE_BYTES)
         if not answer.endswith(b"\n"):
-            raise OSError("the connection ended")
+            raise OSError(f"answer truncated after {len(answer)} bytes (limit {MAX_LINE_BYTES})")
         return answer
 
     def close(self) -> None:
--- a/lapishaven/ownership/restart_reporter.py
+++ b/lapishaven/ownership/restart_reporter.py
@@ -1,4 +1,4 @@
-"""Reports this server to rolling restarts, and takes the permit to restart."""
+"""Reports this server's readiness to rolling restarts, and receives its permit to restart."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RestartReporter:
-    """``obeys``: whether this process leaves when permitted; ``supervised``: whether what started it sees to that."""
+    """``obeys``: whether this process shuts down when permitted. ``supervised``: whether its supervisor restarts it."""
 
     def __init__(self, member: str, incarnation: str, obeys: bool, supervised: bool) -> None:
         self._member = member
@@ -28,11 +28,11 @@
         self._guard = restart.PermitGuard()
 
     def report(self, store: FencedStore, ready: bool) -> Permit | None:
-        """Report whether this server is ready; gives a permit that it is to obey now. Raises ``FencedStoreError``."""
+        """Report whether this server is ready; returns a permit to obey now, if any. Raises ``FencedStoreError``."""
 
-        def report_and_read(base: sqlite3.Connection) -> list[Permit]:
-            restart.report_member(base, self._member, self._incarnation, ready, self._obeys or self._supervised)
-            rows = base.execute(
+        def report_and_read(connection: sqlite3.Connection) -> list[Permit]:
+            restart.report_member(connection, self._member, self._incarnation, ready, self._obeys or self._supervised)
+            rows = connection.execute(
                 "select token, start from restart_member where name = ? and state = 'permitted'", (self._member,)
             )
             return [Permit(*row) for row in rows.fetchall()]
@@ -41,7 +41,7 @@
         if not ready or not self._obeys:
             return None
         for permit in permits:
-            # A permit names the incarnation that is to be followed by another: the new process has nothing to obey.
+            # A permit names the incarnation to be replaced, so it does not apply to the process that replaced it.
             if permit.incarnation == self._incarnation and self._guard.accept(permit.token):
                 return permit
         return None
--- a/lapishaven/ownership/verify.py
+++ b/lapishaven/ownership/verify.py
@@ -1,4 +1,4 @@
-"""What must hold in a receiver's store, whatever happened. Pure; each check gives the first violation in words."""
+"""Invariants of a receiver's store. Pure; each check returns a description of the first violation, or None."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from lapishaven.ownership.fence import HighWaterMark
 from lapishaven.ownership.model import Shard
 
-NO_STATEMENT = -1  # the period of consumption that no statement has taken in yet
+NO_STATEMENT = -1  # period of consumption that is in no statement yet
 
 
 @dataclass(frozen=True, slots=True)
 class EffectRow:
-    """One effect in the receiver's log. Rows are in the order in which the effects were applied."""
+    """One effect in the receiver's log, whose rows are in the order of application."""
 
     shard: Shard
     token: int
@@ -23,38 +23,41 @@
 
 
 class ConsumptionTotal(NamedTuple):
-    """Consumption of a team in one row, or in one statement."""
+    """Consumption of a team in one row or one statement."""
 
     team: str
     period: int
-    """Of the statement that takes it in; ``NO_STATEMENT`` if there is none yet."""
+    """Period of the statement that includes it; ``NO_STATEMENT`` if none does yet."""
     request_count: int
     weight: int
     """Priority weight, in thousandths."""
 
 
 def find_interleaved(rows: Iterable[EffectRow]) -> str | None:
-    """An effect of an older owner after one of a newer owner."""
+    """Find an effect of an older owner that was applied after one of a newer owner."""
     highest: dict[Shard, int] = {}
     for row in rows:
         if row.token < highest.get(row.shard, 0):
-            return f"{row.shard}: an effect of token {row.token} after one of {highest[row.shard]}"
+            return f"{row.shard}: an effect of token {row.token} was applied after one of token {highest[row.shard]}"
         highest[row.shard] = row.token
     return None
 
 
 def find_duplicate(rows: Iterable[EffectRow]) -> str | None:
-    """The same effect twice, or one before an earlier one of the same owner."""
+    """Find an effect that was applied twice, or out of order within its token."""
     last: dict[tuple[Shard, int], int] = {}
     for row in rows:
         if row.number <= last.get((row.shard, row.token), 0):
-            return f"{row.shard}: act {row.number} of token {row.token} took effect twice"
+            return (
+                f"{row.shard}: effect {row.number} of token {row.token} was applied twice or out of order,"
+                f" after effect {last[row.shard, row.token]}"
+            )
         last[row.shard, row.token] = row.number
     return None
 
 
 def find_mark_mismatch(rows: Sequence[EffectRow], marks: Mapping[Shard, HighWaterMark]) -> str | None:
-    """A high-water mark that is not what the effects make it."""
+    """Find a high-water mark that does not match the logged effects."""
     counts = Counter(row.shard for row in rows)
     last = {row.shard: row for row in rows}
     for shard in sorted(counts.keys() | marks.keys()):
@@ -62,19 +65,19 @@
         row = last.get(shard)
         expected = HighWaterMark(row.token, row.number, counts[shard]) if row is not None else HighWaterMark()
         if mark != expected:
-            return f"{shard}: the mark says {_mark_text(mark)}, the effects say {_mark_text(expected)}"
+            return f"{shard}: the stored mark is {_mark_text(mark)}, the logged effects give {_mark_text(expected)}"
     return None
 
 
 def _mark_text(mark: HighWaterMark) -> str:
-    """The mark as operators have always seen it printed."""
+    """The mark in the output format of ``ownership verify``, which keeps the names of the stored columns."""
     return f"Mark(token={mark.token}, number={mark.number}, held={mark.effect_count})"
 
 
 def find_statement_mismatch(
     consumption: Iterable[ConsumptionTotal], statements: Iterable[ConsumptionTotal]
 ) -> str | None:
-    """A statement that is not the sum of the rows that it took in."""
+    """Find a statement that is not the sum of the rows that it includes."""
     expected: dict[tuple[str, int], tuple[int, int]] = {}
     for row in consumption:
         if row.period >= 0:
@@ -86,7 +89,7 @@
     for key in sorted(expected.keys() | found.keys()):
         if expected.get(key) != found.get(key):
             team, period = key
-            sums = f"rows sum to {expected.get(key)}, its statement says {found.get(key)}"
+            sums = f"rows sum to (count, weight) {expected.get(key)}, the statement has {found.get(key)}"
             return f"team {team!r}, period {period}: {sums}"
     return None
 
@@ -97,7 +100,7 @@
     consumption: Iterable[ConsumptionTotal],
     statements: Iterable[ConsumptionTotal],
 ) -> str | None:
-    """The first thing in a store that does not hold; None if all does."""
+    """Run all checks; returns the first violation, None without one."""
     return (
         find_interleaved(rows)
         or find_duplicate(rows)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -109,7 +109,7 @@
     base = sqlite3.connect(tmp_path / "b")
     base.execute("pragma user_version = 99")
     base.close()
-    with pytest.raises(FencedStoreError, match="newer"):
+    with pytest.raises(FencedStoreError, match="schema version 99 is newer than 1"):
         FencedStore(str(tmp_path / "b"), DUTY_SCHEMAS)
 
 
@@ -466,14 +466,22 @@
     [
         ("ttl_s = 3.0", "ttl_s = 0", "lease.ttl_s is 0"),
         ("margin_s = 0.3", "margin_s = 2", "lease.margin_s is 2"),
-        ("[restart]", "[restarts]", "unknown table restarts"),
-        ("obey = false", "obey = 1", "none of true, false"),
+        ("[restart]", "[restarts]", "unknown table 'restarts', expected one of coordinator, receiver"),
+        ("obey = false", "obey = 1", 'restart.obey is 1, not true, false or "supervisor"'),
         ("shards = 16", "shards = 2000", "periods.shards is 2000"),
-        ("span_s = 6.0", "", "budgets lacks span_s"),
-        ("span_s = 6.0", "span_s = 4.0", "under twice lease.ttl_s"),
-        ('file = "/var/lib/lapishaven/book.db"', 'file = "book.db"', "receiver.file is no path"),
-        ('file = "/var/lib/lapishaven/book.db"', 'address = "127.0.0.1:1"', "receiver lacks file"),
-        ('file = "/var/lib/lapishaven/ownership.db"', 'address = "nowhere"', "coordinator.address is not HOST:PORT"),
+        ("span_s = 6.0", "", "required key budgets.span_s is missing"),
+        ("span_s = 6.0", "span_s = 4.0", "budgets.span_s is 4, under twice lease.ttl_s"),
+        (
+            'file = "/var/lib/lapishaven/book.db"',
+            'file = "book.db"',
+            "receiver.file is 'book.db', not an absolute path",
+        ),
+        ('file = "/var/lib/lapishaven/book.db"', 'address = "127.0.0.1:1"', "required key receiver.file is missing"),
+        (
+            'file = "/var/lib/lapishaven/ownership.db"',
+            'address = "nowhere"',
+            "coordinator.address is 'nowhere', not HOST:PORT",
+        ),
     ],
 )
 def test_a_wrong_setting_is_one_plain_line(tmp_path: Path, old: str, new: str, words: str) -> None:
--- a/tests/test_ownership_budgets.py
+++ b/tests/test_ownership_budgets.py
@@ -80,7 +80,7 @@
         bound = RATE * (1.0 + FALLBACK + budgets.MAX_OVERFLOW_SHARE)
         for begin in range(int(ran[-1] - started) - 4):  # over any 4 s, beside what purses may hold
             count = sum(started + begin <= at < started + begin + 4.0 for at in ran)
-            assert count <= 4.0 * bound + budgets.MIN_BUCKET_DEPTH * MEMBERS, begin
+            assert count <= 4.0 * bound + budgets.MIN_BUCKET_TOKENS * MEMBERS, begin
         used = sum(killed - 4.0 <= at < killed for at in ran) / (4.0 * RATE)
         assert used >= 0.88, used  # even parts would give 0.83
         after = sum(at >= ran[-1] - 3.0 for at in ran) / (3.0 * RATE)
--- a/tests/test_ownership_serve.py
+++ b/tests/test_ownership_serve.py
@@ -285,4 +285,6 @@
     path = tmp_path / "o.toml"
     path.write_text("[coordinator]\n")
     done = ownership(path, "status")
-    assert done.returncode == 2 and done.stderr.count("\n") == 1 and "there is no [receiver]" in done.stderr
+    assert (
+        done.returncode == 2 and done.stderr.count("\n") == 1 and "required table [receiver] is missing" in done.stderr
+    )
