--- a/tests/test_ownership_budgets.py
+++ b/tests/test_ownership_budgets.py
@@ -1,4 +1,4 @@
-"""A contract's rate dealt to real match servers, with callers on the uwsgi front and the dealer killed under load."""
+"""Quota grants on real match servers with callers on the uwsgi front; the owner of the duty is killed under load."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from lapishaven.ownership.fenced_store import FencedStore
 from lapishaven.ownership.participant import DUTY_SCHEMAS
 
-RATE, FALLBACK, MEMBERS = 60.0, 0.1, 3
-PARTY = {"HTTP_X_TEAM": "t", "HTTP_X_SERVICE": "s"}
+RATE, FALLBACK, MEMBERS = 60.0, 0.1, 3  # RATE in requests a second
+CALLER_PARAMS = {"HTTP_X_TEAM": "t", "HTTP_X_SERVICE": "s"}
 
 
-def files(folder: Path) -> list[str]:
+def write_files(folder: Path) -> list[str]:
     (folder / "contracts.toml").write_text(
         f'[[contract]]\nteam = "t"\nservice = "s"\nclass = "fuzzy-match"\ndeadline_s = 3.0\nroute = "interpreter"\n'
         f"rate = {RATE}\nburst = {RATE}\n"
@@ -32,60 +32,60 @@
 
 
 def owner(folder: Path) -> tuple[str, int] | None:
-    with closing(sqlite3.connect(folder / "lease.db", timeout=5.0)) as base, suppress(sqlite3.OperationalError):
-        found = base.execute(
+    with closing(sqlite3.connect(folder / "lease.db", timeout=5.0)) as connection, suppress(sqlite3.OperationalError):
+        row = connection.execute(
             "select name, token from owner o join session s on s.id = o.session where duty = 'budgets'"
         ).fetchone()
-        return found if found is None else (found[0], found[1])
+        return row if row is None else (row[0], row[1])
     return None
 
 
-def test_servers_spend_one_contract_together_by_need_and_over_their_dealers_death(tmp_path: Path) -> None:
-    """Guards the contract on real servers: each counting for itself grants the busy one the whole rate and the others
-    theirs beside it (1.5 times in this load). And guards its use: the busy one must get what the others do not need."""
-    with Field() as field, Tier(field, 0, [1.0] * MEMBERS, slots=8, scale=0.02, words=files(tmp_path)) as tier:
+def test_servers_share_one_contract_by_demand_also_after_the_quota_owner_is_killed(tmp_path: Path) -> None:
+    """Servers that each count for themselves serve more than the contract's rate (1.5 times in this load). Even shares
+    would leave the contract unused: the busy server must get what the others do not need."""
+    with Field() as field, Tier(field, 0, [1.0] * MEMBERS, slots=8, scale=0.02, words=write_files(tmp_path)) as tier:
 
-        async def work() -> tuple[list[Call], float, float]:
+        async def run_load() -> tuple[list[Call], float, float]:
             loop = asyncio.get_running_loop()
             while (first := owner(tmp_path)) is None:
                 await asyncio.sleep(0.02)
             busy, idle = [name for name in tier.backs if name != first[0]]
             rates = {busy: 90.0, idle: 15.0, first[0]: 15.0}
             calls: list[asyncio.Task[Call]] = []
-            over = asyncio.Event()
+            finished = asyncio.Event()
 
             async def load(name: str, rate: float) -> None:
-                due = loop.time()
-                while not over.is_set():
-                    calls.append(asyncio.create_task(tier.call(name, "fuzzy-match", b"x", due, more=PARTY)))
-                    due += 1.0 / rate
-                    await asyncio.sleep(max(0.0, due - loop.time()))
+                send_at = loop.time()
+                while not finished.is_set():
+                    calls.append(asyncio.create_task(tier.call(name, "fuzzy-match", b"x", send_at, more=CALLER_PARAMS)))
+                    send_at += 1.0 / rate
+                    await asyncio.sleep(max(0.0, send_at - loop.time()))
 
             loads = {name: asyncio.create_task(load(name, rate)) for name, rate in rates.items()}
             started = loop.time()
-            await asyncio.sleep(10.0)  # of load, in which grants come to fit the needs
+            await asyncio.sleep(10.0)  # until the grants follow the demands
             killed = loop.time()
             field.kill(first[0])
             loads[first[0]].cancel()
-            while (heir := owner(tmp_path)) is None or heir[1] == first[1]:
+            while (successor := owner(tmp_path)) is None or successor[1] == first[1]:
                 await asyncio.sleep(0.02)
-            assert heir[0] != first[0]
+            assert successor[0] != first[0]
             await asyncio.sleep(10.0)
-            over.set()
+            finished.set()
             return list(await asyncio.gather(*calls)), started, killed
 
-        calls, started, killed = asyncio.run(work())
+        calls, started, killed = asyncio.run(run_load())
         assert {call.status for call in calls if call.at < killed - 0.5} == {200, 503}
-        ran = sorted(call.at for call in calls if call.status == 200)
+        served_at = sorted(call.at for call in calls if call.status == 200)
         bound = RATE * (1.0 + FALLBACK + budgets.MAX_OVERFLOW_SHARE)
-        for begin in range(int(ran[-1] - started) - 4):  # over any 4 s, beside what purses may hold
-            count = sum(started + begin <= at < started + begin + 4.0 for at in ran)
+        for begin in range(int(served_at[-1] - started) - 4):  # any 4 s, plus what full buckets may add
+            count = sum(started + begin <= at < started + begin + 4.0 for at in served_at)
             assert count <= 4.0 * bound + budgets.MIN_BUCKET_TOKENS * MEMBERS, begin
-        used = sum(killed - 4.0 <= at < killed for at in ran) / (4.0 * RATE)
-        assert used >= 0.88, used  # even parts would give 0.83
-        after = sum(at >= ran[-1] - 3.0 for at in ran) / (3.0 * RATE)
-        assert after >= 0.88, after  # an heir deals on, and what the dead had is dealt again
-    book = FencedStore(str(tmp_path / "book.db"), DUTY_SCHEMAS)
-    assert find_store_violation(book) is None
-    assert book.read("select count(distinct token) from fence_log where duty = 'budgets'")[0][0] >= 2
-    book.close()
+        used = sum(killed - 4.0 <= at < killed for at in served_at) / (4.0 * RATE)
+        assert used >= 0.88, used  # even shares would give 0.83
+        after = sum(at >= served_at[-1] - 3.0 for at in served_at) / (3.0 * RATE)
+        assert after >= 0.88, after  # the new owner goes on granting, also the dead server's share
+    store = FencedStore(str(tmp_path / "book.db"), DUTY_SCHEMAS)
+    assert find_store_violation(store) is None
+    assert store.read("select count(distinct token) from fence_log where duty = 'budgets'")[0][0] >= 2
+    store.close()
--- a/tests/test_ownership_serve.py
+++ b/tests/test_ownership_serve.py
@@ -1,4 +1,4 @@
-"""Duties on real match servers: periods closed over a kill, a rolling restart; what operators see of it."""
+"""Duties on real match servers: closing of periods across a kill, rolling restarts, shedding; operators' commands."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def settings(folder: Path, obey: bool) -> Path:
+def write_settings(folder: Path, obey: bool) -> Path:
     path = folder / "ownership.toml"
     path.write_text(
         f'[coordinator]\nfile = "{folder}/lease.db"\n[receiver]\nfile = "{folder}/book.db"\n'
@@ -43,28 +43,28 @@
     return path
 
 
-def rows(folder: Path, query: str) -> list[tuple[Any, ...]]:
-    with closing(sqlite3.connect(folder / "book.db", timeout=5.0)) as base:
-        return base.execute(query).fetchall()
+def query_store(folder: Path, query: str) -> list[tuple[Any, ...]]:
+    with closing(sqlite3.connect(folder / "book.db", timeout=5.0)) as connection:
+        return connection.execute(query).fetchall()
 
 
-async def until(what: str, found: Callable[[], Any], timeout: float = 30.0) -> Any:
-    """Wait for something in files that other processes write."""
+async def wait_for(description: str, condition: Callable[[], Any], timeout_s: float = 30.0) -> Any:
+    """Poll a condition on files that other processes write; returns its first true result."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + timeout
-    while not (result := found()):
-        assert loop.time() < end, f"no {what} within {timeout:g} s"
+    deadline = loop.time() + timeout_s
+    while not (result := condition()):
+        assert loop.time() < deadline, f"no {description} within {timeout_s:g} s"
         await asyncio.sleep(0.02)
     return result
 
 
-def run(work: Coroutine[Any, Any, None]) -> None:
-    asyncio.run(asyncio.wait_for(work, 90.0))
+def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
+    asyncio.run(asyncio.wait_for(scenario, 90.0))
 
 
-def ownership(path: Path, *words: str) -> subprocess.CompletedProcess[str]:
+def run_ownership(path: Path, *arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "lapishaven", "ownership", *words, "--file", str(path)],
+        [sys.executable, "-m", "lapishaven", "ownership", *arguments, "--file", str(path)],
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -72,95 +72,101 @@
     )
 
 
-def test_periods_are_closed_once_over_the_kill_of_their_owner(tmp_path: Path) -> None:
-    """Guards billing on real servers: nothing is in two statements, and only a kill's last moment may be lost."""
+def test_periods_are_closed_once_when_their_owner_is_killed(tmp_path: Path) -> None:
+    """No consumption may be in two statements, and a kill may lose only what the killed server had not flushed."""
 
-    async def work() -> None:
-        path = settings(tmp_path, False)
+    async def scenario() -> None:
+        path = write_settings(tmp_path, False)
         async with Fleet(3, 11, extra=["--ownership", str(path)]) as fleet:
             await fleet.ready()
-            where = "{}:{}".format(*fleet.catalog.address)
-            async with Client(client_settings(str(ROOT / "deploy/client.toml"), catalog=where, servers=())) as client:
+            catalog_address = "{}:{}".format(*fleet.catalog.address)
+            async with Client(
+                client_settings(str(ROOT / "deploy/client.toml"), catalog=catalog_address, servers=())
+            ) as client:
                 served: Counter[bool] = Counter()
 
-                async def calls(count: int) -> None:
-                    all_calls = (client.outcome("fuzzy-match", b"%d" % n) for n in range(count))
-                    for found in await asyncio.gather(*all_calls):
-                        served[isinstance(found, Served)] += 1
+                async def send_calls(count: int) -> None:
+                    outcomes = (client.outcome("fuzzy-match", b"%d" % n) for n in range(count))
+                    for outcome in await asyncio.gather(*outcomes):
+                        served[isinstance(outcome, Served)] += 1
 
-                await calls(40)
-                await until("statement", lambda: rows(tmp_path, "select 1 from statement"))
-                owner = rows(tmp_path, "select duty, shard, token from fence_log order by position desc limit 1")
-                with closing(sqlite3.connect(tmp_path / "lease.db")) as base:
-                    (name,) = base.execute(
+                await send_calls(40)
+                await wait_for("statement", lambda: query_store(tmp_path, "select 1 from statement"))
+                owner = query_store(tmp_path, "select duty, shard, token from fence_log order by position desc limit 1")
+                with closing(sqlite3.connect(tmp_path / "lease.db")) as connection:
+                    (name,) = connection.execute(
                         "select name from session s join owner o on o.session = s.id" " where duty = 'periods' limit 1"
                     ).fetchone()
                 assert owner
-                await calls(20)
+                await send_calls(20)
                 fleet.kill(name, 0.5)
-                await calls(40)
-                await until(
+                await send_calls(40)
+                await wait_for(
                     "all rows in statements",
-                    lambda: rows(
+                    lambda: query_store(
                         tmp_path,
                         "select 1 where (select sum(count) from consumption) = (select sum(count) from statement)"
                         " and (select count(distinct server) from consumption) > 1",
                     ),
                 )
-                await until(
+                await wait_for(
                     "what was served",
-                    lambda: rows(tmp_path, f"select 1 where (select sum(count) from statement) >= {served[True] - 20}"),
+                    lambda: query_store(
+                        tmp_path, f"select 1 where (select sum(count) from statement) >= {served[True] - 20}"
+                    ),
                 )
-        (billed,) = rows(tmp_path, "select sum(count) from statement")[0]
+        (billed,) = query_store(tmp_path, "select sum(count) from statement")[0]
         assert served[True] - 20 <= billed <= served[True] + served[False]
-        assert ownership(path, "verify").returncode == 0
+        assert run_ownership(path, "verify").returncode == 0
         assert not fleet.crashes
-        rows_there = ownership(path, "history", "periods", "--last", "5")
-        assert rows_there.returncode == 0 and rows_there.stdout.count("close") == 5
+        history = run_ownership(path, "history", "periods", "--last", "5")
+        assert history.returncode == 0 and history.stdout.count("close") == 5
 
-    run(work())
+    run_scenario(scenario())
 
 
-def test_a_rolling_restart_replaces_each_member_once_and_one_at_a_time(tmp_path: Path) -> None:
-    """Guards capacity: two members away at once, or one restarted twice, on real servers that drain and come back."""
+def test_a_rolling_restart_restarts_each_member_once_and_one_at_a_time(tmp_path: Path) -> None:
+    """On real servers that drain and come back, two members must not be down at once, and none be restarted twice."""
 
-    async def work() -> None:
-        path = settings(tmp_path, True)
+    async def scenario() -> None:
+        path = write_settings(tmp_path, True)
         async with Fleet(3, 12, extra=["--ownership", str(path)], keep=True) as fleet:
             await fleet.ready()
-            await until("reports", lambda: len(rows(tmp_path, "select 1 from restart_report where ready")) == 3)
-            await until("members", lambda: ownership(path, "members").stdout.count("serving") == 3)
-            assert ownership(path, "restart", "r1", "--at-once", "1").returncode == 0
-            await until(
+            await wait_for(
+                "reports", lambda: len(query_store(tmp_path, "select 1 from restart_report where ready")) == 3
+            )
+            await wait_for("members", lambda: run_ownership(path, "members").stdout.count("serving") == 3)
+            assert run_ownership(path, "restart", "r1", "--at-once", "1").returncode == 0
+            await wait_for(
                 "the rollout",
-                lambda: rows(tmp_path, "select count(*) from restart_member where state = 'done'") == [(3,)],
+                lambda: query_store(tmp_path, "select count(*) from restart_member where state = 'done'") == [(3,)],
                 60.0,
             )
-            left = [name for _, what, name in fleet.events if what == "left"]
+            left = [name for _, event, name in fleet.events if event == "left"]
             assert sorted(left) == sorted(fleet.nodes)
-            starts: Counter[str] = Counter(name for _, what, name in fleet.events if what == "start")
+            starts: Counter[str] = Counter(name for _, event, name in fleet.events if event == "start")
             assert set(starts.values()) == {2}
-        book = FencedStore(str(tmp_path / "book.db"), DUTY_SCHEMAS)
-        assert find_store_violation(book) is None
-        acts = book.read("select effect, answer from fence_log where duty = 'restart' order by position")
-        book.close()
-        away = most = 0
-        for effect, answer in acts:
-            found = json.loads(answer)
-            away += found.get("permitted", 0) - found.get("done", 0)
-            assert effect != "permit" or found["permitted"] == 1
-            most = max(most, away)
-        assert most == 1 and away == 0
-
-    run(work())
-
-
-def test_a_rolling_restart_by_upgrades_refuses_nobody(tmp_path: Path) -> None:
-    """Guards callers in a rollout: each process is followed by another on the same socket, one at a time and once, and
-    nothing is refused, reset, cut or left without an answer. The duty's owner is itself upgraded on the way."""
-
-    async def work() -> None:
-        path = settings(tmp_path, True)
+        store = FencedStore(str(tmp_path / "book.db"), DUTY_SCHEMAS)
+        assert find_store_violation(store) is None
+        effects = store.read("select effect, answer from fence_log where duty = 'restart' order by position")
+        store.close()
+        down = most_down = 0
+        for effect, answer_text in effects:
+            answer = json.loads(answer_text)
+            down += answer.get("permitted", 0) - answer.get("done", 0)
+            assert effect != "permit" or answer["permitted"] == 1
+            most_down = max(most_down, down)
+        assert most_down == 1 and down == 0
+
+    run_scenario(scenario())
+
+
+def test_a_rolling_restart_by_upgrades_refuses_no_request(tmp_path: Path) -> None:
+    """During a rollout each process is replaced by another on the same socket, one at a time and once, and no request
+    is refused, reset, cut off or left unanswered. The owner of the restart duty is itself upgraded."""
+
+    async def scenario() -> None:
+        path = write_settings(tmp_path, True)
         path.write_text(path.read_text().replace("obey = true", 'obey = "supervisor"'))
         loop, random = asyncio.get_running_loop(), Random(14)
         catalog = Catalog(lag=0.5)
@@ -170,18 +176,20 @@
             stack.push_async_callback(catalog.close)
             books = {name: HandoverBook() for name in names}
             platforms: dict[str, Platform] = {}
-            procs: dict[str, Process] = {}
+            processes: dict[str, Process] = {}
             loads = []
 
-            async def config(name: str, life: str) -> str:
-                began = lambda body: books[name].ran(loop.time(), body, life)  # noqa: E731
-                vm = Interpreter(Box(speed=4.0), site.WORKS, Random(random.getrandbits(64)), site.GAUGES, began=began)
-                await vm.open("127.0.0.1")
-                stack.push_async_callback(vm.close)
+            async def build_config(name: str, incarnation: str) -> str:
+                began = lambda body: books[name].ran(loop.time(), body, incarnation)  # noqa: E731
+                interpreter = Interpreter(
+                    Box(speed=4.0), site.WORKS, Random(random.getrandbits(64)), site.GAUGES, began=began
+                )
+                await interpreter.open("127.0.0.1")
+                stack.push_async_callback(interpreter.close)
                 bound = platforms[name].ports.take("127.0.0.1")
                 catalog.addresses[name] = bound
                 seed = random.getrandbits(64)
-                return site.configuration(name, bound, vm.address, catalog.address, seed, Box(), 3, 3, False)
+                return site.configuration(name, bound, interpreter.address, catalog.address, seed, Box(), 3, 3, False)
 
             for name in names:
                 folder = tmp_path / name
@@ -189,67 +197,71 @@
                 platforms[name] = await stack.enter_async_context(
                     Platform("127.0.0.1", folder, told=books[name].told_to_leave, extra=["--ownership", str(path)])
                 )
-                procs[name] = await platforms[name].start(f"{name}a", await config(name, f"{name}a"))
+                processes[name] = await platforms[name].start(f"{name}a", await build_config(name, f"{name}a"))
             for name in names:
-                await platforms[name].ready(procs[name])
-            await until("members", lambda: ownership(path, "members").stdout.count("serving") == 3)
-            await until("reports", lambda: len(rows(tmp_path, "select 1 from restart_report where ready")) == 3)
+                await platforms[name].ready(processes[name])
+            await wait_for("members", lambda: run_ownership(path, "members").stdout.count("serving") == 3)
+            await wait_for(
+                "reports", lambda: len(query_store(tmp_path, "select 1 from restart_report where ready")) == 3
+            )
             for name in names:
                 load = Load(8.0, 14.0, 4)
                 caller = Caller(platforms[name].address, books[name], load, Random(random.getrandbits(64)))
                 loads.append(loop.create_task(caller.run(arrivals(load, loop.time() + 0.05, random))))
-            assert ownership(path, "restart", "r1", "--at-once", "1").returncode == 0
-            seen: list[tuple[str, str]] = []
-            while len(seen) < 3:
-                found = await asyncio.to_thread(ownership, path, "permitted", "--json")
-                permits = [json.loads(line) for line in found.stdout.splitlines()]
-                assert len(permits) <= 1 and found.returncode == int(not permits)
-                for each in permits:
-                    name = each["name"]
-                    if (name, each["start"]) not in seen:
-                        seen.append((name, each["start"]))
-                        took = await platforms[name].upgrade(
-                            procs[name],
+            assert run_ownership(path, "restart", "r1", "--at-once", "1").returncode == 0
+            permitted: list[tuple[str, str]] = []
+            while len(permitted) < 3:
+                listed = await asyncio.to_thread(run_ownership, path, "permitted", "--json")
+                permits = [json.loads(line) for line in listed.stdout.splitlines()]
+                assert len(permits) <= 1 and listed.returncode == int(not permits)
+                for permit in permits:
+                    name = permit["name"]
+                    if (name, permit["start"]) not in permitted:
+                        permitted.append((name, permit["start"]))
+                        upgrade = await platforms[name].upgrade(
+                            processes[name],
                             f"{name}b",
-                            await config(name, f"{name}b"),
+                            await build_config(name, f"{name}b"),
                             [kind.deadline for kind in site.KINDS],
                         )
-                        assert took.old_code == 0 and not took.killed
-            await until(
+                        assert upgrade.old_code == 0 and not upgrade.killed
+            await wait_for(
                 "the rollout",
-                lambda: rows(tmp_path, "select count(*) from restart_member where state = 'done'") == [(3,)],
+                lambda: query_store(tmp_path, "select count(*) from restart_member where state = 'done'") == [(3,)],
             )
-            assert sorted(name for name, _ in seen) == names
+            assert sorted(name for name, _ in permitted) == names
             await asyncio.gather(*loads)
             for name in names:
                 verdict = books[name].verdict(loop.time())
                 assert verdict.clean and verdict.served > 60, (name, verdict)
                 assert not platforms[name].crashes
-        assert ownership(path, "verify").returncode == 0
+        assert run_ownership(path, "verify").returncode == 0
 
-    run(work())
+    run_scenario(scenario())
 
 
-def test_an_overloaded_owner_gives_half_of_its_shards_to_one_that_is_not(tmp_path: Path) -> None:
-    """Guards the fleet's work from a server that has no time for it: without it an owner keeps all it has, whatever its
-    module says. And guards against shards that go to and fro: none comes back while it rests."""
+def test_an_overloaded_owner_sheds_shards_to_a_server_that_is_not_overloaded(tmp_path: Path) -> None:
+    """Without shedding an overloaded owner keeps all its shards. No shard may come back within the recovery time, or
+    shards would move to and fro."""
 
-    async def work() -> None:
-        path = settings(tmp_path, False)
-        more = "[overload]\nafter_s = 0.5\nrest_s = 60.0\n"
-        path.write_text(path.read_text().replace("shards = 4", "shards = 8") + more)
+    async def scenario() -> None:
+        path = write_settings(tmp_path, False)
+        overload = "[overload]\nafter_s = 0.5\nrest_s = 60.0\n"
+        path.write_text(path.read_text().replace("shards = 4", "shards = 8") + overload)
 
-        def held(name: str) -> int:
-            with closing(sqlite3.connect(tmp_path / "lease.db", timeout=5.0)) as base:
+        def owned_shards(name: str) -> int:
+            with closing(sqlite3.connect(tmp_path / "lease.db", timeout=5.0)) as connection:
                 query = "select count(*) from owner o join session s on s.id = o.session where name = ?"
-                return int(base.execute(query, (name,)).fetchone()[0])
+                return int(connection.execute(query, (name,)).fetchone()[0])
 
         async with Fleet(2, 13, extra=["--ownership", str(path)]) as fleet:
             await fleet.ready()
-            first, second = fleet.names  # of 8 shards of periods and one of restarts
-            await until("all owned", lambda: held(first) + held(second) == 9 and held(first) >= 4)
+            first, second = fleet.names  # 9 shards: 8 of periods and one of restarts
+            await wait_for(
+                "all owned", lambda: owned_shards(first) + owned_shards(second) == 9 and owned_shards(first) >= 4
+            )
             fleet.slow(first, 0.02)
-            # A caller without manners: the client library would spare the server.
+            # A raw connection that ignores rejections: the client library would back off.
             reader, writer = await asyncio.open_connection(*fleet.nodes[first].address)
 
             async def load() -> None:
@@ -259,32 +271,36 @@
 
             answers = asyncio.create_task(reader.read(1 << 30))
             loading = asyncio.create_task(load())
-            # By half its weight its part is a third of nine.
-            await until("the other to have them", lambda: held(first) == 3 and held(second) == 6)
+            # At half its weight its fair share is a third of the nine.
+            await wait_for(
+                "transfer to the other server", lambda: owned_shards(first) == 3 and owned_shards(second) == 6
+            )
             loading.cancel()
             writer.close()
             answers.cancel()
-            assert held(first) == 3 and not fleet.crashes
-        assert ownership(path, "verify").returncode == 0
+            assert owned_shards(first) == 3 and not fleet.crashes
+        assert run_ownership(path, "verify").returncode == 0
 
-    run(work())
+    run_scenario(scenario())
 
 
-def test_the_lean_server_imports_nothing_of_it() -> None:
-    """Guards the platform's path: with ownership off neither it nor its libraries are loaded."""
+def test_a_server_without_ownership_imports_none_of_its_libraries() -> None:
+    """With ownership off, neither the package nor the libraries that only it needs may be loaded."""
     code = (
         "import sys, lapishaven.cli, lapishaven.server\n"
-        "odd = [m for m in sys.modules if m.split('.')[0] in ('etcd3gw', 'requests', 'xxhash', 'z3')"
-        " or m.startswith('lapishaven.ownership')]\nprint(odd)\nsys.exit(bool(odd))"
+        "unexpected = [m for m in sys.modules if m.split('.')[0] in ('etcd3gw', 'requests', 'xxhash', 'z3')"
+        " or m.startswith('lapishaven.ownership')]\nprint(unexpected)\nsys.exit(bool(unexpected))"
     )
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=False).returncode == 0
 
 
-def test_a_bad_file_is_one_plain_line_and_exit_2(tmp_path: Path) -> None:
-    """Guards operators: no traceback, and nothing started."""
+def test_an_invalid_settings_file_gives_a_one_line_error_and_exit_code_2(tmp_path: Path) -> None:
+    """An operator must get one line, not a traceback."""
     path = tmp_path / "o.toml"
     path.write_text("[coordinator]\n")
-    done = ownership(path, "status")
+    result = run_ownership(path, "status")
     assert (
-        done.returncode == 2 and done.stderr.count("\n") == 1 and "required table [receiver] is missing" in done.stderr
+        result.returncode == 2
+        and result.stderr.count("\n") == 1
+        and "required table [receiver] is missing" in result.stderr
     )
