--- a/lapishaven/ownership/coordinators/sqlite.py
+++ b/lapishaven/ownership/coordinators/sqlite.py
@@ -59,6 +59,7 @@
     ``CoordinatorError``."""
 
     def __init__(self, path: str, clock: Clock | None = None, busy_timeout_s: float = BUSY_TIMEOUT_S) -> None:
+        self._path = path
         self._clock = clock or SystemClock()
         self._renewal_counts: dict[int, _RenewalCount] = {}  # by session, as observed by this process
         try:
@@ -178,7 +179,7 @@
         try:
             yield self._connection
         except sqlite3.Error as error:
-            raise CoordinatorError(str(error)) from None
+            raise CoordinatorError(f"call to the coordinator {self._path} failed: {error}") from None
 
     @contextmanager
     def _writing(self) -> Iterator[sqlite3.Connection]:
--- a/lapishaven/ownership/fenced_store.py
+++ b/lapishaven/ownership/fenced_store.py
@@ -90,6 +90,7 @@
         busy_timeout_s: float = BUSY_TIMEOUT_S,
         fenced: bool = True,
     ) -> None:
+        self._path = path
         self._judge = judge if fenced else judge_unfenced
         self._effects = {name: effect for duty in duty_schemas.values() for name, effect in duty.effects.items()}
         try:
@@ -169,14 +170,14 @@
             with sqlite.writing(self._connection):
                 return work(self._connection)
         except sqlite3.Error as error:
-            raise FencedStoreError(str(error)) from None
+            raise FencedStoreError(f"cannot write to the store {self._path}, nothing was written: {error}") from None
 
     def read(self, query: str, values: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
         """Run a query and return all rows."""
         try:
             return self._connection.execute(query, values).fetchall()
         except sqlite3.Error as error:
-            raise FencedStoreError(str(error)) from None
+            raise FencedStoreError(f"cannot read from the store {self._path}: {error}") from None
 
     def close(self) -> None:
         """Close the file."""
