--- a/lapishaven/attempt_log.py
+++ b/lapishaven/attempt_log.py
@@ -1,7 +1,7 @@
-"""The attempt log: what was started and answered, kept beyond the process.
+"""The attempt log: a durable record of the runs that were started and the answers that were sent.
 
-The event loop only queues entries; a thread of the log's own writes them in batches (write-behind). A crash may lose
-the last batch.
+The event loop only queues entries; a writer thread stores them in batches (write-behind). A crash may lose the last
+batch.
 """
 
 from __future__ import annotations
@@ -22,83 +22,83 @@
 );
 create index if not exists record_key on record (event, class, key);
 """
-QUEUE_LIMIT = 10_000  # entries that wait for the writer at most; further ones are dropped, as the loop must not wait
+QUEUE_LIMIT = 10_000  # entries waiting for the writer; further ones are dropped, as the event loop must not block
 
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """One row of the log: a run that was started, or proven not to have run, or an answer."""
+    """One row of the log: the start of a run, the proof that a started run never ran, or an answer."""
 
-    event: str  # "started", "unrun" (started, but proven not to have run) or "answered"
+    event: str  # "started", "unrun" (reported as started, but proven never to have run) or "answered"
     handle: str  # the attempt id
-    cls: str  # name of its class
-    key: str | None  # its idempotency key, where it has one
-    team: str | None  # the team that it came from, where its protocol names one
-    service: str | None  # the team's service, likewise
-    detail: str  # the outcome or the kind of answer; empty for a start
+    cls: str  # name of the request's class
+    key: str | None  # idempotency key, if the request has one
+    team: str | None  # team that sent the request, if the protocol names one
+    service: str | None  # service of that team, if the protocol names one
+    detail: str  # outcome or type of answer; empty for a start
 
 
 class AttemptLog(Protocol):
-    """Takes the entries."""
+    """Records attempts and lists the recent ones."""
 
     def record(self, entry: LogEntry) -> None:
         """Queue an entry. Never blocks."""
 
-    def started(self, span: float) -> list[tuple[str, str, float]]:
-        """Class, key and age in seconds of runs with keys that started in the last ``span`` seconds, oldest first."""
+    def started(self, window_s: float) -> list[tuple[str, str, float]]:
+        """Class, key and age in seconds of keyed runs that started in the last ``window_s`` seconds, oldest first."""
 
     def close(self) -> None:
-        """Write what is queued. Blocks until that is done."""
+        """Write all queued entries and stop the writer. Blocks until that is done."""
 
 
 class SqliteAttemptLog:
-    """An attempt log in one SQLite file."""
+    """An attempt log in a SQLite file."""
 
-    def __init__(self, path: str, dropped: Callable[[], None], wall: Callable[[], float] = time.time) -> None:
+    def __init__(self, path: str, on_dropped: Callable[[], None], wall_clock: Callable[[], float] = time.time) -> None:
         """Open or create the file at ``path``. Raises ``sqlite3.Error``.
 
-        ``dropped`` is called for each entry that is lost, from the loop or from the writer's thread; ``wall`` gives
-        the time in Unix seconds.
+        ``on_dropped`` is called for each entry that is lost, on the event loop or on the writer thread;
+        ``wall_clock`` gives the time in Unix seconds.
         """
         self._path = path
-        self._dropped = dropped
-        self._wall = wall
+        self._on_dropped = on_dropped
+        self._wall_clock = wall_clock
         with closing(sqlite3.connect(path)) as database:
             database.executescript(SCHEMA)
-        # Entries with their times in Unix seconds; None ends the writer.
+        # Entries with the Unix time at which they were queued; None stops the writer.
         self._queue: queue.Queue[tuple[float, LogEntry] | None] = queue.Queue(QUEUE_LIMIT)
         self._writer = threading.Thread(target=self._write, name="store", daemon=True)
         self._writer.start()
 
     def record(self, entry: LogEntry) -> None:
-        """Queue an entry; it is dropped if the queue is full. Never blocks."""
+        """Queue an entry, or drop it if the queue is full. Never blocks."""
         try:
-            self._queue.put_nowait((self._wall(), entry))
+            self._queue.put_nowait((self._wall_clock(), entry))
         except queue.Full:
-            self._dropped()
+            self._on_dropped()
 
-    def started(self, span: float) -> list[tuple[str, str, float]]:
-        """Class, key and age in seconds of the runs with keys that started in the last ``span`` seconds, oldest first.
+    def started(self, window_s: float) -> list[tuple[str, str, float]]:
+        """Class, key and age in seconds of keyed runs that started in the last ``window_s`` seconds, oldest first.
 
-        Runs that were proven not to have run are left out. Blocks while it reads the file.
+        Runs that were proven never to have run are left out. Blocks while it reads the file.
         """
-        now = self._wall()
+        now = self._wall_clock()
         with closing(sqlite3.connect(self._path)) as database:
             rows = database.execute(
                 "select class, key, max(at) from record"
                 " where event in ('started', 'unrun') and key is not null and at > ?"
                 " group by class, key having sum(iif(event = 'started', 1, -1)) > 0 order by max(at)",
-                (now - span,),
+                (now - window_s,),
             ).fetchall()
         return [(cls, key, max(0.0, now - at)) for cls, key, at in rows]
 
     def close(self) -> None:
-        """Write what is queued. Blocks until that is done."""
+        """Write all queued entries and stop the writer. Blocks until that is done."""
         self._queue.put(None)
         self._writer.join()
 
     def _write(self) -> None:
-        """Write batches until the queue is closed."""
+        """Write batches until ``close`` is called. Runs on the writer thread."""
         with closing(sqlite3.connect(self._path)) as database:
             closed = False
             while not closed:
@@ -107,14 +107,14 @@
                 self._write_batch(database, [entry for entry in batch if entry is not None])
 
     def _next_batch(self) -> list[tuple[float, LogEntry] | None]:
-        """Wait for an entry; it and all that are queued by then."""
+        """Wait for an entry, then take all that are queued."""
         batch = [self._queue.get()]
         while not self._queue.empty():
             batch.append(self._queue.get())
         return batch
 
     def _write_batch(self, database: sqlite3.Connection, entries: list[tuple[float, LogEntry]]) -> None:
-        """Write entries in one transaction; all are dropped if that fails."""
+        """Write entries in one transaction; if it fails, all of them are dropped."""
         rows = [
             (at, entry.event, entry.handle, entry.cls, entry.key, entry.team, entry.service, entry.detail)
             for at, entry in entries
@@ -124,4 +124,4 @@
                 database.executemany("insert into record values (?, ?, ?, ?, ?, ?, ?, ?)", rows)
         except sqlite3.Error:
             for _ in rows:
-                self._dropped()
+                self._on_dropped()
--- a/lapishaven/ledger/audit.py
+++ b/lapishaven/ledger/audit.py
@@ -1,4 +1,4 @@
-"""Effects compared with their charges: every difference in words. Pure."""
+"""Compares effects with their charges and describes every inconsistency. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from lapishaven.ledger.database import REVENUE_ACCOUNT
 from lapishaven.ledger.transitions import EffectState
 
-EffectName = tuple[str, str]  # class and idempotency key of an effect
+EffectId = tuple[str, str]  # class and idempotency key
 
 
 @dataclass(frozen=True, slots=True)
 class Effect:
-    """An effect as the file has it. ``words``: what ``customer`` is to be charged once it is completed."""
+    """An effect as stored. ``words`` is what ``customer`` is charged once the effect is completed."""
 
-    name: EffectName
+    effect_id: EffectId
     state: EffectState
     customer: str
     words: int
@@ -23,41 +23,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Charge:
-    """One entry of the ledger."""
+    """One entry of the ledger: ``words`` debited to an account (negative: credited)."""
 
-    name: EffectName
+    effect_id: EffectId
     account: str
     words: int
 
 
 def differences(effects: Iterable[Effect], charges: Iterable[Charge]) -> Iterator[str]:
-    """One line for each difference."""
-    effects_by_name = {effect.name: effect for effect in effects}
-    charges_by_name: dict[EffectName, dict[str, int]] = {}
+    """One line for each inconsistency between effects and charges."""
+    effects_by_id = {effect.effect_id: effect for effect in effects}
+    charges_by_id: dict[EffectId, dict[str, int]] = {}
     for charge in charges:
-        charges_by_name.setdefault(charge.name, {})[charge.account] = charge.words
-    for name, effect in sorted(effects_by_name.items()):
-        entries = charges_by_name.pop(name, {})
+        charges_by_id.setdefault(charge.effect_id, {})[charge.account] = charge.words
+    for effect_id, effect in sorted(effects_by_id.items()):
+        entries = charges_by_id.pop(effect_id, {})
         for difference in _differences_of(effect, entries):
-            yield f"{name[0]} {name[1]}: {difference}"
-    for name in sorted(charges_by_name):
-        yield f"{name[0]} {name[1]}: charged, and no such effect is there"
+            yield f"{effect_id[0]} {effect_id[1]}: {difference}"
+    for effect_id in sorted(charges_by_id):
+        yield f"{effect_id[0]} {effect_id[1]}: charged, but no such effect is stored"
 
 
 def _differences_of(effect: Effect, entries: Mapping[str, int]) -> Iterator[str]:
-    """``entries``: words by account."""
+    """``entries`` holds the effect's charges: words by account."""
     if effect.state is not EffectState.COMPLETED:
         if entries:
-            yield f"charged, and it is {effect.state.value}"
+            yield f"charged, but its state is {effect.state.value!r}"
         return
     account = f"customer/{effect.customer}"
     if account not in entries:
-        yield f"done, and {effect.customer} was not charged"
+        yield f"done, but customer {effect.customer} was not charged for {effect.words} words"
     elif entries[account] != effect.words:
-        yield f"{effect.customer} was charged {entries[account]} words for {effect.words}"
+        yield f"customer {effect.customer} was charged {entries[account]} words instead of {effect.words}"
     if REVENUE_ACCOUNT not in entries:
-        yield "done, and not earned"
+        yield f"done, but {effect.words} words are missing from the revenue account {REVENUE_ACCOUNT!r}"
     elif entries[REVENUE_ACCOUNT] != -effect.words:
-        yield f"earned {-entries[REVENUE_ACCOUNT]} words for {effect.words}"
+        yield f"revenue account {REVENUE_ACCOUNT!r} has {-entries[REVENUE_ACCOUNT]} words instead of {effect.words}"
     for other in sorted(set(entries) - {account, REVENUE_ACCOUNT}):
-        yield f"charged to {other} too"
+        yield f"also charged to account {other}: {entries[other]} words"
--- a/lapishaven/ledger/database.py
+++ b/lapishaven/ledger/database.py
@@ -1,6 +1,7 @@
-"""The ledger's SQLite file: effects by key, and charges in double entry. Servers share it, each by its own connection.
+"""The ledger's SQLite file: effects by key, and charges in double-entry bookkeeping.
 
-WAL and synchronous=FULL. Each group of operations is one transaction: all of it is durable, or none.
+Servers share the file, each with its own connection, in WAL mode with synchronous=FULL. Each group of operations is one
+transaction: all of it is durable, or none.
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 from lapishaven import sqlite
 from lapishaven.ledger.transitions import Decision, EffectEvent, EffectRow, EffectState, decide
 
-VERSION = 1  # of the schema
-BUSY_TIMEOUT_S = 1.0  # for which a transaction waits for another server's
-REVENUE_ACCOUNT = "earned"  # the counter-account of every customer's
+SCHEMA_VERSION = 1
+BUSY_TIMEOUT_S = 1.0  # how long a transaction waits for another server's
+REVENUE_ACCOUNT = "earned"  # the contra account of all customers' charges
 EFFECT_SCHEMA = """
 create table if not exists effect (
     class text not null, key text not null, standing text not null, start text not null, since real not null,
@@ -28,7 +29,7 @@
     primary key (class, key, account)
 ) without rowid
 """
-# The attempt log noted starts without their ends, so each start that was not cancelled may have run.
+# The attempt log has no results, so every start in it that was not cancelled counts as run without a result.
 IMPORT_ATTEMPT_LOG = (
     "insert or ignore into effect (class, key, standing, start, since, customer)"
     " select class, key, 'spent', 'before', max(at), coalesce(max(team), '') from record"
@@ -38,7 +39,7 @@
 
 
 class LedgerError(Exception):
-    """The file could not be read or written (busy, full, I/O, of a newer schema): nothing has changed."""
+    """The file could not be read or written (busy, full, I/O error, newer schema). Nothing has changed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,11 +50,11 @@
         event: what happened.
         class_name: class of the request.
         key: its idempotency key.
-        incarnation: names the start of the server that reports it.
+        incarnation: identifies the start of the server that reports the event.
         at: Unix seconds.
-        customer: who is charged; read for ``INTEND`` only.
-        result: of the run; read for ``COMPLETE`` only.
-        words: what the customer is charged; read for ``COMPLETE`` only.
+        customer: customer to be charged; used for ``INTEND`` only.
+        result: result of the run; used for ``COMPLETE`` only.
+        words: words that the customer is charged; used for ``COMPLETE`` only.
     """
 
     event: EffectEvent
@@ -68,16 +69,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationOutcome:
-    """What became of an operation; ``row`` is what was there before it."""
+    """The decision on an operation; ``row`` is the effect as stored before it."""
 
     decision: Decision
     row: EffectRow
 
 
 class LedgerDatabase:
-    """One connection to the file at ``path``, which is made or migrated as needed.
+    """One connection to the file at ``path``, which is created or migrated as needed.
 
-    ``busy_timeout_s``: how long a call waits for other writers. Raises ``LedgerError`` if the file cannot be opened.
+    ``busy_timeout_s`` is how long a call waits for other writers. Raises ``LedgerError`` if the file cannot be opened.
     """
 
     def __init__(self, path: str, busy_timeout_s: float = BUSY_TIMEOUT_S) -> None:
@@ -86,28 +87,31 @@
             self._connection = sqlite.connect(path, busy_timeout_s)
             self._migrate()
         except sqlite3.Error as error:
-            raise LedgerError(f"{path}: {error}") from None
+            raise LedgerError(f"cannot open ledger {path}: {error}") from None
 
     def _migrate(self) -> None:
-        """In one transaction, so that a kill leaves the old file or the new one."""
+        """Create or upgrade the schema in one transaction, so that a kill leaves the old version or the new one."""
         with sqlite.writing(self._connection):
             version = self._connection.execute("pragma user_version").fetchone()[0]
-            if version > VERSION:
-                raise LedgerError(f"{self.path} is of schema {version}, newer than {VERSION}")
-            if version == VERSION:
+            if version > SCHEMA_VERSION:
+                raise LedgerError(
+                    f"cannot open ledger {self.path}: schema version {version} is newer than the supported"
+                    f" {SCHEMA_VERSION}"
+                )
+            if version == SCHEMA_VERSION:
                 return
             self._connection.execute(EFFECT_SCHEMA)
             self._connection.execute(LEDGER_SCHEMA)
             if self._has_attempt_log():
                 self._connection.execute(IMPORT_ATTEMPT_LOG)
-            self._connection.execute(f"pragma user_version = {VERSION}")
+            self._connection.execute(f"pragma user_version = {SCHEMA_VERSION}")
 
     def _has_attempt_log(self) -> bool:
         tables = self._connection.execute("select 1 from sqlite_master where type = 'table' and name = 'record'")
         return tables.fetchone() is not None
 
     def write(self, operations: Sequence[Operation]) -> list[OperationOutcome]:
-        """Carry out operations in their order, in one durable transaction. Raises ``LedgerError``."""
+        """Apply operations in order, in one durable transaction. Raises ``LedgerError``."""
         try:
             with sqlite.writing(self._connection):
                 return [self._apply(operation) for operation in operations]
@@ -115,7 +119,7 @@
             raise LedgerError(str(error)) from None
 
     def _apply(self, operation: Operation) -> OperationOutcome:
-        row = self._row(operation.class_name, operation.key)
+        row = self._read_row(operation.class_name, operation.key)
         decision, next_state = decide(row, operation.event, operation.incarnation)
         if decision is not Decision.APPLY:
             return OperationOutcome(decision, row)
@@ -129,7 +133,7 @@
             self._charge(operation)
         return OperationOutcome(decision, row)
 
-    def _row(self, class_name: str, key: str) -> EffectRow:
+    def _read_row(self, class_name: str, key: str) -> EffectRow:
         found = self._connection.execute(
             "select standing, start, result from effect where class = ? and key = ?", (class_name, key)
         ).fetchone()
@@ -163,17 +167,19 @@
         )
 
     def _charge(self, operation: Operation) -> None:
-        """Two entries that sum to 0. A second charge of the effect fails by the primary key."""
-        name = operation.class_name, operation.key
+        """Insert two entries that sum to 0. The primary key prevents a second charge of the same effect."""
+        effect_id = operation.class_name, operation.key
         (customer,) = self._connection.execute(
-            "select customer from effect where class = ? and key = ?", name
+            "select customer from effect where class = ? and key = ?", effect_id
         ).fetchone()
         entries = ((f"customer/{customer}", operation.words), (REVENUE_ACCOUNT, -operation.words))
         for account, words in entries:
-            self._connection.execute("insert into ledger values (?, ?, ?, ?, ?)", (*name, account, words, operation.at))
+            self._connection.execute(
+                "insert into ledger values (?, ?, ?, ?, ?)", (*effect_id, account, words, operation.at)
+            )
 
     def read(self, query: str, values: tuple[object, ...] = ()) -> list[tuple[object, ...]]:
-        """The rows of a query. Raises ``LedgerError``."""
+        """Execute a query and return its rows. Raises ``LedgerError``."""
         try:
             return self._connection.execute(query, values).fetchall()
         except sqlite3.Error as error:
--- a/lapishaven/ledger/file_copies.py
+++ b/lapishaven/ledger/file_copies.py
@@ -1,4 +1,4 @@
-"""Backup and restore of the ledger's file, complete or not at all, and its rows as CSV."""
+"""Atomic backup and restore of the ledger's file, and CSV export of its tables."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from pathlib import Path
 from typing import TextIO
 
-from lapishaven.ledger.database import VERSION, LedgerError
+from lapishaven.ledger.database import SCHEMA_VERSION, LedgerError
 
-PAGES_PER_STEP = 256  # copied before other connections may write
+PAGES_PER_STEP = 256  # pages copied before other connections may write
 PAUSE_BETWEEN_STEPS_S = 0.001
 PARTIAL_SUFFIX = ".part"
-Progress = Callable[[float], None]  # gets the fraction that is done
+Progress = Callable[[float], None]  # called with the fraction that is done
 
 
 def _open_read_only(path: str) -> closing[sqlite3.Connection]:
@@ -23,7 +23,7 @@
 
 
 def _sync(path: Path) -> None:
-    """Sync the file, then its directory, so that its name is durable too."""
+    """Sync the file and then its directory, so that the directory entry is durable too."""
     for target, flags in ((path, os.O_RDWR), (path.parent, os.O_RDONLY)):
         descriptor = os.open(target, flags)
         try:
@@ -33,7 +33,7 @@
 
 
 def _copy(source: str, to: Path, progress: Progress) -> None:
-    """Copy ``source`` to ``to``, which appears complete or not at all. Raises ``LedgerError``."""
+    """Copy ``source`` to ``to`` atomically: ``to`` appears complete or not at all. Raises ``LedgerError``."""
     partial = to.with_name(to.name + PARTIAL_SUFFIX)
     partial.unlink(missing_ok=True)
     try:
@@ -44,46 +44,51 @@
                 sleep=PAUSE_BETWEEN_STEPS_S,
                 progress=lambda status, remaining, total: progress(1 - remaining / max(1, total)),
             )
-            new.execute("pragma journal_mode = delete")  # one file, with nothing beside it
+            new.execute("pragma journal_mode = delete")  # leaves a single file, without a WAL beside it
         _sync(partial)
         os.replace(partial, to)
         _sync(to)
     except (sqlite3.Error, OSError) as error:
         partial.unlink(missing_ok=True)
-        raise LedgerError(f"cannot copy {source} to {to}: {error}") from None
+        raise LedgerError(f"cannot copy ledger {source} to {to}: {error}") from None
 
 
-def backup(file: str, to: str, progress: Progress = lambda part: None) -> None:
-    """Copy the file as it is at one instant, while servers go on. Raises ``LedgerError``, also if ``to`` exists."""
+def backup(file: str, to: str, progress: Progress = lambda fraction: None) -> None:
+    """Copy a consistent snapshot of the file while servers keep writing.
+
+    Raises ``LedgerError``, also if ``to`` exists.
+    """
     if Path(to).exists():
-        raise LedgerError(f"{to} is there already")
+        raise LedgerError(f"cannot back up ledger {file}: {to} already exists")
     _copy(file, Path(to), progress)
 
 
-def restore(file: str, source: str, progress: Progress = lambda part: None) -> None:
-    """Put a backup in the ledger's place. No server may have it open, which cannot be checked from here.
+def restore(file: str, source: str, progress: Progress = lambda fraction: None) -> None:
+    """Create the ledger from a backup. No server may have the ledger open, which cannot be checked here.
 
-    Raises ``LedgerError``, also if a ledger exists, or the backup is damaged or of another schema.
+    Raises ``LedgerError``, also if the ledger exists, or the backup is damaged or has another schema version.
     """
     if Path(file).exists():
-        raise LedgerError(f"{file} is there already: move it away first")
+        raise LedgerError(f"cannot restore ledger {file}: it already exists; move it away first")
     if not Path(source).exists():
-        raise LedgerError(f"{source} is not there")
+        raise LedgerError(f"cannot restore ledger {file}: backup {source} does not exist")
     try:
         with _open_read_only(source) as connection:
             version = connection.execute("pragma user_version").fetchone()[0]
             integrity = connection.execute("pragma integrity_check").fetchone()[0]
     except sqlite3.Error as error:
-        raise LedgerError(f"{source}: {error}") from None
-    if version != VERSION:
-        raise LedgerError(f"{source} is of schema {version}, not {VERSION}")
+        raise LedgerError(f"cannot restore ledger {file}: cannot read backup {source}: {error}") from None
+    if version != SCHEMA_VERSION:
+        raise LedgerError(
+            f"cannot restore ledger {file}: backup {source} has schema version {version}, expected {SCHEMA_VERSION}"
+        )
     if integrity != "ok":
-        raise LedgerError(f"{source} is damaged: {integrity}")
+        raise LedgerError(f"cannot restore ledger {file}: backup {source} failed its integrity check: {integrity}")
     _copy(source, Path(file), progress)
 
 
 def export(file: str, table: str, out: TextIO) -> int:
-    """Write the rows of the table ``effect`` or ``ledger`` as CSV, results in hexadecimal; returns how many."""
+    """Write the rows of the table ``effect`` or ``ledger`` as CSV, results in hexadecimal; returns the row count."""
     try:
         with _open_read_only(file) as connection:
             rows = connection.execute(f"select * from {table} order by class, key")
@@ -95,4 +100,4 @@
                 count += 1
             return count
     except sqlite3.Error as error:
-        raise LedgerError(f"{file}: {error}") from None
+        raise LedgerError(f"cannot export table {table} of ledger {file}: {error}") from None
--- a/lapishaven/ledger/recorder.py
+++ b/lapishaven/ledger/recorder.py
@@ -1,4 +1,4 @@
-"""The core's result store on the ledger: nothing here is waited for on the event loop."""
+"""The core's result store, backed by the ledger. The event loop never waits for the file."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from lapishaven.ledger.writer import Writer
 from lapishaven.net.completion_queue import CompletionQueue
 
-CACHED_RESULTS = 20_000  # answered from memory; older ones are found in the file
-CLOSE_TIMEOUT_S = 0.1  # for what is still to be written: the process is killed soon after
+MAX_CACHED_RESULTS = 20_000  # answered from memory; older ones are read from the file
+CLOSE_TIMEOUT_S = 0.1  # short, as the process is killed soon after shutdown begins
 
-EffectName = tuple[str, str]  # class and idempotency key
+EffectId = tuple[str, str]  # class and idempotency key
 
 
 @dataclass(frozen=True, slots=True)
 class KnownResult:
-    """What is known of an effect, and its result if it completed."""
+    """What is known of an effect, with its result if it completed."""
 
     effect_state: EffectState
     result: bytes = b""
@@ -35,16 +35,16 @@
     """Records effects in the ledger and answers repeats of them. See ``core.ports.DurableResultStore``.
 
     Parameters:
-        database: the file; belongs to this object from now on.
-        incarnation: names this start of the server.
-        meters: what each class is charged by.
-        default_meter: what classes without a meter of their own are charged by.
-        rules: limits of what waits to be written.
-        wall: Unix seconds.
-        clock: seconds that never step.
+        database: the ledger's file; this object closes it.
+        incarnation: identifies this start of the server.
+        meters: the meter of each class that has one of its own.
+        default_meter: the meter of all other classes.
+        rules: limits of the queue of entries that wait to be written.
+        wall: clock that gives Unix seconds.
+        clock: monotonic clock in seconds.
 
     Attributes:
-        rejected: commits rejected as the ledger was slow or broken.
+        rejected: commits rejected because the ledger was slow or failing.
         completed_elsewhere: commits that another incarnation had completed.
         uncertain: commits that another incarnation may have run.
     """
@@ -68,83 +68,82 @@
         self._clock = clock
         self._database = database
         self._backpressure = Backpressure(rules or BackpressureRules())
-        self._backpressure_lock = threading.Lock()  # held for moments only
-        self._writer = Writer(database, self._group_ended)
+        self._backpressure_lock = threading.Lock()  # guards _backpressure; held only briefly
+        self._writer = Writer(database, self._group_settled)
         self._completions = CompletionQueue()
-        self._cached_results: OrderedDict[EffectName, bytes] = OrderedDict()
-        self._running: dict[EffectName, Submission] = {}  # intended by this incarnation, and not ended
+        self._cached_results: OrderedDict[EffectId, bytes] = OrderedDict()
+        self._running: dict[EffectId, Submission] = {}  # intended by this incarnation, without an outcome yet
         self.rejected = 0
         self.completed_elsewhere = 0
         self.uncertain = 0
 
     @property
     def ready(self) -> int:
-        """A descriptor that is readable when ``process_completions`` should be called."""
+        """A file descriptor that is readable when ``process_completions`` should be called."""
         return self._completions.ready
 
-    # ---- The core's port
+    # ---- Implementation of core.ports.DurableResultStore
     def find(self, cls: str, key: str) -> KnownEffect:
-        """What is known without a look into the file: results of this incarnation, and others' that were met."""
+        """What is known without reading the file: cached results, of this incarnation and of others."""
         result = self._cached_results.get((cls, key))
         if result is None:
             return KnownResult(EffectState.UNKNOWN)
         return KnownResult(EffectState.DONE, result)
 
     def record_intent(self, cls: str, key: str, sub: Submission, then: IntentCallback) -> float | None:
-        """Make the intent durable.
+        """Write the intent; ``then`` is called with whether it is durable, or with what is known of the effect.
 
-        ``then`` gets whether it is, or what else is known of the effect. Returns seconds after which to retry if it is
-        not even tried, else ``None``.
+        Returns ``None``, or the seconds after which to retry if the intent is rejected; ``then`` is not called then.
         """
         with self._backpressure_lock:
             retry_after = self._backpressure.retry_after(self._clock())
         if retry_after is not None:
             self.rejected += 1
             return retry_after
-        name = cls, key
-        self._running[name] = sub
+        effect_id = cls, key
+        self._running[effect_id] = sub
         customer = f"{sub.team}/{sub.service}" if sub.team else f"caller/{sub.caller_id}"
         operation = Operation(EffectEvent.INTEND, cls, key, self.incarnation, self._wall(), customer)
-        self._submit(operation, lambda outcome: then(self._intent_answered(name, outcome)))
+        self._submit(operation, lambda outcome: then(self._intent_outcome(effect_id, outcome)))
         return None
 
-    def _intent_answered(self, name: EffectName, outcome: OperationOutcome | None) -> IntentOutcome | KnownEffect:
+    def _intent_outcome(self, effect_id: EffectId, outcome: OperationOutcome | None) -> IntentOutcome | KnownEffect:
         if outcome is not None and outcome.decision is Decision.APPLY:
             return IntentOutcome.RECORDED
-        self._running.pop(name, None)
+        self._running.pop(effect_id, None)
         if outcome is None:
             return IntentOutcome.NOT_RECORDED
         if outcome.decision is Decision.ALREADY_COMPLETED:
             self.completed_elsewhere += 1
-            self._cache_result(name, outcome.row.result)
+            self._cache_result(effect_id, outcome.row.result)
             return KnownResult(EffectState.DONE, outcome.row.result)
         self.uncertain += 1
         return KnownResult(EffectState.UNCERTAIN)
 
     def record_result(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None:
-        """Make the result and its charge durable; ``then`` gets whether they are."""
-        name = cls, key
-        sub = self._running.pop(name, None)
+        """Write the result and its charge; ``then`` is called with whether they are durable."""
+        effect_id = cls, key
+        sub = self._running.pop(effect_id, None)
         meter = self._meters.get(cls, self._default_meter)
         words = meter(sub.body if sub is not None else b"", result)
 
-        def written(outcome: OperationOutcome | None) -> None:
+        def result_written(outcome: OperationOutcome | None) -> None:
             durable = outcome is not None and outcome.decision is not Decision.IGNORE
             if durable:
-                self._cache_result(name, result)
+                self._cache_result(effect_id, result)
             then(durable)
 
         self._submit(
             Operation(EffectEvent.COMPLETE, cls, key, self.incarnation, self._wall(), "", result, words),
-            written,
+            result_written,
         )
 
     def record_failure(self, cls: str, key: str) -> None:
-        """It ran and gave no result."""
+        """Record that the effect ran and gave no result."""
         self._end_without_result(EffectEvent.FAIL, cls, key)
 
     def cancel_intent(self, cls: str, key: str) -> None:
-        """It provably never ran: its key is free."""
+        """Record that the effect provably never ran, which frees its key."""
         self._end_without_result(EffectEvent.CANCEL, cls, key)
 
     def _end_without_result(self, event: EffectEvent, cls: str, key: str) -> None:
@@ -152,15 +151,15 @@
         self._submit(Operation(event, cls, key, self.incarnation, self._wall()), lambda outcome: None)
 
     def uncertain_effects(self) -> list[tuple[str, str, float]]:
-        """None: each repeat is compared with the file before it runs."""
+        """Always empty: each repeat is checked against the file before it runs."""
         return []
 
     def process_completions(self) -> None:
-        """On the event loop: notify of what was written since."""
+        """Call the callbacks of writes that have ended. Runs on the event loop."""
         self._completions.run_pending()
 
     def state(self) -> dict[str, int]:
-        """Gauges by name, for operators."""
+        """Figures by name, for operators."""
         with self._backpressure_lock:
             waiting = len(self._backpressure)
             broken = self._backpressure.circuit_open
@@ -176,22 +175,22 @@
         }
 
     def close(self) -> None:
-        """Write what can be written soon, and close the file."""
+        """Write what can be written within ``CLOSE_TIMEOUT_S``, and close the file."""
         self._writer.close(CLOSE_TIMEOUT_S)
         self._completions.close()
         self._database.close()
 
-    # ---- To and from the writer's thread
-    def _submit(self, operation: Operation, when_written: Callable[[OperationOutcome | None], None]) -> None:
+    # ---- Communication with the writer thread
+    def _submit(self, operation: Operation, on_written: Callable[[OperationOutcome | None], None]) -> None:
         with self._backpressure_lock:
             self._backpressure.entry_added(self._clock())
-        self._writer.submit(operation, lambda outcome: self._completions.post(lambda: when_written(outcome)))
+        self._writer.submit(operation, lambda outcome: self._completions.post(lambda: on_written(outcome)))
 
-    def _group_ended(self, count: int, durable: bool) -> None:
+    def _group_settled(self, count: int, durable: bool) -> None:
         with self._backpressure_lock:
-            self._backpressure.entries_written(self._clock(), count, durable)
+            self._backpressure.entries_settled(self._clock(), count, durable)
 
-    def _cache_result(self, name: EffectName, result: bytes) -> None:
-        self._cached_results[name] = result
-        while len(self._cached_results) > CACHED_RESULTS:
+    def _cache_result(self, effect_id: EffectId, result: bytes) -> None:
+        self._cached_results[effect_id] = result
+        while len(self._cached_results) > MAX_CACHED_RESULTS:
             self._cached_results.popitem(last=False)
--- a/lapishaven/ledger/settings.py
+++ b/lapishaven/ledger/settings.py
@@ -1,4 +1,4 @@
-"""The checked settings of the ledger, from the TOML file of ``serve --record``."""
+"""Loads and validates the settings of the ledger, from the TOML file of ``serve --record``."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class LedgerSettingsError(ValueError):
-    """A mistake in the file, as one plain line."""
+    """The settings file is invalid. The message is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerSettings:
-    """What ``serve --record`` is told.
+    """Validated settings of ``serve --record``.
 
     Attributes:
         file: path of the SQLite file.
-        backpressure: limits of what waits to be written.
-        meters: what an effect is charged by, by class.
-        default_meter: the same for the other classes.
+        backpressure: limits of the queue of entries that wait to be written.
+        meters: the meter of each class that has one of its own.
+        default_meter: the meter of all other classes.
     """
 
     file: str
@@ -34,7 +34,7 @@
 
 
 class FlowKey(NamedTuple):
-    """A key of the table ``flow``: the field of ``BackpressureRules`` that it sets, and its bounds."""
+    """A key of the table ``flow``: the field of ``BackpressureRules`` that it sets, and its inclusive bounds."""
 
     field: str
     low: float
@@ -49,28 +49,32 @@
     "pause_s": FlowKey("retry_pause_s", 0.01, 60.0),
     "pause_most_s": FlowKey("max_retry_pause_s", 0.01, 600.0),
 }
-DEFAULT_METER_KEY = "usual"  # of the table meter
+DEFAULT_METER_KEY = "usual"  # in the table ``meter``
 DEFAULT_METER = METERS["each"]
 
 
 def load_settings(path: str) -> LedgerSettings:
-    """Read and check the file. Raises ``LedgerSettingsError``."""
+    """Read and validate the settings file. Raises ``LedgerSettingsError``."""
     try:
         tables = tomllib.loads(Path(path).read_text())
     except (OSError, ValueError) as error:
-        raise LedgerSettingsError(f"cannot read {path}: {getattr(error, 'strerror', None) or error}") from None
+        raise LedgerSettingsError(
+            f"cannot read ledger settings {path}: {getattr(error, 'strerror', None) or error}"
+        ) from None
     if unknown := set(tables) - {"file", "meter", "flow"}:
-        raise LedgerSettingsError(f"{path}: unknown {min(unknown)}")
+        raise LedgerSettingsError(f"{path}: unknown setting {min(unknown)}")
     if not isinstance(tables.get("file"), str) or not tables["file"].startswith("/"):
-        raise LedgerSettingsError(f"{path}: file is no path from the root")
+        raise LedgerSettingsError(f"{path}: file must be an absolute path, got {tables.get('file')!r}")
     meter_names = tables.get("meter", {})
     flow = tables.get("flow", {})
     if not isinstance(meter_names, dict) or not isinstance(flow, dict):
-        raise LedgerSettingsError(f"{path}: meter or flow is not a table")
+        raise LedgerSettingsError(
+            f"{path}: meter and flow must be tables, got {type(meter_names).__name__} and {type(flow).__name__}"
+        )
     values = {}
     for name, value in flow.items():
         if name not in FLOW_KEYS:
-            raise LedgerSettingsError(f"{path}: flow has an unknown {name}")
+            raise LedgerSettingsError(f"{path}: unknown setting flow.{name}")
         values[FLOW_KEYS[name].field] = _flow_number(path, name, value)
     meters = {class_name: _meter(f"{path}: meter.{class_name}", name) for class_name, name in meter_names.items()}
     default_meter = meters.get(DEFAULT_METER_KEY, DEFAULT_METER)
@@ -81,12 +85,14 @@
     key = FLOW_KEYS[name]
     allowed = int if key.whole else int | float
     if isinstance(value, bool) or not isinstance(value, allowed) or not key.low <= value <= key.high:
-        kind = "whole number" if key.whole else "number"
-        raise LedgerSettingsError(f"{path}: flow.{name} is {value!r}, no {kind} from {key.low:g} to {key.high:g}")
+        number_type = "whole number" if key.whole else "number"
+        raise LedgerSettingsError(
+            f"{path}: flow.{name} must be a {number_type} from {key.low:g} to {key.high:g}, got {value!r}"
+        )
     return value
 
 
-def _meter(where: str, name: Any) -> Meter:
+def _meter(setting: str, name: Any) -> Meter:
     if not isinstance(name, str) or name not in METERS:
-        raise LedgerSettingsError(f"{where} is {name!r}, none of {', '.join(METERS)}")
+        raise LedgerSettingsError(f"{setting} must be one of {', '.join(METERS)}, got {name!r}")
     return METERS[name]
--- a/lapishaven/ledger/transitions.py
+++ b/lapishaven/ledger/transitions.py
@@ -1,8 +1,8 @@
-"""The states of an effect in the ledger, and what each event makes of them: one table, also for the model checker.
+"""The state machine of an effect in the ledger, as one transition table that the model checker uses too.
 
-An ``INTENDED`` row is durable before the run starts; ``COMPLETED``, with result and charge, before the reply leaves. So
-an ``INTENDED`` row whose server died may have run: it is never run again and never reported as rejected. The values of
-``EffectState`` are stored in the file. Pure.
+An ``INTENDED`` row is durable before the run starts; a ``COMPLETED`` row, with result and charge, before the reply is
+sent. So the effect of an ``INTENDED`` row whose server died may have run: it is never run again and never reported as
+rejected. The values of ``EffectState`` are stored in the file. Does no I/O.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 
 class EffectState(Enum):
-    """How far an effect is, by the word that the file has for it."""
+    """State of an effect; the values are stored in the file."""
 
-    ABSENT = "none"  # there is no row: it never ran
-    INTENDED = "intended"  # an incarnation of a server runs it, or died while it did
+    ABSENT = "none"  # no row: it never ran
+    INTENDED = "intended"  # a server incarnation runs it, or died while running it
     COMPLETED = "done"
-    WITHOUT_RESULT = "spent"  # it ran, or may have, and there is no result
+    WITHOUT_RESULT = "spent"  # it ran or may have run, and there is no result
 
 
 class EffectEvent(Enum):
-    """What a server asks the ledger to record."""
+    """An event that a server asks the ledger to record."""
 
     INTEND = "intend"  # it is about to run
     COMPLETE = "finish"  # it ran and has a result
@@ -30,16 +30,16 @@
 
 
 class Decision(Enum):
-    """What becomes of an event."""
+    """How the ledger responds to an event."""
 
     APPLY = "do"  # the state changes
-    ALREADY_COMPLETED = "kept"  # nothing changes; the first result is the answer
-    UNCERTAIN = "uncertain"  # nothing changes; it runs or may have run elsewhere, so it is neither run nor rejected
+    ALREADY_COMPLETED = "kept"  # nothing changes; the stored result is the answer
+    UNCERTAIN = "uncertain"  # nothing changes; it runs or may have run, so it is neither run again nor rejected
     IGNORE = "nothing"  # nothing changes: the row is not this incarnation's, or the event does not fit its state
 
 
-# The decision and the next state, by the present state, the event, and whether this incarnation intended the row. What
-# is not listed is ignored.
+# Decision and next state, by current state, event, and whether the reporting incarnation intended the row. Combinations
+# that are not listed are ignored.
 TRANSITIONS: dict[tuple[EffectState, EffectEvent, bool], tuple[Decision, EffectState]] = {
     (EffectState.ABSENT, EffectEvent.INTEND, False): (Decision.APPLY, EffectState.INTENDED),
     (EffectState.INTENDED, EffectEvent.INTEND, False): (Decision.UNCERTAIN, EffectState.INTENDED),
@@ -49,7 +49,7 @@
     (EffectState.WITHOUT_RESULT, EffectEvent.INTEND, False): (Decision.UNCERTAIN, EffectState.WITHOUT_RESULT),
     (EffectState.WITHOUT_RESULT, EffectEvent.INTEND, True): (Decision.UNCERTAIN, EffectState.WITHOUT_RESULT),
     (EffectState.INTENDED, EffectEvent.COMPLETE, True): (Decision.APPLY, EffectState.COMPLETED),
-    # The answer to the first commit was lost and it is written again.
+    # The confirmation of the first commit was lost and the event is written again.
     (EffectState.COMPLETED, EffectEvent.COMPLETE, True): (Decision.ALREADY_COMPLETED, EffectState.COMPLETED),
     (EffectState.INTENDED, EffectEvent.FAIL, True): (Decision.APPLY, EffectState.WITHOUT_RESULT),
     (EffectState.INTENDED, EffectEvent.CANCEL, True): (Decision.APPLY, EffectState.ABSENT),
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectRow:
-    """What the file holds of an effect. ``incarnation`` names the start of the server that intended it."""
+    """An effect as stored. ``incarnation`` identifies the start of the server that intended it."""
 
     state: EffectState = EffectState.ABSENT
     incarnation: str = ""
@@ -66,6 +66,6 @@
 
 
 def decide(row: EffectRow, event: EffectEvent, incarnation: str) -> tuple[Decision, EffectState]:
-    """The decision on an event that ``incarnation`` reports, and the next state of the row."""
+    """The decision on an event reported by ``incarnation``, and the next state of the row."""
     is_own = row.incarnation == incarnation
     return TRANSITIONS.get((row.state, event, is_own), (Decision.IGNORE, row.state))
--- a/lapishaven/ledger/writer.py
+++ b/lapishaven/ledger/writer.py
@@ -1,4 +1,4 @@
-"""The thread that makes operations durable, by group commit: what comes during one transaction goes into the next."""
+"""The writer thread of the ledger (group commit): operations that arrive during a transaction go into the next one."""
 
 from __future__ import annotations
 
@@ -11,41 +11,45 @@
 from lapishaven.ledger.database import LedgerDatabase, LedgerError, Operation, OperationOutcome
 from lapishaven.ledger.transitions import EffectEvent
 
-MAX_GROUP = 256  # operations of one transaction
-MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.05, 0.5  # after a failure; doubled each time
-WhenWritten = Callable[[OperationOutcome | None], None]  # None: it could not be made durable
+MAX_GROUP = 256  # operations per transaction
+MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.05, 0.5  # after a failed transaction; doubled each time
+WriteCallback = Callable[[OperationOutcome | None], None]  # None: the operation could not be made durable
 
 
 @dataclass(slots=True, eq=False)
 class PendingWrite:
-    """An operation that waits, and who is notified of its outcome."""
+    """A queued operation and the callback for its outcome."""
 
     operation: Operation
-    when_written: WhenWritten
+    on_written: WriteCallback
 
     @property
     def must_be_written(self) -> bool:
-        """Whether it says how a run ended. Without its intent a run does not start, so an intent may be dropped."""
+        """Whether a failed write must be retried, as the operation records how a run ended.
+
+        An intent may be dropped: without it the run does not start.
+        """
         return self.operation.event is not EffectEvent.INTEND
 
 
 class Writer:
-    """Writes operations in their order. Its callbacks are called on its own thread.
+    """Writes operations in order. Callbacks are called on the writer thread.
 
-    An intent that cannot be written is given up. What says how a run ended is tried again until it is durable or the
-    writer is closed. ``group_ended`` is called with the size of each group that is settled, and whether it is durable.
+    An intent that cannot be written is given up. An operation that records how a run ended is retried until it is
+    durable or the writer is closed. ``on_settled`` is called after each transaction with the number of operations that
+    were written or given up, and whether they are durable.
 
     Attributes:
-        commits: transactions that were written.
-        operations: operations in them.
+        commits: transactions committed.
+        operations: operations in those transactions.
         failures: transactions that failed.
     """
 
-    def __init__(self, database: LedgerDatabase, group_ended: Callable[[int, bool], None]) -> None:
+    def __init__(self, database: LedgerDatabase, on_settled: Callable[[int, bool], None]) -> None:
         self._database = database
-        self._group_ended = group_ended
+        self._on_settled = on_settled
         self._pending: deque[PendingWrite] = deque()
-        self._changed = threading.Condition()  # guards _pending and _closing
+        self._condition = threading.Condition()  # guards _pending and _closing
         self._closing = False
         self.commits = 0
         self.operations = 0
@@ -53,18 +57,21 @@
         self._thread = threading.Thread(target=self._run, name="record", daemon=True)
         self._thread.start()
 
-    def submit(self, operation: Operation, when_written: WhenWritten) -> None:
-        """Have the operation written; never waits for the file."""
-        with self._changed:
-            self._pending.append(PendingWrite(operation, when_written))
-            self._changed.notify()
+    def submit(self, operation: Operation, on_written: WriteCallback) -> None:
+        """Queue an operation to be written. Never waits for the file."""
+        with self._condition:
+            self._pending.append(PendingWrite(operation, on_written))
+            self._condition.notify()
 
-    def close(self, timeout: float) -> None:
-        """Write what is pending, then end. What is not written within ``timeout`` s stays uncertain in the file."""
-        with self._changed:
+    def close(self, timeout_s: float) -> None:
+        """Write pending operations and stop the thread.
+
+        Effects whose outcome is not written within ``timeout_s`` stay uncertain in the file.
+        """
+        with self._condition:
             self._closing = True
-            self._changed.notify()
-        self._thread.join(timeout)
+            self._condition.notify()
+        self._thread.join(timeout_s)
 
     def _run(self) -> None:
         pause_s = MIN_RETRY_PAUSE_S
@@ -83,13 +90,13 @@
             self._group_written(group, outcomes)
 
     def _next_group(self) -> tuple[list[PendingWrite], bool]:
-        """Wait for operations; gives them, and whether the writer is closing.
+        """Wait for operations; returns them, and whether the writer is closing.
 
-        The group is empty once the writer is closing and nothing is left.
+        The group is empty once the writer is closing and nothing is pending.
         """
-        with self._changed:
+        with self._condition:
             while not self._pending and not self._closing:
-                self._changed.wait()
+                self._condition.wait()
             group = [self._pending.popleft() for _ in range(min(MAX_GROUP, len(self._pending)))]
             return group, self._closing
 
@@ -97,15 +104,15 @@
         self.failures += 1
         retried = [] if closing else [write for write in group if write.must_be_written]
         given_up = [write for write in group if closing or not write.must_be_written]
-        with self._changed:
+        with self._condition:
             self._pending.extendleft(reversed(retried))
-        self._group_ended(len(given_up), False)
+        self._on_settled(len(given_up), False)
         for write in given_up:
-            write.when_written(None)
+            write.on_written(None)
 
     def _group_written(self, group: list[PendingWrite], outcomes: list[OperationOutcome]) -> None:
         self.commits += 1
         self.operations += len(group)
-        self._group_ended(len(group), True)
+        self._on_settled(len(group), True)
         for write, outcome in zip(group, outcomes, strict=True):
-            write.when_written(outcome)
+            write.on_written(outcome)
--- a/lapishaven/sqlite.py
+++ b/lapishaven/sqlite.py
@@ -1,4 +1,4 @@
-"""SQLite as this program uses it: durable at each commit, readers beside a writer, explicit transactions."""
+"""SQLite connections in WAL mode: durable at each commit, reads concurrent with a writer, explicit transactions."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from contextlib import contextmanager, suppress
 
 WAL_RETRY_INTERVAL_S = 0.01
-PRIMARY_CODE_MASK = 0xFF  # of an extended result code
+PRIMARY_CODE_MASK = 0xFF  # an extended result code has the primary code in its low byte
 
 
 def connect(path: str, busy_timeout_s: float) -> sqlite3.Connection:
-    """A connection with WAL and synchronous=FULL, on which transactions are begun explicitly.
+    """Open a connection with WAL and synchronous=FULL, on which transactions are begun explicitly.
 
-    ``busy_timeout_s``: how long a call waits for other writers. Raises ``sqlite3.Error``.
+    ``busy_timeout_s`` is how long a call waits for other writers. Raises ``sqlite3.Error``.
     """
     connection = sqlite3.connect(path, timeout=busy_timeout_s, isolation_level=None, check_same_thread=False)
     try:
@@ -27,7 +27,10 @@
 
 
 def _switch_to_wal(connection: sqlite3.Connection, busy_timeout_s: float) -> None:
-    """Retry while another connection switches the same new file: SQLite fails at once then, whatever the timeout."""
+    """Switch to WAL, retrying while another connection switches the same new file.
+
+    SQLite reports such a conflict at once, without waiting for the busy timeout.
+    """
     deadline = time.monotonic() + busy_timeout_s
     while True:
         try:
@@ -41,9 +44,9 @@
 
 
 def script(connection: sqlite3.Connection, statements: str) -> None:
-    """Execute statements within the open transaction, which ``executescript`` would commit.
+    """Execute several statements within the open transaction; ``executescript`` would commit it first.
 
-    Every statement but the last ends with a semicolon at the end of a line.
+    Every statement except the last must end with a semicolon at the end of a line.
     """
     for statement in statements.split(";\n"):
         connection.execute(statement)
@@ -51,7 +54,7 @@
 
 @contextmanager
 def writing(connection: sqlite3.Connection) -> Iterator[None]:
-    """A transaction from ``BEGIN IMMEDIATE`` to commit, rolled back by any exception. Raises ``sqlite3.Error``."""
+    """Run the block in a transaction (``BEGIN IMMEDIATE``); any exception rolls it back. Raises ``sqlite3.Error``."""
     connection.execute("begin immediate")
     try:
         yield
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -218,7 +218,7 @@
     effects = [Effect((row[0], row[1]), transitions.EffectState(row[2]), row[7], row[8]) for row in rows["effect"]]
     charges = [Charge((row[0], row[1]), row[2], row[3]) for row in rows["ledger"]]
     assert not list(differences(effects, charges))
-    wrong = [Charge(charge.name, charge.account, charge.words + 1) for charge in charges[:1]]
+    wrong = [Charge(charge.effect_id, charge.account, charge.words + 1) for charge in charges[:1]]
     assert list(differences(effects, [*wrong, *charges[1:]])) == [
-        "commit done: team/service was charged 3 words for 2",
+        "commit done: customer team/service was charged 3 words instead of 2",
     ]
