--- a/lapishaven/idempotency/__init__.py
+++ b/lapishaven/idempotency/__init__.py
@@ -1,4 +1,4 @@
-"""Results by idempotency key that outlive a restart, so that a retry is answered whichever process ran the effect."""
+"""Results by idempotency key that survive a restart, so that a retry is answered by whichever process receives it."""
 
 from lapishaven.idempotency.result_index import Entry, ResultIndex
 from lapishaven.idempotency.result_store import DurableResults
--- a/lapishaven/idempotency/result_index.py
+++ b/lapishaven/idempotency/result_index.py
@@ -1,8 +1,8 @@
-"""What is known of each effect, and so what a repeat of it is answered: the stored values, kept in memory. Pure.
+"""In-memory index of the stored effects, from which repeated requests are answered. Does no I/O.
 
-An intent is durable before the run starts, the result before the reply leaves. So after a kill an effect with a result
-is answered with it; one with an intent alone may have run, is never run again and never reported as rejected; one with
-neither never ran.
+An intent is durable before the run starts, the result before the reply is sent. So after a kill, an effect with a
+result is answered with it; one with only an intent may have run, so it is never run again and never reported as
+rejected; one with neither never ran.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from lapishaven.core.ports import EffectState
 
-INTENT, RESULT = b"I", b"R"  # the first byte of a stored value
-TIME_BYTES = 8  # the milliseconds after it, little-endian
+INTENT, RESULT = b"I", b"R"  # first byte of a stored value
+TIME_BYTES = 8  # length of the start time that follows: Unix milliseconds, little-endian
 HEADER_BYTES = 1 + TIME_BYTES
 MIN_EXPIRY_WAIT_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """What is known of one effect. ``since``: when it began, in Unix seconds."""
+    """What is known of an effect. ``since`` is when it began, in Unix seconds."""
 
     effect_state: EffectState
     since: float
@@ -28,26 +28,26 @@
 
 
 def encode(since: float, result: bytes | None) -> bytes:
-    """The stored value of a result, or of an intent where it is ``None``."""
-    kind = INTENT if result is None else RESULT
-    return kind + int(since * 1000).to_bytes(TIME_BYTES, "little") + (result or b"")
+    """Encode the stored value of a result, or of an intent if ``result`` is ``None``."""
+    value_type = INTENT if result is None else RESULT
+    return value_type + int(since * 1000).to_bytes(TIME_BYTES, "little") + (result or b"")
 
 
 def decode(value: bytes) -> Entry:
-    """What a value says that an earlier process stored. Raises ``ValueError`` if it is none."""
-    kind = value[:1]
-    if len(value) < HEADER_BYTES or kind not in (INTENT, RESULT):
-        raise ValueError("not the value of an effect")
+    """Decode a stored value as seen by a later process. Raises ``ValueError`` if it is not valid."""
+    value_type = value[:1]
+    if len(value) < HEADER_BYTES or value_type not in (INTENT, RESULT):
+        raise ValueError(f"not a stored effect: {len(value)} bytes that begin with {value[:HEADER_BYTES]!r}")
     since = int.from_bytes(value[1:HEADER_BYTES], "little") / 1000
-    if kind == RESULT:
+    if value_type == RESULT:
         return Entry(EffectState.DONE, since, value[HEADER_BYTES:])
     return Entry(EffectState.UNCERTAIN, since)
 
 
 class ResultIndex:
-    """Effects by stored key. They expire ``lifetime_s`` after they began, and are not removed earlier to make room.
+    """Effects by store key. They expire ``lifetime_s`` after they began and are never evicted earlier.
 
-    The time ``wall`` is in Unix seconds.
+    The parameter ``wall`` is the current time in Unix seconds.
     """
 
     def __init__(self, lifetime_s: float) -> None:
@@ -57,47 +57,51 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def restore(self, name: bytes, entry: Entry) -> None:
-        """Take over what an earlier process stored."""
-        self._entries[name] = entry
+    def restore(self, store_key: bytes, entry: Entry) -> None:
+        """Add an effect that an earlier process stored."""
+        self._entries[store_key] = entry
 
-    def find(self, wall: float, name: bytes) -> Entry:
-        """What is known of an effect."""
-        entry = self._entries.get(name)
+    def find(self, wall: float, store_key: bytes) -> Entry:
+        """What is known of an effect; its state is ``UNKNOWN`` if there is no entry or it has expired."""
+        entry = self._entries.get(store_key)
         if entry is None or entry.since + self.lifetime_s <= wall:
             return Entry(EffectState.UNKNOWN, wall)
         return entry
 
-    def mark_running(self, wall: float, name: bytes) -> None:
-        """A run of it is about to be recorded."""
-        self._entries[name] = Entry(EffectState.IN_PROGRESS, wall)
+    def mark_running(self, wall: float, store_key: bytes) -> None:
+        """Note that the intent of a run is being recorded."""
+        self._entries[store_key] = Entry(EffectState.IN_PROGRESS, wall)
 
-    def mark_completed(self, wall: float, name: bytes, result: bytes) -> None:
-        """Its result is durable."""
-        since = self._entries[name].since if name in self._entries else wall
-        self._entries[name] = Entry(EffectState.DONE, since, result)
+    def mark_completed(self, wall: float, store_key: bytes, result: bytes) -> None:
+        """Note that the result is durable."""
+        since = self._entries[store_key].since if store_key in self._entries else wall
+        self._entries[store_key] = Entry(EffectState.DONE, since, result)
 
-    def mark_uncertain(self, name: bytes) -> None:
-        """It ran, or may have, and gave no result."""
-        if (entry := self._entries.get(name)) is not None:
-            self._entries[name] = Entry(EffectState.UNCERTAIN, entry.since)
+    def mark_uncertain(self, store_key: bytes) -> None:
+        """Note that the effect ran or may have run and has no result."""
+        if (entry := self._entries.get(store_key)) is not None:
+            self._entries[store_key] = Entry(EffectState.UNCERTAIN, entry.since)
 
-    def remove(self, name: bytes) -> None:
-        """It provably never ran."""
-        self._entries.pop(name, None)
+    def remove(self, store_key: bytes) -> None:
+        """Remove an effect that provably never ran."""
+        self._entries.pop(store_key, None)
 
     def remove_expired(self, wall: float) -> int:
-        """Remove what is past its lifetime; returns how many."""
-        expired = [name for name, entry in self._entries.items() if entry.since + self.lifetime_s <= wall]
-        for name in expired:
-            del self._entries[name]
+        """Remove effects past their lifetime; returns how many were removed."""
+        expired = [store_key for store_key, entry in self._entries.items() if entry.since + self.lifetime_s <= wall]
+        for store_key in expired:
+            del self._entries[store_key]
         return len(expired)
 
     def uncertain_entries(self) -> Iterator[tuple[bytes, Entry]]:
-        """Every effect that may have run without a result."""
-        return ((name, entry) for name, entry in self._entries.items() if entry.effect_state is EffectState.UNCERTAIN)
+        """Every effect that ran or may have run and has no result."""
+        return (
+            (store_key, entry)
+            for store_key, entry in self._entries.items()
+            if entry.effect_state is EffectState.UNCERTAIN
+        )
 
     def next_expiry_in(self, wall: float) -> float | None:
-        """Seconds until the oldest expires; ``None`` if there are none."""
+        """Seconds until the oldest effect expires, at least ``MIN_EXPIRY_WAIT_S``; ``None`` if there is no effect."""
         oldest = min((entry.since for entry in self._entries.values()), default=None)
         return None if oldest is None else max(MIN_EXPIRY_WAIT_S, oldest + self.lifetime_s - wall)
--- a/lapishaven/idempotency/result_store.py
+++ b/lapishaven/idempotency/result_store.py
@@ -1,4 +1,4 @@
-"""Results by idempotency key in the embedded store. The store's own thread writes, so the event loop never waits."""
+"""Results by idempotency key in the embedded store. The store's thread writes, so the event loop never waits."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from lapishaven.storage import Store, StoreError, StoreFullError
 
 MAX_EFFECTS = 100_000
-STALL_S = 0.5  # age of the oldest write from which no new run is admitted
-RETRY_AFTER_S = 1.0  # where it is not known when there will be capacity
-EXPIRY_INTERVAL_S = 10.0  # between two removals of what is past its lifetime
+STALL_S = 0.5  # age of the oldest unfinished write above which no new run is admitted
+RETRY_AFTER_S = 1.0  # used if it is unknown when there will be capacity
+EXPIRY_INTERVAL_S = 10.0  # time between two removals of expired effects
 
 
 class DurableResults:
-    """Records effects in the store and answers repeats of them. See ``core.ports.DurableResultStore``.
+    """Records effects in the embedded store and answers repeats of them. See ``core.ports.DurableResultStore``.
 
     Parameters:
-        store: belongs to this object from now on.
-        lifetime_s: s for which an effect is remembered since it began.
-        limit: effects that are remembered; past it no new one is admitted.
-        wall: Unix seconds.
+        store: the embedded store; this object closes it.
+        lifetime_s: how long an effect is remembered, counted from its start.
+        limit: number of remembered effects at which no new one is admitted.
+        wall: clock that gives Unix seconds.
     """
 
     label = "storage"
@@ -42,44 +42,44 @@
         self.index = ResultIndex(lifetime_s)
         self._completions = CompletionQueue()
         self._write_lock = threading.Lock()  # guards _write_started_at
-        self._write_started_at: deque[float] = deque()  # when each write under way was begun, oldest first
+        self._write_started_at: deque[float] = deque()  # start time of each unfinished write, oldest first
         self._expired_at = wall()
-        for name, value, _ in store.scan():
+        for store_key, value, _ in store.scan():
             with suppress(ValueError):
-                self.index.restore(name, decode(value))
+                self.index.restore(store_key, decode(value))
 
     @property
     def ready(self) -> int:
-        """A descriptor that is readable when ``process_completions`` should be called."""
+        """A file descriptor that is readable when ``process_completions`` should be called."""
         return self._completions.ready
 
     @staticmethod
     def store_key(cls: str, key: str) -> bytes:
-        """The key under which an effect is stored."""
+        """The key under which an effect is stored in the embedded store."""
         return f"{cls}\0{key}".encode()
 
-    # ---- The core's port
+    # ---- Implementation of core.ports.DurableResultStore
     def find(self, cls: str, key: str) -> Entry:
         """What is known of an effect."""
         return self.index.find(self._wall(), self.store_key(cls, key))
 
     def record_intent(self, cls: str, key: str, sub: Submission, then: IntentCallback) -> float | None:
-        """Make the intent durable; ``then`` gets whether it is.
+        """Write the intent; ``then`` is called with whether it is durable.
 
-        Returns seconds after which to retry if it is not even tried, else ``None``.
+        Returns ``None``, or the seconds after which to retry if the intent is rejected; ``then`` is not called then.
         """
         wall = self._wall()
-        name = self.store_key(cls, key)
+        store_key = self.store_key(cls, key)
         retry_after = self._retry_after(wall)
         if retry_after is not None:
             return retry_after
         try:
-            future = self.store.put(name, encode(wall, None), wall + self.index.lifetime_s)
-        except StoreFullError as full:
-            return full.frees_in or RETRY_AFTER_S
+            future = self.store.put(store_key, encode(wall, None), wall + self.index.lifetime_s)
+        except StoreFullError as error:
+            return error.retry_after_s or RETRY_AFTER_S
         except (StoreError, ValueError):
             return RETRY_AFTER_S
-        self.index.mark_running(wall, name)
+        self.index.mark_running(wall, store_key)
 
         def intent_written(durable: bool) -> None:
             then(IntentOutcome.RECORDED if durable else IntentOutcome.NOT_RECORDED)
@@ -88,7 +88,7 @@
         return None
 
     def _retry_after(self, wall: float) -> float | None:
-        """Why no new effect is admitted, as the seconds until one might be; ``None`` if one is."""
+        """``None`` if a new effect is admitted, else the seconds after which to retry."""
         if wall - self._expired_at > EXPIRY_INTERVAL_S:
             self._expired_at = wall
             self.index.remove_expired(wall)
@@ -101,51 +101,51 @@
         return RETRY_AFTER_S if stalled else None
 
     def record_result(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None:
-        """Make the result durable; ``then`` gets whether it is."""
-        name = self.store_key(cls, key)
-        since = self.index.find(self._wall(), name).since
+        """Write the result; ``then`` is called with whether it is durable."""
+        store_key = self.store_key(cls, key)
+        since = self.index.find(self._wall(), store_key).since
         try:
-            future = self.store.put(name, encode(since, result), since + self.index.lifetime_s)
+            future = self.store.put(store_key, encode(since, result), since + self.index.lifetime_s)
         except (StoreError, ValueError):
-            self.index.mark_uncertain(name)
+            self.index.mark_uncertain(store_key)
             self._completions.post(lambda: then(False))
             return
 
-        def written(durable: bool) -> None:
+        def result_written(durable: bool) -> None:
             if durable:
-                self.index.mark_completed(self._wall(), name, result)
+                self.index.mark_completed(self._wall(), store_key, result)
             else:
-                self.index.mark_uncertain(name)
+                self.index.mark_uncertain(store_key)
             then(durable)
 
-        self._notify_when_durable(future, written)
+        self._notify_when_durable(future, result_written)
 
     def record_failure(self, cls: str, key: str) -> None:
-        """It ran and gave no result; the intent that is stored says just that."""
+        """Note that the effect ran and gave no result. The stored intent already means that, so nothing is written."""
         self.index.mark_uncertain(self.store_key(cls, key))
 
     def cancel_intent(self, cls: str, key: str) -> None:
-        """It provably never ran: its key is free."""
-        name = self.store_key(cls, key)
-        self.index.remove(name)
+        """Remove an effect that provably never ran, which frees its key."""
+        store_key = self.store_key(cls, key)
+        self.index.remove(store_key)
         with suppress(StoreError):
-            self.store.delete(name)
+            self.store.delete(store_key)
 
     def uncertain_effects(self) -> list[tuple[str, str, float]]:
-        """Class, key and age in seconds of what may have run without a result."""
+        """Class, key and age in seconds of each effect that ran or may have run and has no result."""
         wall = self._wall()
-        found = []
-        for name, entry in self.index.uncertain_entries():
-            cls, _, key = name.decode().partition("\0")
-            found.append((cls, key, max(0.0, wall - entry.since)))
-        return found
+        uncertain = []
+        for store_key, entry in self.index.uncertain_entries():
+            cls, _, key = store_key.decode().partition("\0")
+            uncertain.append((cls, key, max(0.0, wall - entry.since)))
+        return uncertain
 
     def process_completions(self) -> None:
-        """On the event loop: notify of what became durable since."""
+        """Call the callbacks of writes that have ended. Runs on the event loop."""
         self._completions.run_pending()
 
     def state(self) -> dict[str, int]:
-        """Gauges by name, for operators."""
+        """Figures by name, for operators."""
         stats = self.store.stats
         syncs = sorted(stats.sync_seconds)
         return {
@@ -160,21 +160,21 @@
         }
 
     def close(self) -> None:
-        """Close the store. All that was begun is durable after this."""
+        """Write all queued changes and close the store."""
         self.store.close()
         self._completions.close()
 
-    # ---- From the store's thread
+    # ---- Callbacks from the store's thread
     def _notify_when_durable(self, future: Future[int], then: Callable[[bool], None]) -> None:
-        """Have ``then`` called on the event loop with whether the write is durable."""
+        """Call ``then`` on the event loop once the write has ended, with whether it is durable."""
         with self._write_lock:
             self._write_started_at.append(time.monotonic())
 
-        def ended(future: Future[int]) -> None:
+        def write_ended(future: Future[int]) -> None:
             with self._write_lock:
                 if self._write_started_at:
-                    self._write_started_at.popleft()  # writes end in their order
+                    self._write_started_at.popleft()  # writes end in the order in which they were started
             durable = future.exception() is None
             self._completions.post(lambda: then(durable))
 
-        future.add_done_callback(ended)
+        future.add_done_callback(write_ended)
--- a/lapishaven/storage/__init__.py
+++ b/lapishaven/storage/__init__.py
@@ -1,4 +1,4 @@
-"""An embedded, single-writer, log-structured store for many small keys. Usable alone::
+"""An embedded, single-writer, log-structured key-value store for many small keys. Usable on its own::
 
 with Store.open("results") as store:
     store.put(b"key", b"value").result()  # durable once the future is done
--- a/lapishaven/storage/commit_queue.py
+++ b/lapishaven/storage/commit_queue.py
@@ -1,4 +1,4 @@
-"""The queue of batches that wait for a group commit."""
+"""The queue of batches waiting for a group commit."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @dataclass(slots=True)
 class PendingBatch:
-    """Records that are written together or not at all."""
+    """Records that are written atomically."""
 
     records: list[Record]
-    future: Future[int]  # its result is the sequence of the last record, once that is durable
-    size: int  # bytes
-    is_copy: bool = False  # made by compaction: the records keep their sequences
+    future: Future[int]  # completed with the last record's sequence number once it is durable
+    size: int  # in bytes
+    is_copy: bool = False  # made by compaction, which keeps the records' sequence numbers
 
 
 class CommitQueue:
-    """Batches in the order in which they came. Not synchronized: the store's lock is held by its users."""
+    """First-in, first-out queue of batches. Not synchronized: callers hold the store's lock."""
 
     def __init__(self) -> None:
         self._batches: list[PendingBatch] = []
@@ -34,7 +34,10 @@
         self.pending_bytes += batch.size
 
     def take_group(self, max_bytes: int) -> list[PendingBatch]:
-        """Remove the batches of the next group commit: at least one, more while they hold at most ``max_bytes``."""
+        """Remove the batches of the next group commit.
+
+        Batches are added until their total size exceeds ``max_bytes``, so the group may exceed it by one batch.
+        """
         group: list[PendingBatch] = []
         size = 0
         while self._batches and size <= max_bytes:
@@ -45,9 +48,9 @@
         return group
 
     def last_future(self) -> Future[int] | None:
-        """The future of the newest batch."""
+        """The future of the newest batch, or ``None`` if the queue is empty."""
         return self._batches[-1].future if self._batches else None
 
     def first_sequences(self) -> list[int]:
-        """The first sequence of each batch that was not made by compaction."""
+        """The first sequence number of each batch that was not made by compaction."""
         return [batch.records[0].sequence for batch in self._batches if not batch.is_copy]
--- a/lapishaven/storage/disk_reserve.py
+++ b/lapishaven/storage/disk_reserve.py
@@ -1,4 +1,4 @@
-"""A file that keeps disk space free for deletes."""
+"""A placeholder file that reserves disk space, so that deletes succeed on a full disk."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class DiskReserve:
-    """Space that is given up when a delete finds the disk full, and taken again after a later put."""
+    """Space that is released when a delete finds the disk full, and reserved again after a later put."""
 
     def __init__(self, files: FileSystem, size: int, held: bool) -> None:
-        """``size`` in bytes; 0 turns the reserve off. ``held``: whether the file is there already."""
+        """``size`` is in bytes; 0 turns the reserve off. ``held``: whether the file exists already."""
         self._files = files
         self._size = size
         self.held = held
 
-    def take(self) -> None:
-        """Write the file, if it is not there. Errors are ignored: the next put tries again."""
+    def reserve(self) -> None:
+        """Write the file if it does not exist. Errors are ignored, as the next put tries again."""
         if self.held or not self._size:
             return
         try:
@@ -31,7 +31,7 @@
             self.held = False
 
     def release(self) -> None:
-        """Remove the file, so that its space can be used."""
+        """Remove the file, which frees its space."""
         self.held = False
         with suppress(OSError):
             self._files.remove(RESERVE_FILE)
--- a/lapishaven/storage/errors.py
+++ b/lapishaven/storage/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong, each in one plain line."""
+"""Errors of the store, each with a one-line message, and records of damage."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class StoreError(Exception):
-    """The base of all errors of the store."""
+    """Base class of the store's errors."""
 
 
 class StoreFullError(StoreError):
-    """The disk, or a bound of bytes, is full. Nothing was written.
+    """The disk is full or a size limit is reached. Nothing was written.
 
-    ``frees_in``: seconds after which there may be capacity again, if that is known.
+    ``retry_after_s``: seconds after which there may be capacity again, or ``None`` if that is unknown.
     """
 
-    def __init__(self, text: str, frees_in: float | None = None) -> None:
+    def __init__(self, text: str, retry_after_s: float | None = None) -> None:
         super().__init__(text)
-        self.frees_in = frees_in
+        self.retry_after_s = retry_after_s
 
 
 class StoreLockedError(StoreError):
@@ -25,12 +25,12 @@
 
 
 class StoreWriteError(StoreError):
-    """A write or its fsync failed; what was not acknowledged is not stored."""
+    """A write or its fsync failed. Changes that were not acknowledged are not stored."""
 
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """Bytes that are no valid records; they are never served."""
+    """A range of bytes in a segment that are no valid records; they are never returned."""
 
     segment: int
     offset: int
--- a/lapishaven/storage/files.py
+++ b/lapishaven/storage/files.py
@@ -1,4 +1,4 @@
-"""The file system as the store needs it: a port, and the operating system's directory behind it."""
+"""The file system interface of the store, and its implementation on an operating system directory."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
     """The files of one directory. Every call may raise ``OSError``."""
 
     def names(self) -> list[str]:
-        """Names of all files, without the lock."""
+        """Names of all files except the lock file."""
 
     def size(self, name: str) -> int:
-        """Bytes of a file."""
+        """Size of a file in bytes."""
 
-    def read(self, name: str, at: int, size: int) -> bytes:
-        """Up to ``size`` bytes from the offset ``at``."""
+    def read(self, name: str, offset: int, size: int) -> bytes:
+        """Read up to ``size`` bytes from an offset."""
 
     def append(self, name: str, data: bytes) -> int:
-        """Write at the end, creating the file if needed; gives how many bytes were written, which may be fewer."""
+        """Append to a file, creating it if needed; returns the number of bytes written, which may be fewer."""
 
     def truncate(self, name: str, size: int) -> None:
         """Cut a file to ``size`` bytes."""
@@ -33,30 +33,30 @@
         """Make the content of a file durable."""
 
     def sync_directory(self) -> None:
-        """Make the names of the files durable."""
+        """Make creations, renames and removals of files durable."""
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, replacing another one."""
+        """Rename a file, replacing an existing file of the new name."""
 
     def remove(self, name: str) -> None:
         """Remove a file."""
 
     def lock(self) -> None:
-        """Keep other writers out until ``close`` or the end of the process. Raises ``StoreLockedError``."""
+        """Lock out other processes until ``close`` or the end of the process. Raises ``StoreLockedError``."""
 
     def close(self) -> None:
         """Close all files and release the lock."""
 
 
 class DirectoryFiles:
-    """A directory of the operating system. Descriptors stay open while their files exist."""
+    """Files of an operating system directory. A file's descriptor stays open until the file is removed or renamed."""
 
     def __init__(self, path: str) -> None:
         os.makedirs(path, exist_ok=True)
         self.path = path
         self._directory = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         self._descriptors: dict[str, int] = {}
-        self._lock: int | None = None
+        self._lock_descriptor: int | None = None
 
     def _descriptor(self, name: str) -> int:
         descriptor = self._descriptors.get(name)
@@ -71,25 +71,25 @@
             os.close(descriptor)
 
     def names(self) -> list[str]:
-        """Names of all files, without the lock, sorted."""
+        """Names of all files except the lock file, sorted."""
         return sorted(name for name in os.listdir(self.path) if name != LOCK_FILE)
 
     def size(self, name: str) -> int:
-        """Bytes of a file."""
+        """Size of a file in bytes."""
         return os.stat(f"{self.path}/{name}").st_size
 
-    def read(self, name: str, at: int, size: int) -> bytes:
-        """Up to ``size`` bytes from the offset ``at``; fewer only at the end of the file."""
+    def read(self, name: str, offset: int, size: int) -> bytes:
+        """Read up to ``size`` bytes from an offset; fewer only at the end of the file."""
         descriptor = self._descriptor(name)
-        parts = []
-        while size > 0 and (part := os.pread(descriptor, size, at)):
-            parts.append(part)
-            at += len(part)
-            size -= len(part)
-        return b"".join(parts)
+        chunks = []
+        while size > 0 and (chunk := os.pread(descriptor, size, offset)):
+            chunks.append(chunk)
+            offset += len(chunk)
+            size -= len(chunk)
+        return b"".join(chunks)
 
     def append(self, name: str, data: bytes) -> int:
-        """Write at the end; gives how many bytes were written."""
+        """Append to a file; returns the number of bytes written."""
         return os.write(self._descriptor(name), data)
 
     def truncate(self, name: str, size: int) -> None:
@@ -101,11 +101,11 @@
         os.fdatasync(self._descriptor(name))
 
     def sync_directory(self) -> None:
-        """Make the names of the files durable."""
+        """Make creations, renames and removals of files durable."""
         os.fsync(self._directory)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, replacing another one."""
+        """Rename a file, replacing an existing file of the new name."""
         self._close_descriptor(old)
         self._close_descriptor(new)
         os.rename(f"{self.path}/{old}", f"{self.path}/{new}")
@@ -116,22 +116,22 @@
         os.unlink(f"{self.path}/{name}")
 
     def lock(self) -> None:
-        """Take the advisory lock of the directory. Raises ``StoreLockedError`` if another process has it."""
-        self._lock = os.open(f"{self.path}/{LOCK_FILE}", os.O_RDWR | os.O_CREAT, 0o600)
+        """Take the directory's advisory lock. Raises ``StoreLockedError`` if another process holds it."""
+        self._lock_descriptor = os.open(f"{self.path}/{LOCK_FILE}", os.O_RDWR | os.O_CREAT, 0o600)
         try:
-            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            os.close(self._lock)
-            self._lock = None
-            raise StoreLockedError(f"another process writes to {self.path}") from None
+            os.close(self._lock_descriptor)
+            self._lock_descriptor = None
+            raise StoreLockedError(f"cannot lock {self.path}/{LOCK_FILE}: another process has the store open") from None
 
     def close(self) -> None:
         """Close all files and release the lock; further calls do nothing."""
         for name in list(self._descriptors):
             self._close_descriptor(name)
-        if self._lock is not None:
-            os.close(self._lock)
-            self._lock = None
+        if self._lock_descriptor is not None:
+            os.close(self._lock_descriptor)
+            self._lock_descriptor = None
         if self._directory >= 0:
             os.close(self._directory)
             self._directory = -1
--- a/lapishaven/storage/hint_file.py
+++ b/lapishaven/storage/hint_file.py
@@ -1,7 +1,7 @@
-"""Hint files: the index rows of a sealed segment, so that opening a store need not read its values.
+"""Hint files: the index rows of a sealed segment, so that opening a store does not read its values.
 
-A hint is optional. One that does not fit its segment, or is damaged, is ignored. ``docs/storage-format.md`` describes
-the format.
+A hint file is optional; one that is damaged or does not match its segment is ignored. ``docs/storage-format.md``
+describes the format.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from lapishaven.storage.segments import Segment
 
 MAGIC = b"LHHINT\x01\x00"
-SIZE_BYTES = 8  # of the segment's size
-TIME_BYTES = 8  # of the wall time
+SIZE_BYTES = 8  # length of the field for the segment's size
+TIME_BYTES = 8  # length of the field for the wall time
 CHECKSUM_BYTES = 4
 ROWS_OFFSET = len(MAGIC) + SIZE_BYTES + TIME_BYTES
 
@@ -28,11 +28,11 @@
     """The content of a hint file."""
 
     rows: np.ndarray
-    wall_time: float  # latest time that the store had seen, Unix seconds
+    wall_time: float  # latest time that the store had observed, Unix seconds
 
 
 def read_hint(files: FileSystem, segment: Segment, segment_size: int) -> Hint | None:
-    """The hint of a segment of so many bytes; ``None`` if there is none that is valid."""
+    """The hint of a segment of ``segment_size`` bytes; ``None`` if it has no valid hint."""
     try:
         data = files.read(segment.hint_name, 0, files.size(segment.hint_name))
     except OSError:
@@ -43,13 +43,13 @@
     if fmt.checksum(body) != int.from_bytes(data[-CHECKSUM_BYTES:], "little"):
         return None
     if int.from_bytes(body[len(MAGIC) : len(MAGIC) + SIZE_BYTES], "little") != segment_size:
-        return None  # made for another state of the segment
+        return None  # written for another length of the segment
     wall_time = float(np.frombuffer(body, np.float64, 1, len(MAGIC) + SIZE_BYTES)[0])
     return Hint(np.frombuffer(body, ROW_TYPE, offset=ROWS_OFFSET), wall_time)
 
 
 def write_hint(files: FileSystem, segment: Segment, hint: Hint) -> None:
-    """Write the hint of a sealed segment. Errors are ignored, as a hint only saves time."""
+    """Write the hint of a sealed segment. Errors are ignored, as a hint only speeds up opening."""
     size = segment.size.to_bytes(SIZE_BYTES, "little")
     body = MAGIC + size + np.float64(hint.wall_time).tobytes() + hint.rows.tobytes()
     temporary = f"{segment.number:08d}.tmp"
--- a/lapishaven/storage/record_reader.py
+++ b/lapishaven/storage/record_reader.py
@@ -1,4 +1,4 @@
-"""Reads records from segments by their place."""
+"""Reads records from segments by their location."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 from lapishaven.storage.errors import Damage
 from lapishaven.storage.files import FileSystem
 from lapishaven.storage.format import InvalidFrameError, Record
-from lapishaven.storage.index import split_place
+from lapishaven.storage.index import unpack_location
 from lapishaven.storage.segments import Segment, SegmentTable
 
-FIRST_READ_BYTES = 4096  # most records are shorter, and are read at once
+FIRST_READ_BYTES = 4096  # most records are shorter, so that one read is enough
 
 
 class RecordReader:
-    """Reads and verifies records. What cannot be verified is added to ``damage`` and never returned."""
+    """Reads and verifies records. Ranges that fail verification are added to ``damage`` and never returned."""
 
     def __init__(self, files: FileSystem, segments: SegmentTable, damage: list[Damage]) -> None:
         self._files = files
         self._segments = segments
         self._damage = damage
 
-    def read(self, place: int) -> Record | None:
-        """The record at a place of the index; ``None`` if its segment is gone or its bytes are damaged.
+    def read(self, location: int) -> Record | None:
+        """The record at a location; ``None`` if its segment was removed or its bytes are damaged.
 
         Raises ``OSError``.
         """
-        number, offset = split_place(place)
+        number, offset = unpack_location(location)
         segment = self._segments.get(number)
         if segment is None:
             return None
@@ -39,7 +39,7 @@
             return None
 
     def _decode(self, segment: Segment, offset: int, data: bytes) -> Record:
-        """Decode a record from its first bytes, and read the rest of a long one."""
+        """Decode a record from its first bytes, reading a longer record again in full."""
         try:
             return fmt.decode_record(data)
         except InvalidFrameError as error:
@@ -50,4 +50,4 @@
     def records_of(self, segment: Segment) -> list[tuple[int, Record]]:
         """All records of a segment with their offsets. Raises ``OSError``."""
         data = self._files.read(segment.name, 0, segment.size)
-        return [found for frame in fmt.scan_segment(data).frames for found in frame.records]
+        return [record for frame in fmt.scan_segment(data).frames for record in frame.records]
--- a/lapishaven/storage/recovery.py
+++ b/lapishaven/storage/recovery.py
@@ -1,4 +1,4 @@
-"""Opens the segments of a store: hints where they are valid, else every frame; cuts a torn tail."""
+"""Recovery: opens the segments of a store, from valid hint files or by scanning frames, and truncates a torn tail."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Recovery:
-    """One opening of a store's files. Fills ``segments``, ``damage``, ``stats`` and ``clock``."""
+    """Opens a store's files once. Updates ``segments``, ``damage``, ``stats`` and ``clock``."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._clock = clock
 
     def open_segments(self, names: list[str]) -> np.ndarray:
-        """Open every segment among the file names; gives the index rows of all records, in no order.
+        """Open every segment among the file names; returns the index rows of all records, unordered.
 
         Raises ``OSError``, and ``StoreError`` for a newer format.
         """
@@ -46,10 +46,10 @@
             if name.endswith(TEMPORARY_SUFFIX):
                 self._files.remove(name)
         numbers = sorted(int(name[:8]) for name in names if name.endswith(SEGMENT_SUFFIX))
-        parts = [self._open_segment(number, is_last=number == numbers[-1]) for number in numbers]
+        row_arrays = [self._open_segment(number, is_last=number == numbers[-1]) for number in numbers]
         for segment in self._segments:
-            segment.sealed = True  # each opening writes segments of its own
-        return np.concatenate([np.empty(0, dtype=ROW_TYPE), *parts])
+            segment.sealed = True  # new records go to a new segment
+        return np.concatenate([np.empty(0, dtype=ROW_TYPE), *row_arrays])
 
     def _open_segment(self, number: int, is_last: bool) -> np.ndarray:
         segment = Segment(number, 0, size=self._files.size(f"{number:08d}{SEGMENT_SUFFIX}"))
@@ -67,7 +67,7 @@
         return rows
 
     def _read_header(self, segment: Segment, is_last: bool) -> bool:
-        """Whether the segment is there: one whose creation was cut off by a power loss is removed."""
+        """Read a segment's header; returns false if its creation was interrupted, in which case it is removed."""
         header = self._files.read(segment.name, 0, fmt.SEGMENT_HEADER.size)
         try:
             _, segment.created_at_sequence = fmt.decode_segment_header(header)
@@ -76,19 +76,19 @@
                 self._stats.truncated_bytes += segment.size
                 self._files.remove(segment.name)
                 return False
-            segment.created_at_sequence = 0  # unknown, so it counts as older than every record
+            segment.created_at_sequence = 0  # unknown, so assume that it may have records older than any other
             length = min(segment.size, fmt.SEGMENT_HEADER.size)
             self._damage.append(Damage(segment.number, 0, length, str(error)))
         return True
 
     def _scan(self, segment: Segment, is_last: bool) -> np.ndarray:
-        """Read every frame of a segment."""
+        """Read every frame of a segment; returns the index rows of its records."""
         data = self._files.read(segment.name, 0, segment.size)
         scanned = fmt.scan_segment(data)
         for damaged in scanned.damage:
             self._damage.append(Damage(segment.number, damaged.offset, damaged.length, damaged.reason))
         if scanned.end < len(data):
-            self._end_at(segment, scanned.end, len(data), is_last)
+            self._drop_tail(segment, scanned.end, len(data), is_last)
         rows = np.empty(sum(len(frame.records) for frame in scanned.frames), dtype=ROW_TYPE)
         count = 0
         for frame in scanned.frames:
@@ -98,12 +98,12 @@
                 count += 1
         return rows
 
-    def _end_at(self, segment: Segment, end: int, size: int, is_last: bool) -> None:
-        """A tail without a valid frame: torn by a power loss in the last segment, damage in any other."""
+    def _drop_tail(self, segment: Segment, end: int, size: int, is_last: bool) -> None:
+        """Drop a tail without a valid frame: a torn write in the last segment, damage in any other."""
         if is_last:
             self._stats.truncated_bytes += size - end
             with suppress(OSError):
                 self._files.truncate(segment.name, end)
         else:
-            self._damage.append(Damage(segment.number, end, size - end, "a tail that cannot be read"))
+            self._damage.append(Damage(segment.number, end, size - end, "no valid frame up to the end of the segment"))
         segment.size = end
--- a/lapishaven/storage/segment_writer.py
+++ b/lapishaven/storage/segment_writer.py
@@ -1,4 +1,4 @@
-"""Writes frames to the log: the active segment, its end and its successor."""
+"""Appends frames to the active segment, seals it when it is full and creates the next one."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 from lapishaven.storage.files import FileSystem
 from lapishaven.storage.format import PUT, TOMBSTONE, Record
 from lapishaven.storage.hint_file import Hint, write_hint
-from lapishaven.storage.index import ABSENT, LOW_MASK, ROW_TYPE, digest, make_place
+from lapishaven.storage.index import ABSENT, LOW_MASK, ROW_TYPE, digest, pack_location
 from lapishaven.storage.record_reader import RecordReader
 from lapishaven.storage.segments import Limits, Segment, SegmentTable, Stats
 from lapishaven.storage.wall_clock import MonotonicWallClock
 
-DISK_FULL = (errno.ENOSPC, errno.EDQUOT)
-SYNCS_KEPT = 1000  # durations in ``Stats.sync_seconds``
+DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
+MAX_SYNC_DURATIONS = 1000  # length of ``Stats.sync_seconds``
 
 
 def index_row(segment: Segment, offset: int, record: Record) -> tuple[int, int, int, int, float]:
-    """The row of ``index.ROW_TYPE`` for a record at an offset of a segment."""
+    """The index row (``index.ROW_TYPE``) of a record at an offset in a segment."""
     key_digest = digest(record.key)
-    place = make_place(segment.number, offset) if record.kind == PUT else ABSENT
-    return key_digest >> 64, key_digest & LOW_MASK, place, record.sequence, record.expiry
+    location = pack_location(segment.number, offset) if record.kind == PUT else ABSENT
+    return key_digest >> 64, key_digest & LOW_MASK, location, record.sequence, record.expiry
 
 
 class SegmentWriter:
-    """Appends frames to the active segment. One thread at a time writes."""
+    """Appends frames to the active segment. Only one thread may write at a time."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         stats: Stats,
         last_written_sequence: Callable[[], int],
     ) -> None:
-        """``lock`` guards ``segments``. ``last_written_sequence``: everything up to it is written."""
+        """``lock`` guards ``segments``; all records up to ``last_written_sequence()`` are written."""
         self._files = files
         self._limits = limits
         self._segments = segments
@@ -59,10 +59,10 @@
         self._last_written_sequence = last_written_sequence
 
     def write_frame(self, records: list[Record], wall_time: float) -> tuple[Segment, int, int]:
-        """Append records as one frame and sync it; gives the segment, and where the frame begins and ends there.
+        """Append records as one frame and sync it; returns the segment and the frame's start and end offsets.
 
-        ``Segment.size`` is left to the caller, who sets it together with the index. Raises ``StoreFullError``,
-        ``StoreWriteError`` or ``OSError``; then nothing of the frame is durable.
+        The caller updates ``Segment.size``, together with the index. Raises ``StoreFullError``, ``StoreWriteError`` or
+        ``OSError``; nothing of the frame is durable then.
         """
         data = fmt.encode_frame(records, wall_time)
         segment = self._active_segment(len(data))
@@ -72,7 +72,7 @@
         return segment, start, start + len(data)
 
     def seal(self, segment: Segment) -> None:
-        """Write nothing more to a segment, and write its hint."""
+        """Mark a segment as sealed, so that nothing more is written to it, and write its hint file."""
         segment.sealed = True
         if segment.suspect:
             return
@@ -85,13 +85,15 @@
         try:
             self._files.sync(segment.name)
         except OSError as error:
-            self._distrust(segment)
-            raise StoreWriteError(f"fsync failed: {error.strerror}") from None
-        durations = self._stats.sync_seconds[-(SYNCS_KEPT - 1) :]
+            self._mark_suspect(segment)
+            raise StoreWriteError(
+                f"fsync of {segment.name} failed: {error.strerror}; later writes go to a new segment"
+            ) from None
+        durations = self._stats.sync_seconds[-(MAX_SYNC_DURATIONS - 1) :]
         self._stats.sync_seconds = [*durations, time.perf_counter() - started]
 
     def _active_segment(self, size: int) -> Segment:
-        """The segment that takes the next ``size`` bytes; a new one if the last is sealed or would grow too large."""
+        """The segment for the next ``size`` bytes; a new one if the last is sealed or would grow too large."""
         last = self._segments.last()
         if last is not None and not last.sealed:
             if last.size + size <= self._limits.segment_bytes or not last.record_count:
@@ -116,34 +118,37 @@
         return segment
 
     def _append(self, segment: Segment, data: bytes, only_deletes: bool) -> None:
-        """Write at the durable end of a segment, whole or not at all. Raises ``StoreFullError`` or ``OSError``."""
+        """Append to the durable end of a segment, all or nothing. Raises ``StoreFullError`` or ``OSError``."""
         try:
             self._append_all(segment, data)
         except OSError as error:
             try:
                 self._files.truncate(segment.name, segment.size)
             except OSError:
-                self._distrust(segment)
-            if error.errno not in DISK_FULL:
-                self._distrust(segment)
+                self._mark_suspect(segment)
+            if error.errno not in DISK_FULL_ERRNOS:
+                self._mark_suspect(segment)
                 raise
             if only_deletes and self._reserve.held:
                 self._reserve.release()
                 return self._append(segment, data, False)
-            raise StoreFullError("the disk is full", None) from None
+            raise StoreFullError(f"cannot append {len(data)} bytes to {segment.name}: {error.strerror}", None) from None
         if not only_deletes:
-            self._reserve.take()
+            self._reserve.reserve()
 
     def _append_all(self, segment: Segment, data: bytes) -> None:
-        rest = memoryview(data)
-        while rest:
-            written = self._files.append(segment.name, bytes(rest))
+        remaining = memoryview(data)
+        while remaining:
+            written = self._files.append(segment.name, bytes(remaining))
             if written <= 0:
-                raise OSError(errno.ENOSPC, "No space left on device")
-            rest = rest[written:]
+                raise OSError(errno.ENOSPC, f"disk accepted 0 of the remaining {len(remaining)} bytes")
+            remaining = remaining[written:]
 
-    def _distrust(self, segment: Segment) -> None:
-        """After a failed fsync or truncate the kernel's view of a file is unreliable: it ends where it was durable."""
+    def _mark_suspect(self, segment: Segment) -> None:
+        """Seal a segment at its durable end after a failed write, fsync or truncate.
+
+        The kernel may have dropped dirty pages after a failed fsync, so what it returns for them is unreliable.
+        """
         segment.suspect = True
         segment.sealed = True
         with suppress(OSError):
--- a/lapishaven/storage/store.py
+++ b/lapishaven/storage/store.py
@@ -1,7 +1,7 @@
-"""The store: puts, deletes and reads of one directory.
+"""The store: puts, deletes and reads in one directory.
 
-Writes never block the caller on the disk. A put goes to the memtable, where reads find it, and to the commit queue; the
-store's thread writes and syncs all queued batches in one group commit, and their futures are done then.
+Writes do not block the caller on the disk. A put goes to the memtable, where reads find it, and to the commit queue.
+The store's thread writes and syncs all queued batches in one group commit and then completes their futures.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from lapishaven.storage.files import DirectoryFiles, FileSystem
 from lapishaven.storage.format import PUT, TOMBSTONE, Record
 from lapishaven.storage.group_commit import GroupCommitter
-from lapishaven.storage.index import ABSENT, Index, digest, split_place
+from lapishaven.storage.index import ABSENT, Index, digest, unpack_location
 from lapishaven.storage.pending_writes import PendingWrites
 from lapishaven.storage.record_reader import RecordReader
 from lapishaven.storage.recovery import Recovery
@@ -33,15 +33,15 @@
 
 Change = tuple[bytes, bytes | None, float]  # key, value (None: delete), expiry in Unix seconds (0: never)
 
-IDLE_WAIT_S = 1.0  # of the store's thread between looks at an empty queue
-COPY_WAIT_S = 0.0005  # of ``compact`` while the store's thread writes copies
-PENDING_RETRY_S = 0.1  # for a put that is rejected because too much waits to be written
-SLICE_BYTES = 1 << 20  # of records that one slice of compaction copies
-MAX_SEGMENT_NUMBER = 1 << 24  # of a place in the index
+IDLE_WAIT_S = 1.0  # how long the store's thread waits for a batch before it checks the queue again
+COPY_WAIT_S = 0.0005  # pause of ``compact`` between slices, while the store's thread writes the copies
+PENDING_RETRY_S = 0.1  # suggested to a caller whose put is rejected because too many bytes wait to be written
+SLICE_BYTES = 1 << 20  # bytes of records that one slice of compaction copies
+MAX_SEGMENT_NUMBER = 1 << 24  # a location has 24 bits for the segment number
 
 
 class Store:
-    """One directory with a single writer::
+    """A key-value store in one directory, written by one process at a time::
 
         with Store.open("results") as store:
             store.put(b"key", b"value").result()  # durable once the future is done
@@ -57,9 +57,9 @@
         clock: Callable[[], float] = time.time,
         thread: bool = True,
     ) -> None:
-        """Open the store in ``files``. ``thread`` false: no thread commits and compacts, the caller does.
+        """Open the store in ``files``. If ``thread`` is false, the caller commits and compacts instead of a thread.
 
-        Raises ``StoreLockedError`` if another process has it, ``StoreError`` or ``OSError`` if it cannot be read.
+        Raises ``StoreLockedError`` if another process has it open, ``StoreError`` or ``OSError`` if it cannot be read.
         """
         self.files = files
         self.limits = limits or Limits()
@@ -116,24 +116,24 @@
 
     @classmethod
     def open(cls, path: str, limits: Limits | None = None) -> Store:
-        """Open, or create, the store in a directory. Raises ``StoreLockedError`` if another process has it."""
+        """Open or create the store in a directory. Raises ``StoreLockedError`` if another process has it open."""
         return cls(DirectoryFiles(path), limits)
 
     def __enter__(self) -> Store:
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, error_type: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         self.close()
 
     def now(self) -> float:
-        """Unix seconds that never step back, not over a restart either."""
+        """The current time in Unix seconds; it never goes back, not even across a restart."""
         return self._clock.now()
 
-    # ---- Opening
+    # ---- Recovery
     def _recover(self) -> bool:
-        """Read the files; gives whether the disk reserve is there."""
+        """Load the index from the files; returns whether the disk reserve exists."""
         started = time.perf_counter()
         names = self.files.names()
         recovery = Recovery(self.files, self.segments, self.damage, self.stats, self._clock)
@@ -146,8 +146,8 @@
     def _load_index(self, rows: np.ndarray) -> None:
         self._pending.sequence = int(rows["seq"].max(initial=0))
         self.index.load(rows)
-        for place, _ in self.index.places():
-            self.segments[split_place(place)[0]].live_count += 1
+        for location, _ in self.index.locations():
+            self.segments[unpack_location(location)[0]].live_count += 1
         for segment in self.segments:
             segment.tombstone_count = min(segment.tombstone_count, segment.record_count - segment.live_count)
 
@@ -155,25 +155,26 @@
     def put(self, key: bytes, value: bytes, expiry: float = 0.0) -> Future[int]:
         """Set a key. ``expiry`` is in Unix seconds, 0 for never.
 
-        The future gives the record's sequence once it is durable. Raises as ``batch``.
+        The future's result is the record's sequence number, once the record is durable. Raises the same errors as
+        ``batch``.
         """
         return self.batch([(key, value, expiry)])
 
     def delete(self, key: bytes) -> Future[int]:
-        """Remove a key, if it is there. Raises as ``batch``."""
+        """Remove a key if it exists. Raises the same errors as ``batch``."""
         return self.batch([(key, None, 0.0)])
 
     def batch(self, changes: Sequence[Change]) -> Future[int]:
-        """Several puts (key, value, expiry) and deletes (key, None, 0), applied together or not at all.
+        """Apply several puts (key, value, expiry) and deletes (key, None, 0) atomically.
 
-        Raises ``ValueError`` for an empty batch, and keys or values out of their bounds; ``StoreFullError`` where
-        capacity is missing; ``StoreError`` after ``close``. A write that fails later raises ``StoreError`` from the
-        future.
+        Raises ``ValueError`` for an empty batch and for keys or values whose size is out of bounds, ``StoreFullError``
+        if a size limit is reached, and ``StoreError`` after ``close``. If the write fails later, the future raises
+        ``StoreError``.
         """
         _check_changes(changes)
         with self.lock:
             if self._closed:
-                raise StoreError("the store is closed")
+                raise StoreError(f"batch of {len(changes)} changes rejected: the store is closed")
             size = sum(fmt.RECORD_HEADER.size + len(key) + len(value or b"") for key, value, _ in changes)
             if any(value is not None for _, value, _ in changes):
                 self._check_capacity(size)
@@ -181,44 +182,56 @@
             return self._pending.add_changes(records, size)
 
     def _check_capacity(self, size: int) -> None:
-        """Raise ``StoreFullError`` if ``size`` more bytes may not be put."""
+        """Raise ``StoreFullError`` if a put of ``size`` bytes would exceed a limit."""
         pending = self._pending.queue.pending_bytes
         if pending + size > self.limits.pending_bytes:
             self.stats.rejected += 1
-            raise StoreFullError(f"{pending} bytes wait to be written", PENDING_RETRY_S)
+            raise StoreFullError(
+                f"put of {size} bytes rejected: {pending} bytes wait to be written, limit {self.limits.pending_bytes}",
+                PENDING_RETRY_S,
+            )
         total = self.limits.total_bytes
         if total and self.disk_bytes + pending + size > total:
             self.stats.rejected += 1
-            raise StoreFullError(f"the bound of {total} bytes is reached", self.seconds_to_expiry())
+            raise StoreFullError(
+                f"put of {size} bytes rejected: {self.disk_bytes} bytes stored and {pending} waiting, limit {total}",
+                self.seconds_to_expiry(),
+            )
 
     def seconds_to_expiry(self) -> float | None:
-        """Seconds until the next record expires; ``None`` if none will soon."""
+        """Seconds until the next record expires; ``None`` if none expires within about four minutes."""
         with self.lock:
             return self._committer.seconds_to_expiry()
 
     @property
     def disk_bytes(self) -> int:
-        """Size of all segments."""
+        """Total size of all segments."""
         return self.segments.total_bytes()
 
     def sync(self) -> int:
-        """Wait until everything put so far is durable; gives its sequence. Raises as the futures would."""
+        """Wait until everything put so far is durable; returns the last sequence number.
+
+        Raises the error of the last write if it failed.
+        """
         with self.lock:
-            last = self._pending.queue.last_future()
+            last_future = self._pending.queue.last_future()
             sequence = self._pending.sequence
         if self._thread is None:
             self.commit()
-        elif last is None:
+        elif last_future is None:
             self._committer.wait_for_current()
-        return last.result() if last is not None else sequence
+        return last_future.result() if last_future is not None else sequence
 
     def commit(self) -> bool:
-        """Write and sync one group; whether there was one. The store's thread calls it; without one, the caller."""
+        """Write and sync one group of batches; returns whether there was one.
+
+        Called by the store's thread, or by the caller if the store has none.
+        """
         return self._committer.commit()
 
     # ---- Reading
     def get(self, key: bytes) -> bytes | None:
-        """The value, or ``None``. Records that are not yet durable are visible. Raises ``OSError``."""
+        """The value of a key, or ``None``. Writes are visible before they are durable. Raises ``OSError``."""
         key_digest = digest(key)
         with self.lock:
             record = self._pending.memtable.get(key_digest)
@@ -232,16 +245,16 @@
 
     def _read_durable(self, key_digest: int, key: bytes) -> Record | None:
         entry = self.index.get(key_digest)
-        if entry is None or entry.place == ABSENT:
+        if entry is None or entry.location == ABSENT:
             return None
-        record = self._reader.read(entry.place)
-        # A record of another key can only be the result of damage, and is never served.
+        record = self._reader.read(entry.location)
+        # A record of another key can only result from damage and is never returned.
         return record if record is not None and record.key == key else None
 
     def scan(self) -> Iterator[tuple[bytes, bytes, float]]:
-        """Every key, value and expiry at the time of the call, while writes go on."""
+        """Every key, value and expiry as of the start of the iteration, while writes continue."""
         with self.lock:
-            places = [place for place, _ in self.index.places()]
+            locations = [location for location, _ in self.index.locations()]
             unwritten = self._pending.memtable.records()
             pinned = self.segments.pin_all()
             now = self.now()
@@ -250,23 +263,23 @@
                 if record.kind == PUT and not 0 < record.expiry <= now:
                     yield record.key, record.value, record.expiry
             unwritten_keys = {record.key for record in unwritten}
-            for place in places:
+            for location in locations:
                 with self.lock:
-                    found = self._reader.read(place)
-                if found is not None and found.key not in unwritten_keys and not 0 < found.expiry <= now:
-                    yield found.key, found.value, found.expiry
+                    durable = self._reader.read(location)
+                if durable is not None and durable.key not in unwritten_keys and not 0 < durable.expiry <= now:
+                    yield durable.key, durable.value, durable.expiry
         finally:
             with self.lock:
                 self.segments.unpin(pinned)
 
     def __len__(self) -> int:
-        """Number of keys, including expired ones that were not yet swept."""
+        """Number of keys, including expired ones that were not removed yet."""
         with self.lock:
             return len(self.index)
 
     # ---- Compaction
     def compact(self, everything: bool = False) -> int:
-        """Compact until nothing more is gained; gives the bytes freed."""
+        """Compact until no segment qualifies; returns the bytes freed."""
         size_before = self.disk_bytes
         last_number = self.segments.last_number()
         while self.compact_slice(everything=everything, max_number=last_number):
@@ -279,17 +292,17 @@
     def compact_slice(
         self, max_bytes: int = SLICE_BYTES, everything: bool = False, max_number: int = MAX_SEGMENT_NUMBER
     ) -> bool:
-        """Run one slice of compaction, which copies about ``max_bytes``; whether there is more to do."""
+        """Run one slice of compaction, which copies about ``max_bytes``; returns whether there is more to do."""
         return self._compaction.run_slice(max_bytes, everything, max_number)
 
     def _write_copies(self, records: list[Record]) -> Future[int]:
-        """Write records again with their sequences."""
+        """Queue records that compaction copies, with their sequence numbers unchanged."""
         with self.lock:
             return self._pending.add_copies(records)
 
-    # ---- Snapshots and the end
+    # ---- Snapshots and shutdown
     def snapshot(self, path: str) -> int:
-        """Copy everything that is durable now into an empty directory, while writes go on; gives the bytes.
+        """Copy everything that is durable now into an empty directory, while writes continue; returns the bytes copied.
 
         Raises ``StoreError`` if the directory is not empty, and ``OSError``.
         """
@@ -306,7 +319,7 @@
                 self.segments.unpin(pinned)
 
     def _run(self) -> None:
-        """The store's thread."""
+        """Commit and compact until the store is closed. Runs on the store's thread."""
         while True:
             with self._pending.available:
                 while not len(self._pending.queue) and not self._closed:
@@ -314,11 +327,11 @@
                 if self._closed and not len(self._pending.queue):
                     return
             self.commit()
-            with suppress(OSError):  # a segment that cannot be read stays as it is
+            with suppress(OSError):  # a segment that cannot be read is not compacted
                 self.compact_slice()
 
     def close(self) -> None:
-        """Write what is queued, seal the last segment and release the lock; further calls do nothing."""
+        """Write queued batches, seal the last segment and release the lock. Further calls do nothing."""
         with self._pending.available:
             if self._closed:
                 return
@@ -336,7 +349,10 @@
 
 def _check_changes(changes: Sequence[Change]) -> None:
     if not changes:
-        raise ValueError("a batch of nothing")
+        raise ValueError("batch rejected: it has no changes")
     for key, value, _ in changes:
         if not 0 < len(key) <= fmt.MAX_KEY_BYTES or len(value or b"") > fmt.MAX_VALUE_BYTES:
-            raise ValueError(f"a key is of 1 to {fmt.MAX_KEY_BYTES} bytes, a value of up to {fmt.MAX_VALUE_BYTES}")
+            raise ValueError(
+                f"batch rejected: key of {len(key)} bytes (allowed 1 to {fmt.MAX_KEY_BYTES}),"
+                f" value of {len(value or b'')} bytes (at most {fmt.MAX_VALUE_BYTES})"
+            )
--- a/lapishaven/storage/wheel.py
+++ b/lapishaven/storage/wheel.py
@@ -3,21 +3,21 @@
 from __future__ import annotations
 
 SLOTS = 256
-LEVELS = 4  # spans of 256 s, 18 hours, 194 days and 136 years
+LEVELS = 4  # covering 256 s, 18 hours, 194 days and 136 years
 
 
 class TimingWheel:
-    """Keys with a time at which they expire. A key may be added more than once; the caller checks what still holds."""
+    """Keys with expiry times. A key may be added more than once; the caller checks whether an expiry still applies."""
 
     def __init__(self, now: float) -> None:
         self._now = int(now)
         self._levels: list[list[list[tuple[int, int]]]] = [[[] for _ in range(SLOTS)] for _ in range(LEVELS)]
         self.count = 0
 
-    def add(self, when: float, key: int) -> None:
-        """Have ``expire`` give the key in the second after ``when`` (Unix seconds)."""
+    def add(self, expiry: float, key: int) -> None:
+        """Add a key that ``expire`` returns in the second after ``expiry`` (Unix seconds)."""
         self.count += 1
-        self._insert(max(int(when) + 1, self._now + 1), key)
+        self._insert(max(int(expiry) + 1, self._now + 1), key)
 
     def _insert(self, tick: int, key: int) -> None:
         distance = tick - self._now
@@ -27,7 +27,7 @@
                 return
 
     def expire(self, now: float) -> list[int]:
-        """Remove and return the keys whose time has come."""
+        """Remove and return the keys that have expired."""
         expired: list[int] = []
         while self._now < int(now):
             self._now += 1
@@ -40,7 +40,7 @@
         return expired
 
     def _cascade(self) -> None:
-        """Move entries of the higher wheels whose slot has come to lower ones."""
+        """Move the entries of the higher levels' current slots to lower levels."""
         for level in range(LEVELS - 1, 0, -1):
             if self._now % SLOTS**level == 0:
                 slot = self._now // SLOTS**level % SLOTS
@@ -50,8 +50,8 @@
                     self._insert(max(tick, self._now), key)
 
     def seconds_to_next(self, limit: int = SLOTS) -> int | None:
-        """Seconds until a key expires, if the lowest wheel has one within ``limit`` seconds."""
-        for ahead in range(1, min(limit, SLOTS)):
-            if self._levels[0][(self._now + ahead) % SLOTS]:
-                return ahead
+        """Seconds until the next key expires; ``None`` if the lowest level has none within ``limit`` seconds."""
+        for seconds in range(1, min(limit, SLOTS)):
+            if self._levels[0][(self._now + seconds) % SLOTS]:
+                return seconds
         return None
--- a/tests/test_sqlite.py
+++ b/tests/test_sqlite.py
@@ -1,4 +1,4 @@
-"""Opening one new SQLite file by many connections at once."""
+"""Tests of the SQLite helper: many connections open the same new file at once."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 
 def test_many_connections_may_open_one_new_file_at_once(tmp_path: Path) -> None:
-    """Guards against a server that does not start as another one switches the same new file to WAL: SQLite fails
-    that switch at once, however long the timeout."""
-    failed: list[sqlite3.Error] = []
+    """Guards against a server that fails to start while another one switches the same new file to WAL: SQLite then
+    fails at once, without waiting for the busy timeout."""
+    errors: list[sqlite3.Error] = []
     for n in range(ROUNDS):
-        path, together = str(tmp_path / f"{n}.db"), threading.Barrier(CONNECTIONS)
+        path, barrier = str(tmp_path / f"{n}.db"), threading.Barrier(CONNECTIONS)
 
-        def opens(path: str = path, together: threading.Barrier = together) -> None:
-            together.wait()
+        def open_file(path: str = path, barrier: threading.Barrier = barrier) -> None:
+            barrier.wait()
             try:
-                base = sqlite.connect(path, 5.0)
-                with sqlite.writing(base):
-                    base.execute("create table if not exists t (x integer)")
-                base.close()
+                connection = sqlite.connect(path, 5.0)
+                with sqlite.writing(connection):
+                    connection.execute("create table if not exists t (x integer)")
+                connection.close()
             except sqlite3.Error as error:
-                failed.append(error)
+                errors.append(error)
 
-        threads = [threading.Thread(target=opens) for _ in range(CONNECTIONS)]
+        threads = [threading.Thread(target=open_file) for _ in range(CONNECTIONS)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-    assert failed == []
+    assert errors == []
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The embedded store: cut, flipped and lost bytes at every place, faults of the disk at every call, and its use."""
+"""Tests of the embedded store: truncated and corrupted files, power loss, disk faults, compaction and concurrency."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as profile
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from lapishaven.lab.disk import Disk
@@ -25,11 +25,11 @@
 from lapishaven.storage.wheel import TimingWheel
 
 ROOT = Path(__file__).parent.parent
-SMALL = Limits(segment_bytes=400, reserve_bytes=64)
-Model = dict[bytes, bytes]
+SMALL_LIMITS = Limits(segment_bytes=400, reserve_bytes=64)
+Model = dict[bytes, bytes]  # the expected content of a store
 
 
-def open_on(disk: Disk, limits: Limits = SMALL, clock: Callable[[], float] = lambda: 1000.0) -> Store:
+def open_store(disk: Disk, limits: Limits = SMALL_LIMITS, clock: Callable[[], float] = lambda: 1000.0) -> Store:
     disk.locked = False
     return Store(disk.mount(), limits, clock, thread=False)
 
@@ -38,28 +38,28 @@
     return {key: value for key, value, _ in store.scan()}
 
 
-def lived(seed: int = 1, steps: int = 40, compact: bool = True) -> tuple[Disk, list[Model]]:
-    """A disk on which a store has lived, and every state that was acknowledged, the last one at the end."""
-    disk, rnd = Disk(), Random(seed)
-    store = open_on(disk)
+def populated_disk(seed: int = 1, steps: int = 40, compact: bool = True) -> tuple[Disk, list[Model]]:
+    """A disk after a sequence of random writes, and the content of the store after each acknowledged write."""
+    disk, random = Disk(), Random(seed)
+    store = open_store(disk)
     model: Model = {}
     states = [dict(model)]
     for n in range(steps):
-        key = b"k%d" % rnd.randrange(8)
-        if rnd.random() < 0.3 and model:
-            key = rnd.choice(sorted(model))
+        key = b"k%d" % random.randrange(8)
+        if random.random() < 0.3 and model:
+            key = random.choice(sorted(model))
             store.delete(key)
             model.pop(key, None)
-        elif rnd.random() < 0.3:
+        elif random.random() < 0.3:
             other = b"k%d" % ((int(key[1:]) + 1) % 8)
             store.batch([(key, b"b%d" % n, 0.0), (other, None, 0.0)])
             model[key] = b"b%d" % n
             model.pop(other, None)
         else:
-            store.put(key, b"v%d" % n, 500.0 if rnd.random() < 0.1 else 0.0)
+            store.put(key, b"v%d" % n, 500.0 if random.random() < 0.1 else 0.0)
             model[key] = b"v%d" % n
             if store.get(key) is None:
-                del model[key]  # it had expired already
+                del model[key]  # its expiry is in the past
         store.sync()
         states.append(dict(model))
         if compact and n % 10 == 9:
@@ -68,153 +68,155 @@
     return disk, states
 
 
-# Guards against a store that cannot be opened, that loses what was acknowledged before the cut, or that gives
-# back what was deleted: every file is cut at every byte.
+# Guards against a store that cannot be opened after a truncation, loses writes acknowledged before the cut, or returns
+# deleted keys. Every file is truncated at every byte.
 @pytest.mark.parametrize("compact", [False, True])
-def test_cut_at_every_byte(compact: bool) -> None:
-    disk, states = lived(compact=compact)
-    tried = 0
+def test_every_file_truncated_at_every_byte(compact: bool) -> None:
+    disk, states = populated_disk(compact=compact)
+    cut_count = 0
     for name in [name for name in disk.files if name != "ballast"]:
-        last = name == max(n for n in disk.files if n.endswith(".seg"))
+        is_last_segment = name == max(other for other in disk.files if other.endswith(".seg"))
         for size in range(len(disk.files[name].data)):
-            found = disk.copy()
-            del found.files[name].data[size:]
-            store = open_on(found)
+            copy = disk.copy()
+            del copy.files[name].data[size:]
+            store = open_store(copy)
             now = contents(store)
-            if last and not compact:  # compaction moves older records to the end, so a cut there is no moment
-                assert now in states, (name, size)  # a state that once was, whole batches only
-            else:
-                assert all(states_with(states, key, value) for key, value in now.items())
+            if is_last_segment and not compact:
+                assert now in states, (name, size)  # an acknowledged state; batches are atomic
+            else:  # compaction moves older records to the end, so a cut there need not give an earlier state
+                assert all(was_stored(states, key, value) for key, value in now.items())
             if name.endswith(".hint"):
                 assert now == states[-1]
             store.put(b"after", b"1")
             store.sync()
             store.close()
-            assert contents(open_on(found))[b"after"] == b"1"
-            tried += 1
-    assert tried > 300
+            assert contents(open_store(copy))[b"after"] == b"1"
+            cut_count += 1
+    assert cut_count > 300
 
 
-def states_with(states: list[Model], key: bytes, value: bytes) -> bool:
+def was_stored(states: list[Model], key: bytes, value: bytes) -> bool:
     return any(state.get(key) == value for state in states)
 
 
-# Guards against damage that is served as data, or that takes along what is whole behind it.
-def test_a_byte_flipped_at_every_place() -> None:
-    disk, states = lived(seed=2, compact=False)
+# Guards against damaged records that are returned as data, and against damage that hides intact records after it.
+def test_every_byte_corrupted() -> None:
+    disk, states = populated_disk(seed=2, compact=False)
     final = states[-1]
     for name in [name for name in disk.files if name != "ballast"]:
-        for at in range(len(disk.files[name].data)):
-            found = disk.copy()
-            found.files[name].data[at] ^= 0x41
+        for offset in range(len(disk.files[name].data)):
+            copy = disk.copy()
+            copy.files[name].data[offset] ^= 0x41
             try:
-                store = open_on(found)
+                store = open_store(copy)
             except StoreError as error:
-                assert "format" in str(error)  # the flip made the version a newer one
+                assert "program reads up to 1" in str(error)  # the flip raised the format version
                 continue
             now = contents(store)
             for key, value in now.items():
-                assert states_with(states, key, value), (name, at, key)
+                assert was_stored(states, key, value), (name, offset, key)
             if name.endswith(".hint"):
                 assert now == final
             elif now != final:
-                assert store.damage or store.stats.truncated_bytes, (name, at)
+                assert store.damage or store.stats.truncated_bytes, (name, offset)
             intact = [key for key in final if now.get(key) == final[key]]
-            assert len(intact) >= len(final) - 4  # one frame's records at the most, and what they had replaced
+            assert (
+                len(intact) >= len(final) - 4
+            )  # at most the records of one frame, and the older ones that they replaced
 
 
-# Guards against records that were acknowledged and are not on the disk, whatever the disk kept of the rest.
+# Guards against the loss of acknowledged records, whichever unsynced bytes survive the power loss.
 @pytest.mark.parametrize("seed", range(150))
 def test_power_loss_at_any_time(seed: int) -> None:
-    rnd, disk = Random(seed), Disk()
-    store = open_on(disk)
-    model, maybe = dict[bytes, bytes](), dict[bytes, set[bytes | None]]()
-    stop = rnd.randrange(2, 40)
-    for n in range(stop):
-        key = b"k%d" % rnd.randrange(6)
-        if rnd.random() < 0.3:
+    random, disk = Random(seed), Disk()
+    store = open_store(disk)
+    model, possible_values = dict[bytes, bytes](), dict[bytes, set[bytes | None]]()
+    write_count = random.randrange(2, 40)
+    for n in range(write_count):
+        key = b"k%d" % random.randrange(6)
+        if random.random() < 0.3:
             store.delete(key)
             model.pop(key, None)
         else:
             store.put(key, b"v%d" % n)
             model[key] = b"v%d" % n
         store.sync()
-        if rnd.random() < 0.2:
+        if random.random() < 0.2:
             store.compact_slice(max_bytes=60, everything=True)
             store.commit()
-    # And something that is on its way while the power goes: written, and not synced.
-    lost = b"k%d" % rnd.randrange(6)
+    # One write is in progress at the power loss: written, but not synced.
+    unsynced = b"k%d" % random.randrange(6)
     disk.fault = lambda call, name: OSError(errno.EIO, "gone") if call in ("sync", "truncate") else None
-    store.put(lost, b"late")
+    store.put(unsynced, b"late")
     store.commit()
-    maybe[lost] = {b"late", model.get(lost)}
-    after = disk.lose_power(rnd)
+    possible_values[unsynced] = {b"late", model.get(unsynced)}
+    after = disk.lose_power(random)
     for _ in range(2):
-        again = open_on(after)
-        now = contents(again)
+        store = open_store(after)
+        now = contents(store)
         for key in {*model, *now}:
-            assert now.get(key) in maybe.get(key, {model.get(key)}), (key, now.get(key), model.get(key))
-        again.close()
+            assert now.get(key) in possible_values.get(key, {model.get(key)}), (key, now.get(key), model.get(key))
+        store.close()
         after = after.copy()
 
 
-# Guards against a compaction that is cut off at any of its steps: at every call to the disk from its start on.
-def test_compaction_cut_at_every_step() -> None:
-    base, states = lived(seed=3, compact=False)
-    counting = base.copy()
-    store = open_on(counting)
-    start = len(counting.calls)
+# Guards against a compaction that loses records when it is interrupted, at any of its calls to the disk.
+def test_compaction_interrupted_at_every_disk_call() -> None:
+    original, states = populated_disk(seed=3, compact=False)
+    uninterrupted = original.copy()
+    store = open_store(uninterrupted)
+    calls_before = len(uninterrupted.calls)
     store.compact(everything=True)
-    steps = len(counting.calls) - start
-    assert contents(store) == states[-1] and steps > 20
-    assert store.disk_bytes < sum(len(f.data) for n, f in base.files.items() if n.endswith(".seg"))
-    for cut in range(steps):
-        disk = base.copy()
-        store = open_on(disk)
-        left = [cut]
-
-        def fault(call: str, name: str, left: list[int] = left) -> OSError | None:
-            left[0] -= 1
-            return OSError(errno.EIO, "the machine stopped") if left[0] < 0 else None
+    call_count = len(uninterrupted.calls) - calls_before
+    assert contents(store) == states[-1] and call_count > 20
+    assert store.disk_bytes < sum(len(file.data) for name, file in original.files.items() if name.endswith(".seg"))
+    for allowed_calls in range(call_count):
+        disk = original.copy()
+        store = open_store(disk)
+        remaining_calls = [allowed_calls]
+
+        def fault(call: str, name: str, remaining_calls: list[int] = remaining_calls) -> OSError | None:
+            remaining_calls[0] -= 1
+            return OSError(errno.EIO, "the machine stopped") if remaining_calls[0] < 0 else None
 
         disk.fault = fault
         with suppress(OSError):
             store.compact(everything=True)
         disk.fault = lambda call, name: None
-        for kept in (disk.copy(), disk.lose_power(Random(cut))):
-            assert contents(open_on(kept)) == states[-1], cut
+        for survivor in (disk.copy(), disk.lose_power(Random(allowed_calls))):
+            assert contents(open_store(survivor)) == states[-1], allowed_calls
 
 
-# Guards against a deleted or expired key that comes back once its tombstone was let go.
+# Guards against a deleted key that reappears after compaction has dropped its tombstone.
 @pytest.mark.parametrize("seed", range(12))
-def test_nothing_deleted_comes_back(seed: int) -> None:
-    rnd, disk = Random(seed), Disk()
-    store, gone = open_on(disk), set[bytes]()
+def test_deleted_keys_do_not_reappear(seed: int) -> None:
+    random, disk = Random(seed), Disk()
+    store, deleted = open_store(disk), set[bytes]()
     for n in range(120):
         key = b"%d" % n
-        store.put(key, bytes(rnd.randrange(60)))
-        if rnd.random() < 0.7:
+        store.put(key, bytes(random.randrange(60)))
+        if random.random() < 0.7:
             store.sync()
             store.delete(key)
-            gone.add(key)
+            deleted.add(key)
         store.sync()
-        if rnd.random() < 0.1:
+        if random.random() < 0.1:
             store.compact(everything=True)
-        if rnd.random() < 0.1:
+        if random.random() < 0.1:
             store.close()
-            store = open_on(disk)
+            store = open_store(disk)
     store.close()
-    store = open_on(disk)
+    store = open_store(disk)
     store.compact(everything=True)
     store.close()
-    store = open_on(disk)
-    assert len(contents(store)) == 120 - len(gone)
-    assert all(store.get(key) is None for key in gone)
+    store = open_store(disk)
+    assert len(contents(store)) == 120 - len(deleted)
+    assert all(store.get(key) is None for key in deleted)
 
 
-def test_expiry_holds_when_the_clock_steps_back_over_a_restart() -> None:
+def test_expired_keys_do_not_reappear_when_the_clock_goes_back_across_a_restart() -> None:
     disk, now = Disk(), [1000.0]
-    store = open_on(disk, clock=lambda: now[0])
+    store = open_store(disk, clock=lambda: now[0])
     store.put(b"a", b"old")
     store.sync()
     store.put(b"a", b"short", 1010.0)
@@ -223,59 +225,59 @@
     assert store.get(b"a") == b"short"
     now[0] = 1011.0
     assert store.get(b"a") is None
-    store.put(b"c", b"1")  # the time goes to the disk with it
+    store.put(b"c", b"1")  # stores the current time too
     store.sync()
     store.compact(everything=True)
     store.close()
     now[0] = 900.0
-    store = open_on(disk, clock=lambda: now[0])
-    assert store.get(b"a") is None and store.get(b"b") == b"long"  # nor does the older put come back
+    store = open_store(disk, clock=lambda: now[0])
+    assert store.get(b"a") is None and store.get(b"b") == b"long"  # nor does the older put reappear
     store.compact(everything=True)
     store.close()
-    assert open_on(disk, clock=lambda: now[0]).get(b"a") is None
+    assert open_store(disk, clock=lambda: now[0]).get(b"a") is None
 
 
-# Guards against a full disk that stops reads and deletes, or for ever; and against half a batch.
+# Guards against a full disk that blocks reads or deletes or never recovers, and against a partly applied batch.
 def test_a_full_disk() -> None:
     disk = Disk(capacity=2000)
-    store = open_on(disk, Limits(segment_bytes=600, reserve_bytes=300))
-    done = []
+    store = open_store(disk, Limits(segment_bytes=600, reserve_bytes=300))
+    stored = []
     with pytest.raises(StoreFullError):
         for n in range(100):
             store.put(b"%d" % n, bytes(50))
             store.sync()
-            done.append(b"%d" % n)
-    assert len(done) >= 8 and all(store.get(key) == bytes(50) for key in done)
+            stored.append(b"%d" % n)
+    assert len(stored) >= 8 and all(store.get(key) == bytes(50) for key in stored)
     with pytest.raises(StoreFullError):
         store.batch([(b"x", bytes(500), 0.0), (b"y", b"1", 0.0)])
         store.sync()
     assert store.get(b"x") is None and store.get(b"y") is None
-    for key in done[:-3]:
+    for key in stored[:-3]:
         store.delete(key)
     store.sync()
     store.compact(everything=True)
     store.put(b"again", b"there is room")
     store.sync()
-    assert contents(store) == {**{key: bytes(50) for key in done[-3:]}, b"again": b"there is room"}
+    assert contents(store) == {**{key: bytes(50) for key in stored[-3:]}, b"again": b"there is room"}
     store.close()
-    assert contents(open_on(disk))[b"again"] == b"there is room"
+    assert contents(open_store(disk))[b"again"] == b"there is room"
 
 
-def test_the_bound_of_bytes_refuses_with_the_time_of_the_next_expiry() -> None:
-    store = open_on(Disk(), Limits(segment_bytes=400, total_bytes=800))
+def test_at_the_size_limit_puts_are_rejected_until_the_next_expiry_and_deletes_are_accepted() -> None:
+    store = open_store(Disk(), Limits(segment_bytes=400, total_bytes=800))
     with pytest.raises(StoreFullError) as full:
         for n in range(100):
             store.put(b"%d" % n, bytes(40), 1060.0)
             store.sync()
-    assert full.value.frees_in is not None and 58 <= full.value.frees_in <= 62
-    store.delete(b"1")  # deletes go on
+    assert full.value.retry_after_s is not None and 58 <= full.value.retry_after_s <= 62
+    store.delete(b"1")  # deletes are still accepted
     store.sync()
 
 
-# Guards against trust in a segment after its fsync failed: the kernel may have dropped the pages.
-def test_a_failed_fsync_is_never_trusted_again() -> None:
+# Guards against writing on in a segment whose fsync failed: the kernel may have dropped its dirty pages.
+def test_a_segment_is_not_written_after_its_fsync_failed() -> None:
     disk = Disk()
-    store = open_on(disk, Limits())
+    store = open_store(disk, Limits())
     store.put(b"a", b"1")
     store.sync()
     disk.fault = lambda call, name: OSError(errno.EIO, "I/O error") if call == "sync" else None
@@ -289,31 +291,31 @@
     store.sync()
     assert len(store.segments) == 2 and store.segments[1].suspect
     store.close()
-    assert contents(open_on(disk)) == {b"a": b"1", b"b": b"3"}
+    assert contents(open_store(disk)) == {b"a": b"1", b"b": b"3"}
 
 
-def test_short_writes_are_written_on() -> None:
+def test_short_writes_are_completed() -> None:
     disk = Disk()
     disk.fault = lambda call, name: 7 if call == "append" else None
-    store = open_on(disk)
+    store = open_store(disk)
     store.put(b"a", b"x" * 100)
     store.sync()
     store.close()
-    assert open_on(disk).get(b"a") == b"x" * 100
+    assert open_store(disk).get(b"a") == b"x" * 100
 
 
-def test_a_newer_format_is_refused_and_left_alone() -> None:
-    disk, _ = lived()
+def test_a_newer_format_is_rejected_and_left_unchanged() -> None:
+    disk, _ = populated_disk()
     name = next(name for name in disk.files if name.endswith(".seg"))
-    head = bytearray(fmt.SEGMENT_HEADER.pack(fmt.MAGIC, 2, 1, 0, 0)[: -fmt.CHECKSUM.size])
-    disk.files[name].data[: fmt.SEGMENT_HEADER.size] = head + fmt.CHECKSUM.pack(fmt.checksum(bytes(head)))
+    header = bytearray(fmt.SEGMENT_HEADER.pack(fmt.MAGIC, 2, 1, 0, 0)[: -fmt.CHECKSUM.size])
+    disk.files[name].data[: fmt.SEGMENT_HEADER.size] = header + fmt.CHECKSUM.pack(fmt.checksum(bytes(header)))
     before = bytes(disk.files[name].data)
-    with pytest.raises(StoreError, match="format 2, this program reads up to 1"):
-        open_on(disk)
+    with pytest.raises(StoreError, match="segment 1 has format 2, this program reads up to 1"):
+        open_store(disk)
     assert bytes(disk.files[name].data) == before and not disk.locked
 
 
-def test_two_processes_on_one_directory(tmp_path: Path) -> None:
+def test_a_second_process_is_locked_out_until_the_first_one_dies(tmp_path: Path) -> None:
     code = (
         "import sys, time; from lapishaven.storage import Store\n"
         f"s = Store.open({str(tmp_path)!r}); s.put(b'a', b'1').result(); print('up', flush=True); time.sleep(60)"
@@ -325,29 +327,29 @@
     child.send_signal(signal.SIGKILL)
     child.wait()
     child.stdout.close()
-    with Store.open(str(tmp_path)) as store:  # a kill lets the lock go
+    with Store.open(str(tmp_path)) as store:  # the kill released the lock
         assert store.get(b"a") == b"1"
 
 
-# Guards against writers that see each other's results, and a reader that meets a segment on its way out.
-def test_threads_write_and_read_while_it_compacts(tmp_path: Path) -> None:
-    wrong: list[str] = []
+# Guards against writers that get each other's results, and reads from a segment that compaction is removing.
+def test_threads_write_and_read_during_compaction(tmp_path: Path) -> None:
+    mismatches: list[str] = []
     with Store.open(str(tmp_path), Limits(segment_bytes=20_000, garbage_ratio=0.2)) as store:
 
-        def work(who: int) -> None:
+        def write_and_read(thread_number: int) -> None:
             for n in range(300):
-                key = b"%d:%d" % (who, n % 20)
+                key = b"%d:%d" % (thread_number, n % 20)
                 store.put(key, b"%d" % n).result()
                 if store.get(key) != b"%d" % n:
-                    wrong.append(f"{who} {n}")
+                    mismatches.append(f"thread {thread_number}, write {n}")
 
-        threads = [threading.Thread(target=work, args=(who,)) for who in range(6)]
+        threads = [threading.Thread(target=write_and_read, args=(number,)) for number in range(6)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        assert not wrong and len(store) == 120
-        assert store.stats.commits < 1800  # commits were shared
+        assert not mismatches and len(store) == 120
+        assert store.stats.commits < 1800  # several writes shared a commit
         store.snapshot(str(tmp_path / "snap"))
         compacted = store.stats.compacted
     assert compacted > 0
@@ -355,8 +357,8 @@
         assert len(contents(copy)) == 120
 
 
-# Guards against the store's thread ending where a caller compacts beside it, after which no put would ever be done.
-def test_a_caller_may_compact_beside_the_store_s_thread(tmp_path: Path) -> None:
+# Guards against a crash of the store's thread when a caller compacts at the same time; no put would ever complete then.
+def test_a_caller_may_compact_while_the_store_thread_runs(tmp_path: Path) -> None:
     with Store.open(str(tmp_path), Limits(segment_bytes=5000, garbage_ratio=0.3)) as store:
         for _ in range(4):
             for n in range(150):
@@ -368,8 +370,8 @@
         assert len(contents(store)) == 151
 
 
-def test_a_scan_is_of_one_moment() -> None:
-    store = open_on(Disk())
+def test_a_scan_returns_a_snapshot() -> None:
+    store = open_store(Disk())
     for n in range(20):
         store.put(b"%02d" % n, b"old")
     store.sync()
@@ -379,12 +381,12 @@
         store.delete(b"%02d" % n)
     store.put(b"new", b"new")
     store.sync()
-    assert not store.compact_slice(everything=True)  # what is read is pinned
+    assert not store.compact_slice(everything=True)  # the scan pins its segments
     assert len([first, *rows]) == 20 and contents(store) == {b"new": b"new"}
 
 
-def test_bad_input_is_refused() -> None:
-    store = open_on(Disk())
+def test_invalid_input_and_writes_after_close_are_rejected() -> None:
+    store = open_store(Disk())
     for key, value in ((b"", b"x"), (b"k" * 2000, b"x"), (b"k", bytes(2 << 20))):
         with pytest.raises(ValueError):
             store.put(key, value)
@@ -395,40 +397,42 @@
         store.put(b"a", b"b")
 
 
-# ---- Its parts against plain ones
+# ---- Components compared with simple reference implementations
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 3), st.booleans()), max_size=80), st.booleans())
-@profile(max_examples=60, deadline=None)
-def test_the_index_is_a_dict(rows: list[tuple[int, int, bool]], merge: bool) -> None:
-    index, plain = Index(), dict[int, tuple[int, int]]()
-    for seq, (key, place, drop) in enumerate(rows, 1):
-        name = key << 60 | key
-        index.put(name, place, seq, 0.0)
-        plain[name] = place, seq
-        if merge and drop:
+@hypothesis_settings(max_examples=60, deadline=None)
+def test_the_index_behaves_like_a_dict(rows: list[tuple[int, int, bool]], merge: bool) -> None:
+    index, reference = Index(), dict[int, tuple[int, int]]()
+    for sequence, (key, location, merge_now) in enumerate(rows, 1):
+        key_digest = key << 60 | key
+        index.put(key_digest, location, sequence, 0.0)
+        reference[key_digest] = location, sequence
+        if merge and merge_now:
             index.merge()
-    for name, (place, seq) in plain.items():
-        assert index.get(name) == (place, seq, 0.0)
-    assert len(index) == sum(place != 0 for place, _ in plain.values())
+    for key_digest, (location, sequence) in reference.items():
+        assert index.get(key_digest) == (location, sequence, 0.0)
+    assert len(index) == sum(location != 0 for location, _ in reference.values())
     assert index.get(1 << 100) is None and MIN_MERGE_ENTRIES > 80
 
 
 @given(st.lists(st.floats(0, 100_000), max_size=50), st.lists(st.floats(0, 20_000), max_size=12))
-@profile(max_examples=40, deadline=None)
-def test_the_wheel_tells_what_a_heap_would(times: list[float], steps: list[float]) -> None:
+@hypothesis_settings(max_examples=40, deadline=None)
+def test_the_timing_wheel_returns_each_key_in_the_second_after_its_expiry(
+    times: list[float], steps: list[float]
+) -> None:
     wheel, now = TimingWheel(0.0), 0.0
     waiting = dict(enumerate(times))
-    for n, when in waiting.items():
-        wheel.add(when, n)
+    for n, expiry in waiting.items():
+        wheel.add(expiry, n)
     for step in steps:
         now += step
-        told = wheel.expire(now)
-        for n in told:
+        expired = wheel.expire(now)
+        for n in expired:
             assert waiting.pop(n) <= now
-        assert all(when + 1 > int(now) for when in waiting.values())
+        assert all(expiry + 1 > int(now) for expiry in waiting.values())
     assert wheel.count == len(waiting)
 
 
-def test_no_descriptor_is_left_open(tmp_path: Path) -> None:
+def test_no_file_descriptor_is_left_open(tmp_path: Path) -> None:
     before = len(os.listdir("/proc/self/fd"))
     for _ in range(3):
         with Store.open(str(tmp_path), Limits(segment_bytes=500)) as store:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,5 +1,5 @@
-"""Files that an earlier version of the program stored are read with the same content.
-``data/stored/README.md`` says how they were made."""
+"""Compatibility tests: files stored by an earlier version of the program are read with the same content.
+``data/stored/README.md`` describes how the files were made."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 from lapishaven.storage.store import Store
 
 STORED = Path(__file__).parent / "data" / "stored"
-WRITTEN_AT = 1_800_000_000.0  # Unix seconds, as the files have it
+WRITTEN_AT = 1_800_000_000.0  # Unix seconds; the time stored in the files
 Rows = list[tuple[Any, ...]]
 
 
 def copy_of(name: str, tmp_path: Path) -> str:
-    """A copy that the code under test may change; SQLite writes beside the file even when it only reads."""
+    """Copy a stored file, as the code under test may change it; SQLite creates files beside it even for reads."""
     source, copy = STORED / name, tmp_path / name
     if source.is_dir():
         shutil.copytree(source, copy)
@@ -39,7 +39,7 @@
 
 
 def tables_of(path: str) -> dict[str, Rows]:
-    """Every row of every table, in the order of the tables' keys."""
+    """Every row of every table, by table name."""
     with closing(sqlite3.connect(path)) as connection:
         names = connection.execute("select name from sqlite_master where type = 'table' and name not like 'sqlite_%'")
         return {name: connection.execute(f"select * from {name}").fetchall() for (name,) in names.fetchall()}
@@ -50,7 +50,7 @@
         return int(connection.execute("pragma user_version").fetchone()[0])
 
 
-def test_the_embedded_store_gives_back_every_key_and_value(tmp_path: Path) -> None:
+def test_the_embedded_store_returns_every_key_and_value(tmp_path: Path) -> None:
     """Guards the segment, frame, record and hint formats, with deletes, expiry and overwritten keys."""
     expected = {
         b"beta": (bytes(range(256)), 0.0),
@@ -73,8 +73,8 @@
         assert store.get(b"gamma") is None and store.get(b"delta") == b"new"
 
 
-def test_keyed_results_tell_a_repeat_what_the_earlier_process_knew(tmp_path: Path) -> None:
-    """Guards the stored values of intents and results, and the names they are stored under."""
+def test_a_repeat_gets_the_result_that_an_earlier_process_stored(tmp_path: Path) -> None:
+    """Guards the format of stored intents and results, and of the keys that they are stored under."""
     store = Store(DirectoryFiles(copy_of("keyed_results", tmp_path)), clock=lambda: WRITTEN_AT)
     assert {key: (value, expiry) for key, value, expiry in store.scan()} == {
         b"commit\0done": (b"R" + (1_800_000_000_000).to_bytes(8, "little") + b"\x00result\xff", WRITTEN_AT + 3600.0),
@@ -82,20 +82,20 @@
         b"commit\0failed": (b"I" + (1_800_000_000_500).to_bytes(8, "little"), WRITTEN_AT + 3600.5),
     }
     results = DurableResults(store, 3600.0, wall=lambda: WRITTEN_AT + 1.0)
-    found = {key: results.find("commit", key) for key in ("done", "intended", "failed", "void")}
-    assert [entry.effect_state for entry in found.values()] == [
+    entries = {key: results.find("commit", key) for key in ("done", "intended", "failed", "void")}
+    assert [entry.effect_state for entry in entries.values()] == [
         EffectState.DONE,
         EffectState.UNCERTAIN,
         EffectState.UNCERTAIN,
         EffectState.UNKNOWN,
     ]
-    assert found["done"].effect_state is EffectState.DONE and found["done"].result == b"\x00result\xff"
+    assert entries["done"].effect_state is EffectState.DONE and entries["done"].result == b"\x00result\xff"
     assert sorted(results.uncertain_effects()) == [("commit", "failed", 0.5), ("commit", "intended", 0.75)]
     results.close()
 
 
-def test_the_ledger_holds_the_same_effects_and_charges(tmp_path: Path) -> None:
-    """Guards the tables and stored words of the store of record."""
+def test_the_ledger_has_the_same_effects_and_charges(tmp_path: Path) -> None:
+    """Guards the ledger's tables and stored values."""
     path = copy_of("record.db", tmp_path)
     database = LedgerDatabase(path)
     effects = database.read("select class, key, standing, start, since, ended, result, customer, words from effect")
@@ -122,22 +122,22 @@
     assert audit(str(settings)) == 0
 
 
-def test_the_coordinator_holds_the_same_sessions_owners_and_tokens(tmp_path: Path) -> None:
+def test_the_coordinator_has_the_same_sessions_owners_and_tokens(tmp_path: Path) -> None:
     """Guards the tables of the SQLite coordinator."""
     path = copy_of("coordinator.db", tmp_path)
     coordinator = SqliteCoordinator(path)
     view = coordinator.read_state()
     coordinator.close()
     assert view.revision == 10
-    assert [(seen.session, seen.record.name, seen.record.incarnation) for seen in view.members] == [
+    assert [(member.session, member.record.name, member.record.incarnation) for member in view.members] == [
         (2, "one", "start-1"),
         (3, "two", "start-2"),
     ]
-    assert [(seen.record.state.value, seen.record.weight) for seen in view.members] == [
+    assert [(member.record.state.value, member.record.weight) for member in view.members] == [
         ("serving", 1.0),
         ("leaving", 0.25),
     ]
-    owners = {shard: (owned.session, owned.token) for shard, owned in view.owners.items()}
+    owners = {shard: (owner.session, owner.token) for shard, owner in view.owners.items()}
     assert owners == {("budgets", 0): (2, 5), ("budgets", 1): (3, 8)}
     assert view.effect_counts == {("budgets", 0): 5}
     assert tables_of(path) == {
@@ -152,7 +152,7 @@
     }
 
 
-def test_the_receiver_holds_the_same_tokens_effects_and_first_answers(tmp_path: Path) -> None:
+def test_the_receiver_has_the_same_tokens_effects_and_first_answers(tmp_path: Path) -> None:
     """Guards the tables of the fence and of the budgets' effects; a repeat gets its stored answer."""
     path = copy_of("receiver.db", tmp_path)
     expected = {
@@ -187,8 +187,8 @@
     assert schema_version_of(path) == 1
 
 
-def test_the_attempt_log_holds_the_same_attempts_and_the_ledger_takes_it_over(tmp_path: Path) -> None:
-    """Guards the store before the ledger: what it holds, what is still open, and its migration."""
+def test_the_attempt_log_has_the_same_attempts_and_the_ledger_imports_it(tmp_path: Path) -> None:
+    """Guards the attempt log, which preceded the ledger: its rows, the runs it lists, and its import into a ledger."""
     path = copy_of("attempt_log.db", tmp_path)
     log = SqliteAttemptLog(path, lambda: None, lambda: WRITTEN_AT + 10.0)
     assert log.started(60.0) == [("commit", "key-1", 9.0), ("review", "key-4", 4.0)]
@@ -204,21 +204,21 @@
     ]
     assert tables_of(path) == {"record": record}
     LedgerDatabase(path).close()
-    taken_over: Rows = [
+    imported: Rows = [
         ("commit", "key-1", "spent", "before", WRITTEN_AT + 1, None, b"", "team", 0),
         ("review", "key-4", "spent", "before", WRITTEN_AT + 6, None, b"", "team", 0),
     ]
-    assert tables_of(path) == {"record": record, "effect": taken_over, "ledger": []}
+    assert tables_of(path) == {"record": record, "effect": imported, "ledger": []}
 
 
-def test_the_audit_of_the_stored_ledger_would_see_a_difference(tmp_path: Path) -> None:
-    """Guards the check above from passing on anything: one charge changed is told."""
+def test_the_audit_of_the_stored_ledger_reports_a_changed_charge(tmp_path: Path) -> None:
+    """Guards against an audit of the stored ledger that passes whatever it contains."""
     path = copy_of("record.db", tmp_path)
     rows = tables_of(path)
     effects = [Effect((row[0], row[1]), transitions.EffectState(row[2]), row[7], row[8]) for row in rows["effect"]]
     charges = [Charge((row[0], row[1]), row[2], row[3]) for row in rows["ledger"]]
     assert not list(differences(effects, charges))
-    wrong = [Charge(charge.effect_id, charge.account, charge.words + 1) for charge in charges[:1]]
-    assert list(differences(effects, [*wrong, *charges[1:]])) == [
+    changed = [Charge(charge.effect_id, charge.account, charge.words + 1) for charge in charges[:1]]
+    assert list(differences(effects, [*changed, *charges[1:]])) == [
         "commit done: customer team/service was charged 3 words instead of 2",
     ]
