--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -69,17 +69,17 @@
     def restart(self) -> None:
         """Start the server's result store from the content of the disk, as a new process would."""
         self.disk.locked = False
-        self.store = Store(self.disk.mount(), Limits(segment_bytes=100_000), lambda: 1000.0, thread=False)
-        self.results = DurableResults(self.store, 900.0, wall=lambda: 1000.0)
-        self.server.core.result_store = self.results
+        self.embedded_store = Store(self.disk.mount(), Limits(segment_bytes=100_000), lambda: 1000.0, thread=False)
+        self.durable_results = DurableResults(self.embedded_store, 900.0, wall=lambda: 1000.0)
+        self.server.core.result_store = self.durable_results
         self.server.core.broker = None
         self.server.core.backend_up(False, 1.0)
 
     def make_durable(self) -> None:
         """Commit all queued writes and deliver their callbacks."""
-        while self.store.commit():
+        while self.embedded_store.commit():
             pass
-        self.results.process_completions()
+        self.durable_results.process_completions()
         self.play("wait 0.01")
 
     def assert_runs(self, count: int) -> None:
@@ -112,7 +112,7 @@
         self.play("send u1 approve-commit id=k\n wait 0.01")
         self.make_durable()
         self.play("expect up approve-commit u1\n send up 200 u1\n wait 0.05")
-        self.store.commit()  # durable, but the event loop was not notified before the kill
+        self.embedded_store.commit()  # durable, but the event loop was not notified before the kill
         self.restart()
         self.play("send u2 approve-commit id=k retry=1\n expect u2 200 u1")
         self.assert_runs(1)
@@ -151,7 +151,7 @@
         self.play("expect up approve-commit u2")
 
     def test_at_its_limit_it_rejects_before_the_run_and_idempotent_requests_are_served(self) -> None:
-        self.results.limit = 1
+        self.durable_results.limit = 1
         self.play("send u1 approve-commit id=k\n wait 0.01")
         self.make_durable()
         self.play("""
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -120,9 +120,8 @@
             elif now != final:
                 assert store.damage or store.stats.truncated_bytes, (name, offset)
             intact = [key for key in final if now.get(key) == final[key]]
-            assert (
-                len(intact) >= len(final) - 4
-            )  # at most the records of one frame, and the older ones that they replaced
+            # At most the records of one frame are lost, and the older records that they replaced.
+            assert len(intact) >= len(final) - 4
 
 
 # Guards against the loss of acknowledged records, whichever unsynced bytes survive the power loss.
