--- a/lapishaven/ledger/database.py
+++ b/lapishaven/ledger/database.py
@@ -116,7 +116,7 @@
             with sqlite.writing(self._connection):
                 return [self._apply(operation) for operation in operations]
         except sqlite3.Error as error:
-            raise LedgerError(str(error)) from None
+            raise LedgerError(f"cannot write {len(operations)} operations to ledger {self.path}: {error}") from None
 
     def _apply(self, operation: Operation) -> OperationOutcome:
         row = self._read_row(operation.class_name, operation.key)
@@ -183,7 +183,7 @@
         try:
             return self._connection.execute(query, values).fetchall()
         except sqlite3.Error as error:
-            raise LedgerError(str(error)) from None
+            raise LedgerError(f"cannot read ledger {self.path}: {error}") from None
 
     def close(self) -> None:
         """Close the connection."""
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -116,7 +116,7 @@
             "create trigger full before insert on effect when new.key = 'bad' begin"
             " select raise(abort, 'database or disk is full'); end"
         )
-    with pytest.raises(LedgerError, match="full"):
+    with pytest.raises(LedgerError, match="cannot write 2 operations to ledger .*r.db: database or disk is full"):
         a.write(
             [Operation(EffectEvent.INTEND, "c", "good", "a", 1.0), Operation(EffectEvent.INTEND, "c", "bad", "a", 1.0)]
         )
