--- a/lapishaven/lab/catalog.py
+++ b/lapishaven/lab/catalog.py
@@ -1,7 +1,8 @@
-"""A stand-in catalog: takes servers' reports, and gives clients the list, late and in numbered versions.
+"""A stand-in for the catalog: accepts the servers' reports and serves clients a versioned, delayed list.
 
-``PUT /catalog/register/NAME`` is the platform's. ``GET /catalog/list`` is this project's own reading of how
-clients learn of it: JSON with an epoch (new with each start), a version that counts up, and the servers.
+``PUT /catalog/register/NAME`` is specified by the platform. ``GET /catalog/list`` is this project's choice, as the
+platform does not specify how clients read the catalog: JSON with an epoch (new with each start), an increasing version
+and the servers.
 """
 
 from __future__ import annotations
@@ -15,14 +16,17 @@
 
 from lapishaven.proto.catalog import LIST_PATH, Listed, Listing, delta_between, delta_text, text
 
-EXPIRY = 3.0  # s after its last report at which a server leaves the list
-HISTORY = 64  # versions kept, from which a delta is sent; from an older one the whole list
-REGISTER = "/catalog/register/"
-Lie = Literal["", "empty", "half", "garbage"]
+REPORT_TTL_S = 3.0  # after its last report a server is removed from the list
+VERSIONS_KEPT = 64  # a client with an older version gets the full list instead of a delta
+REGISTER_PATH = "/catalog/register/"
+WrongAnswer = Literal["", "empty", "half", "garbage"]
 
 
-class Book:
-    """The list and its versions, with time passed in."""
+class ServerList:
+    """The list of servers and its versions, without I/O and with time passed in.
+
+    ``lag``: seconds by which the list that clients see trails the reports.
+    """
 
     def __init__(self, addresses: dict[str, tuple[str, int]], epoch: str, lag: float) -> None:
         self.addresses, self.epoch, self.lag = addresses, epoch, lag
@@ -30,6 +34,7 @@
         self._history: deque[tuple[float, Listing]] = deque([(float("-inf"), Listing(epoch, 0, ()))])
 
     def report(self, now: float, name: str, passing: bool) -> bool:
+        """Record a server's report; returns false for an unknown server."""
         if name not in self.addresses:
             return False
         self._reports[name] = now, passing
@@ -37,18 +42,18 @@
         return True
 
     def refresh(self, now: float) -> None:
-        """Take off what has lapsed; a change makes a version."""
+        """Remove servers whose last report is too old, and add a version if the list changed."""
         rows = tuple(
             Listed(name, *self.addresses[name], passing)
-            for name, (at, passing) in sorted(self._reports.items())
-            if now - at < EXPIRY
+            for name, (reported_at, passing) in sorted(self._reports.items())
+            if now - reported_at < REPORT_TTL_S
         )
         last = self._history[-1][1]
         if rows != last.servers:
             self._history.append((now, Listing(self.epoch, last.version + 1, rows)))
 
-    def seen(self, now: float) -> Listing:
-        """What clients see now, which is what held ``lag`` seconds ago."""
+    def published(self, now: float) -> Listing:
+        """The list that clients see at ``now``: the version that was current ``lag`` seconds earlier."""
         self.refresh(now)
         while len(self._history) > 1 and self._history[1][0] <= now - self.lag:
             self._history.popleft()
@@ -56,33 +61,38 @@
 
     @property
     def latest(self) -> Listing:
+        """The current version, without the lag."""
         return self._history[-1][1]
 
 
 class Catalog:
-    """The book on a socket."""
+    """Serves ``ServerList`` over HTTP.
+
+    ``wrong_answer``: what to send in place of the list; empty for the list itself. ``reports``, ``list_requests``
+    and ``deltas`` count the reports and list requests received and the deltas sent.
+    """
 
     def __init__(self, lag: float = 1.5) -> None:
         self.addresses: dict[str, tuple[str, int]] = {}
         self.lag, self._epochs = lag, 0
-        self.book = Book(self.addresses, "", lag)
+        self.server_list = ServerList(self.addresses, "", lag)
         self.address: tuple[str, int] = ("", 0)
-        self.lie: Lie = ""
-        self.reports = self.questions = self.deltas = 0
-        self._served: dict[int, Listing] = {}  # versions that clients were given, for deltas from them
+        self.wrong_answer: WrongAnswer = ""
+        self.reports = self.list_requests = self.deltas = 0
+        self._served: dict[int, Listing] = {}  # versions sent to clients, as the base of deltas
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def open(self, host: str, port: int = 0) -> None:
-        """Start, with an empty list and a new epoch."""
+        """Start serving, with an empty list and a new epoch."""
         self._epochs += 1
         self._served.clear()
-        self.book = Book(self.addresses, f"{self._epochs}", self.lag)
+        self.server_list = ServerList(self.addresses, f"{self._epochs}", self.lag)
         self._server = await asyncio.start_server(self._serve, host, port)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def close(self) -> None:
-        """Go away: connections are cut and new ones refused."""
+        """Stop: abort the connections and refuse new ones."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
@@ -121,14 +131,14 @@
     def _answer(self, http: h11.Connection, request: h11.Request, body: bytes) -> bytes:
         now, target = asyncio.get_running_loop().time(), request.target.decode()
         status, answer, headers = 404, b"", [("Content-Type", "application/json")]
-        if request.method == b"PUT" and target.startswith(REGISTER):
+        if request.method == b"PUT" and target.startswith(REGISTER_PATH):
             self.reports += 1
-            word = json.loads(body).get("status")
-            name, stated = target[len(REGISTER) :], word in ("passing", "critical")
-            known = stated and self.book.report(now, name, word == "passing")
+            reported = json.loads(body).get("status")
+            name, valid = target[len(REGISTER_PATH) :], reported in ("passing", "critical")
+            known = valid and self.server_list.report(now, name, reported == "passing")
             status = 204 if known else 404
         elif request.method == b"GET" and target.partition("?")[0] == LIST_PATH:
-            self.questions += 1
+            self.list_requests += 1
             since = target.partition("?since=")[2] if "?since=" in target else ""
             status, answer = self._list(now, dict(request.headers).get(b"if-none-match", b""), since)
         headers += [] if status in (204, 304) else [("Content-Length", str(len(answer)))]
@@ -136,21 +146,21 @@
         parts = (response, h11.Data(data=answer), h11.EndOfMessage()) if answer else (response, h11.EndOfMessage())
         return b"".join(http.send(part) or b"" for part in parts)
 
-    def _list(self, now: float, known: bytes, since: str = "") -> tuple[int, bytes]:
-        seen = self.book.seen(now)
-        self._served[seen.version] = seen
-        while len(self._served) > HISTORY:
+    def _list(self, now: float, known_tag: bytes, since: str = "") -> tuple[int, bytes]:
+        listing = self.server_list.published(now)
+        self._served[listing.version] = listing
+        while len(self._served) > VERSIONS_KEPT:
             del self._served[min(self._served)]
-        if self.lie == "garbage":
+        if self.wrong_answer == "garbage":
             return 200, b'{"servers":['
-        if self.lie:
-            rows = seen.servers[: len(seen.servers) // 3] if self.lie == "half" else ()
-            return 200, text(Listing(seen.epoch, seen.version + 1_000_000, rows))
-        if known == f'"{seen.epoch}.{seen.version}"'.encode():
+        if self.wrong_answer:
+            rows = listing.servers[: len(listing.servers) // 3] if self.wrong_answer == "half" else ()
+            return 200, text(Listing(listing.epoch, listing.version + 1_000_000, rows))
+        if known_tag == f'"{listing.epoch}.{listing.version}"'.encode():
             return 304, b""
         epoch, _, version = since.rpartition(".")
-        old = self._served.get(int(version)) if epoch == seen.epoch and version.isdigit() else None
-        if old is not None and old.version < seen.version:
+        old = self._served.get(int(version)) if epoch == listing.epoch and version.isdigit() else None
+        if old is not None and old.version < listing.version:
             self.deltas += 1
-            return 200, delta_text(delta_between(old, seen))
-        return 200, text(seen)
+            return 200, delta_text(delta_between(old, listing))
+        return 200, text(listing)
--- a/lapishaven/lab/client_simulation.py
+++ b/lapishaven/lab/client_simulation.py
@@ -1,8 +1,8 @@
 """The client's policy in simulated time: thousands of clients and a thousand servers in one process.
 
-The policy is the one that real clients run; the servers are a plain model (cores that work off a queue in order, and a
-rejection with Retry-After where the queue is too long for the latency objective). So it tells how retry and reconnect
-storms grow with the fleet, not how well a match server decides.
+The policy is that of real clients. The servers are a simple model: cores that serve a FIFO queue, and a rejection with
+Retry-After where the queue is too long for the latency objective. The simulation therefore shows how retry and
+reconnect storms grow with the size of the fleet, and says nothing about the admission decisions of a match server.
 
 ``python -m lapishaven.lab.client_simulation JSON`` runs one ``Spec`` and prints its figures as JSON.
 """
@@ -38,26 +38,26 @@
 from lapishaven.lab.wiretap import most_in_a_second
 from lapishaven.proto.catalog import Listed, Listing
 
-HOP = 0.0005  # s one way
-ADVICE = 0.2  # s: Retry-After of a rejection
-CATALOG_LAG = 1.5  # s
-EXPIRY = 3.0  # s until the list leaves out a server that died
-DRAIN = 3.2  # s from the announcement of a graceful shutdown to its end
-BOOT = 0.4  # s for a successor to come up
-LATE_WORTH = 0.2
+ONE_WAY_DELAY_S = 0.0005
+RETRY_AFTER_S = 0.2  # of a rejection
+CATALOG_LAG_S = 1.5
+REPORT_TTL_S = 3.0  # until the list omits a server that died
+DRAIN_S = 3.2  # from the announcement of a graceful shutdown to its end
+BOOT_S = 0.4  # from the end of a process until its successor accepts connections
+LATE_WORTH = 0.2  # share of a class's worth for a result after its latency objective
 NAIVE_REDIAL_S = 0.1
 NAIVE_RETRY_S = 0.002
-NAIVE_MIN_TIME_S = 0.05  # before the deadline, below which the naive client does not retry
+NAIVE_MIN_TIME_S = 0.05  # the naive client does not retry with less time than this before the deadline
 
 
 @dataclass(frozen=True, slots=True)
 class Spec:
     """What to simulate.
 
-    ``seconds``: of load that count. ``load``: as a share of the servers' capacity. ``script``: faults, as for
-    ``lapishaven lab fleet --script``. ``naive``: the baseline ``NaivePolicy`` in place of ``Policy``.
-    ``settle``: seconds before what counts, as clients make their connections over some seconds.
-    ``together``: all clients start, with a call, in the same second.
+    ``seconds``: the duration of the measured load. ``load``: as a share of the servers' capacity. ``script``: faults,
+    as for ``lapishaven lab fleet --script``. ``naive``: the baseline ``NaivePolicy`` in place of ``Policy``.
+    ``settle``: seconds of load before the measurement starts, as clients connect over some seconds.
+    ``together``: all clients make their first call within the same second.
     ``subsetting``: as ``settings.Routing.subsetting``.
     """
 
@@ -77,25 +77,26 @@
 class Request:
     """An attempt on its server.
 
-    ``client``: the client's index. ``cls``: the index of its class of work. ``work``: in seconds of a standard core.
-    ``entry``: the emulator's request table entry. ``at``: when the emulator's server had read it.
+    ``client``: the client's index. ``class_index``: that of its class of requests. ``work_s``: in seconds of a standard
+    core. ``entry`` and ``submitted_at`` are set by the emulator: the Broker's entry of the request, and the time of its
+    submission.
     """
 
     attempt: Attempt
     client: int
-    cls: int
-    work: float
+    class_index: int
+    work_s: float
     entry: Any = None
-    at: float = 0.0
+    submitted_at: float = 0.0
 
 
 @dataclass(slots=True)
 class Server:
     """One server of the model.
 
-    ``cold_since``: when it started; None if it is warmed up. ``factor``: of a fault that slows it down.
-    ``life``: its incarnation. ``busy``: cores at work. ``line``: the queue; ``waits``: the work in it, in seconds of
-    a standard core. ``links``: connections, as (client's index, connection). ``gone_at``: when it last stopped.
+    ``cold_since``: when it started; None if it is warmed up. ``factor``: applied to the speed by a fault. ``busy``: the
+    cores in use. ``queued_work_s``: the work in ``queue``, in seconds of a standard core. ``links``: connections, as
+    (client's index, connection). ``stopped_at``: when it last stopped.
     """
 
     name: str
@@ -105,16 +106,16 @@
     draining: bool = False
     cold_since: float | None = None
     factor: float = 1.0
-    life: int = 0
+    incarnation: int = 0
     busy: int = 0
-    line: deque[Request] = field(default_factory=deque)
-    waits: float = 0.0
+    queue: deque[Request] = field(default_factory=deque)
+    queued_work_s: float = 0.0
     links: dict[int, tuple[int, Connection]] = field(default_factory=dict)
     running: set[int] = field(default_factory=set)
-    gone_at: float = 0.0
+    stopped_at: float = 0.0
 
     def rate(self, now: float) -> float:
-        """Its speed now, in standard cores, for each of its cores."""
+        """The speed of one core at ``now``, in standard cores."""
         warm = 1.0
         if self.cold_since is not None:
             warm = min(1.0, 0.24 + 0.76 * (now - self.cold_since) / 17.0)
@@ -122,11 +123,11 @@
 
 
 class Simulation:
-    """Events in the order of their times; the same seed gives the same figures."""
+    """A discrete-event simulation. The same specification and seed give the same figures."""
 
     def __init__(self, spec: Spec, settings: Settings | None = None) -> None:
         self.spec, self.random = spec, Random(spec.seed)
-        self.kinds: tuple[site.Kind, ...] = getattr(self, "kinds", site.KINDS)
+        self.classes: tuple[site.RequestClass, ...] = getattr(self, "classes", site.CLASSES)
         self.now = -spec.settle
         self.events = 0
         self._handlers: dict[type[Action], Callable[[int, Any], None]] = {
@@ -142,71 +143,71 @@
         self._order = 0
         boxes = [site.box(self.random) for _ in range(spec.servers)]
         self.servers = {f"n{n + 1}": Server(f"n{n + 1}", box.cores, box.speed) for n, box in enumerate(boxes)}
-        self.rate = spec.load * sum(s.cores * s.speed for s in self.servers.values()) / site.MEAN_WORK
+        self.rate = spec.load * sum(s.cores * s.speed for s in self.servers.values()) / site.MEAN_WORK_S
         self.listing = self._list(0)
         self.steps = parse(spec.script, list(self.servers), spec.seed)
         base = settings or Settings(site.rules(), catalog="127.0.0.1:1")
         base = replace(base, routing=replace(base.routing, subsetting=spec.subsetting))  # type: ignore[arg-type]
         self.policies: list[Policy] = []
-        self._planned: list[float] = []
-        self._phases: list[float] = []
-        self._polls: set[int] = set()  # clients whose next poll is an event
+        self._timer_at: list[float] = []
+        self._poll_phases: list[float] = []
+        self._polls_scheduled: set[int] = set()  # clients with a poll in the event queue
         self._make_clients(base)
         self.connects: list[float] = []
-        self.tries: list[float] = []
-        self.asked = self.worth = self.commits = self.commit_worth = 0.0
+        self.attempts: list[float] = []
+        self.offered_worth = self.worth = self.offered_commit_worth = self.commit_worth = 0.0
         self.outcomes: Counter[str] = Counter()
-        self.first: Counter[bool] = Counter()
-        self.late = self.unmarked = self.twice = 0
+        self.attempts_by_retry: Counter[bool] = Counter()
+        self.late_attempts = self.unmarked = self.duplicate_runs = 0
         self.runs: Counter[tuple[int, int]] = Counter()
         self.versions = 0
         self.balance, self.links = 0.0, 0
 
     def _make_clients(self, base: Settings) -> None:
         spec = self.spec
-        kind = NaivePolicy if spec.naive else Policy
+        policy_type = NaivePolicy if spec.naive else Policy
         for n in range(spec.clients):
-            own = replace(base, caller=n, callers=spec.clients)
-            policy = kind(own, Random(self.random.getrandbits(64)), self.now)
+            client_settings = replace(base, caller=n, callers=spec.clients)
+            policy = policy_type(client_settings, Random(self.random.getrandbits(64)), self.now)
             policy.update_endpoints(self.now, self.listing)
             self.policies.append(policy)
-            self._planned.append(float("inf"))
-            # When in each second it polls. A poll that finds nothing new changes nothing, so only others are events.
-            self._phases.append(self.random.random())
+            self._timer_at.append(float("inf"))
+            # The offset of its polls within each second. Only polls that find a new list are simulated.
+            self._poll_phases.append(self.random.random())
 
     # ---- The event loop
-    def at(self, when: float, then: Callable[..., None], *what: Any) -> None:
-        """Call ``then(*what)`` at a simulated time."""
+    def at(self, when: float, callback: Callable[..., None], *args: Any) -> None:
+        """Schedule ``callback(*args)`` for a simulated time."""
         self._order += 1
-        heappush(self._heap, (when, self._order, then, what))
+        heappush(self._heap, (when, self._order, callback, args))
 
     def run(self) -> dict[str, Any]:
         """Run to the end and return the figures."""
-        begun = perf_counter()
+        started_at = perf_counter()
         self.at(self.now, self._arrive, 0)
         for step in self.steps:
-            self.at(step.at, self._step, step)
+            self.at(step.at, self._apply_fault, step)
         self.at(self.spec.seconds, self._count_links)
         if self.spec.together:
             for n in range(self.spec.clients):
                 self.at(self.now + self.random.random(), self._call, n)
-        until = self.spec.seconds + 8.0
-        while self._heap and self._heap[0][0] <= until:
-            self.now, _, then, what = heappop(self._heap)
+        end_at = self.spec.seconds + 8.0
+        while self._heap and self._heap[0][0] <= end_at:
+            self.now, _, callback, args = heappop(self._heap)
             self.events += 1
-            then(*what)
-        return self._figures(perf_counter() - begun)
+            callback(*args)
+        return self._figures(perf_counter() - started_at)
 
     def _drive(self, n: int) -> None:
-        """Execute what a client's policy wants, and plan its next timer."""
+        """Execute the actions of a client's policy and schedule its next timer."""
         policy = self.policies[n]
         while actions := policy.take_actions():
             for action in actions:
                 self._handlers[type(action)](n, action)
         when = policy.next_timer_at()
-        if when is not None and when < self._planned[n]:
-            self._planned[n] = when
-            self.at(when, self._turn, n, when)
+        if when is not None and when < self._timer_at[n]:
+            self._timer_at[n] = when
+            self.at(when, self._run_timers, n, when)
 
     def _send_request(self, n: int, action: SendRequest) -> None:
         self._sent(n, action.connection, action.attempt)
@@ -216,10 +217,10 @@
 
     def _open_connection(self, n: int, action: OpenConnection) -> None:
         self.connects.append(self.now)
-        self.at(self.now + HOP, self._dialled, n, action.connection)
+        self.at(self.now + ONE_WAY_DELAY_S, self._dial_ended, n, action.connection)
 
     def _cancel_request(self, n: int, action: CancelRequest) -> None:
-        self.at(self.now + HOP, self._forgotten, action.connection, action.attempt)
+        self.at(self.now + ONE_WAY_DELAY_S, self._cancelled, action.connection, action.attempt)
 
     def _close_connection(self, n: int, action: CloseConnection) -> None:
         server = self.servers.get(action.connection.endpoint.name)
@@ -228,15 +229,15 @@
 
     def _send_probe(self, n: int, action: SendProbe) -> None:
         if self.servers[action.connection.endpoint.name].up:
-            self.at(self.now + 2 * HOP, self._probe_answered, n, action.connection)
+            self.at(self.now + 2 * ONE_WAY_DELAY_S, self._probe_answered, n, action.connection)
 
     def _check_health(self, n: int, action: CheckHealth) -> None:
         up = self.servers[action.endpoint.name].up
-        self.at(self.now + HOP, self._health_checked, n, action.endpoint, up)
+        self.at(self.now + ONE_WAY_DELAY_S, self._health_checked, n, action.endpoint, up)
 
-    def _turn(self, n: int, when: float) -> None:
-        if self._planned[n] == when:
-            self._planned[n] = float("inf")
+    def _run_timers(self, n: int, when: float) -> None:
+        if self._timer_at[n] == when:
+            self._timer_at[n] = float("inf")
             self.policies[n].run_timers(self.now)
             self._drive(n)
 
@@ -248,46 +249,50 @@
         self.policies[n].health_checked(self.now, endpoint, healthy)
         self._drive(n)
 
-    # ---- Arrivals and what became of them
+    # ---- Arrivals and outcomes
     def _arrive(self, number: int) -> None:
-        on = [s.factor for s in self.steps if s.what == "surge" and s.at <= self.now < s.at + s.span]
-        surge = max(on, default=1.0)
+        active_surges = [s.factor for s in self.steps if s.what == "surge" and s.at <= self.now < s.at + s.duration_s]
+        surge = max(active_surges, default=1.0)
         if self.now < self.spec.seconds:
-            # One arrival within each slot, as in trials on sockets.
+            # One arrival at a random time within each slot, as in trials on sockets.
             self.at(self.now + 1.0 / (self.rate * surge), self._arrive, number + 1)
             self.at(self.now + self.random.random() / (self.rate * surge), self._call)
 
     def _call(self, client: int | None = None) -> None:
         n = self.random.randrange(self.spec.clients) if client is None else client
-        kind = self._kind()
+        request_class = self._draw_class()
         policy = self.policies[n]
         if self.now >= 0:
-            self.asked += kind.worth
-            self.commits += kind.worth * (not kind.safe)
-        policy.submit(self.now, kind.name, b"")
+            self.offered_worth += request_class.worth
+            self.offered_commit_worth += request_class.worth * (not request_class.safe)
+        policy.submit(self.now, request_class.name, b"")
         self._drive(n)
 
-    def _kind(self) -> site.Kind:
-        return self.random.choices(self.kinds, [k.share for k in self.kinds])[0]
+    def _draw_class(self) -> site.RequestClass:
+        return self.random.choices(self.classes, [cls.share for cls in self.classes])[0]
 
-    def _note(self, kind: site.Kind, span: float, served: bool) -> None:
-        """A call that counts has ended."""
+    def _record_call(self, request_class: site.RequestClass, duration_s: float, served: bool) -> None:
+        """A hook for subclasses: a call within the measurement has ended."""
 
     def _finished(self, n: int, call: Call, outcome: Outcome) -> None:
         if call.started_at < 0:
             return
-        kind = next(k for k in self.kinds if k.name == call.class_name)
-        self._note(kind, self.now - call.started_at, isinstance(outcome, Served))
+        request_class = next(cls for cls in self.classes if cls.name == call.class_name)
+        self._record_call(request_class, self.now - call.started_at, isinstance(outcome, Served))
         self.outcomes[OUTCOME_NAMES[type(outcome)]] += 1
-        span = self.now - call.started_at
-        got = kind.worth * (1.0 if span <= kind.aim else LATE_WORTH) if isinstance(outcome, Served) else 0.0
-        self.worth += got
-        self.commit_worth += got * (not kind.safe)
-        if not kind.safe and not isinstance(outcome, Served | Uncertain):
-            self.twice += self.runs[n, call.number] > 0  # it was said that it never ran
-
-    # ---- Connections and tries
-    def _dialled(self, n: int, connection: Connection) -> None:
+        duration_s = self.now - call.started_at
+        earned = (
+            request_class.worth * (1.0 if duration_s <= request_class.objective_s else LATE_WORTH)
+            if isinstance(outcome, Served)
+            else 0.0
+        )
+        self.worth += earned
+        self.commit_worth += earned * (not request_class.safe)
+        if not request_class.safe and not isinstance(outcome, Served | Uncertain):
+            self.duplicate_runs += self.runs[n, call.number] > 0  # reported as never run
+
+    # ---- Connections and attempts
+    def _dial_ended(self, n: int, connection: Connection) -> None:
         server = self.servers[connection.endpoint.name]
         if server.up:
             self.policies[n].connected(self.now, connection)
@@ -300,49 +305,52 @@
 
     def _sent(self, n: int, connection: Connection, attempt: Attempt) -> None:
         call = attempt.call
-        self.tries.append(self.now)
-        self.late += self.now > call.deadline
+        self.attempts.append(self.now)
+        self.late_attempts += self.now > call.deadline
         self.unmarked += (call.attempts_sent > 1) != attempt.is_retry
-        self.first[attempt.is_retry] += 1
-        place = next(i for i, k in enumerate(self.kinds) if k.name == call.class_name)
-        work = self.kinds[place].work
-        request = Request(attempt, n, place, self.random.uniform(work.least, work.most))
-        self.at(self.now + HOP, self._read, self.servers[connection.endpoint.name], request)
+        self.attempts_by_retry[attempt.is_retry] += 1
+        class_index = next(i for i, cls in enumerate(self.classes) if cls.name == call.class_name)
+        work = self.classes[class_index].work
+        request = Request(attempt, n, class_index, self.random.uniform(work.min_s, work.max_s))
+        self.at(self.now + ONE_WAY_DELAY_S, self._received, self.servers[connection.endpoint.name], request)
 
-    def _read(self, server: Server, request: Request) -> None:
+    def _received(self, server: Server, request: Request) -> None:
         if not server.up or request.attempt.id not in request.attempt.connection.in_flight:
             return
         if server.busy < server.cores:
             return self._start(server, request)
-        wait = server.waits / (server.cores * server.rate(self.now))
-        kind = self.kinds[request.cls]
-        if wait + request.work / server.rate(self.now) > kind.aim:
+        queue_delay_s = server.queued_work_s / (server.cores * server.rate(self.now))
+        request_class = self.classes[request.class_index]
+        if queue_delay_s + request.work_s / server.rate(self.now) > request_class.objective_s:
             reply = AttemptResult(
-                AttemptEnd.REJECTED, text="load", retry_after_s=ADVICE, no_retry_elsewhere=self.random.random() < 0.5
+                AttemptEnd.REJECTED,
+                text="load",
+                retry_after_s=RETRY_AFTER_S,
+                no_retry_elsewhere=self.random.random() < 0.5,
             )
-            return self.at(self.now + HOP, self._answered, request, reply)
-        server.line.append(request)
-        server.waits += request.work
+            return self.at(self.now + ONE_WAY_DELAY_S, self._answered, request, reply)
+        server.queue.append(request)
+        server.queued_work_s += request.work_s
 
     def _start(self, server: Server, request: Request) -> None:
         server.busy += 1
         if not request.attempt.call.idempotent:
             key = request.client, request.attempt.call.number
             self.runs[key] += 1
-            self.twice += self.runs[key] > 1
-        span = request.work / server.rate(self.now)
-        self.at(self.now + span, self._ran, server, server.life, request)
+            self.duplicate_runs += self.runs[key] > 1
+        duration_s = request.work_s / server.rate(self.now)
+        self.at(self.now + duration_s, self._run_ended, server, server.incarnation, request)
 
-    def _ran(self, server: Server, life: int, request: Request) -> None:
-        if server.life != life:
+    def _run_ended(self, server: Server, incarnation: int, request: Request) -> None:
+        if server.incarnation != incarnation:
             return
         server.busy -= 1
-        self.at(self.now + HOP, self._answered, request, AttemptResult(AttemptEnd.SERVED, b""))
-        while server.line and server.busy < server.cores:
-            next_one = server.line.popleft()
-            server.waits -= next_one.work
-            if next_one.attempt.id in next_one.attempt.connection.in_flight:
-                self._start(server, next_one)
+        self.at(self.now + ONE_WAY_DELAY_S, self._answered, request, AttemptResult(AttemptEnd.SERVED, b""))
+        while server.queue and server.busy < server.cores:
+            queued = server.queue.popleft()
+            server.queued_work_s -= queued.work_s
+            if queued.attempt.id in queued.attempt.connection.in_flight:
+                self._start(server, queued)
 
     def _answered(self, request: Request, reply: AttemptResult) -> None:
         connection = request.attempt.connection
@@ -350,51 +358,51 @@
             self.policies[request.client].response_received(self.now, connection, request.attempt.id, reply)
             self._drive(request.client)
 
-    def _forgotten(self, connection: Connection, attempt: Attempt) -> None:
-        """Nothing: the queue skips attempts that are no longer in flight."""
+    def _cancelled(self, connection: Connection, attempt: Attempt) -> None:
+        """Does nothing: attempts that are no longer in flight are skipped when they reach the head of the queue."""
 
     # ---- Faults
-    def _step(self, step: Step) -> None:
+    def _apply_fault(self, step: Step) -> None:
         for name in step.servers:
             server = self.servers[name]
             if step.what == "kill":
-                self._down(server)
-                self.at(self.now + EXPIRY + CATALOG_LAG, self._relist)
-                self.at(self.now + step.span, self._boot, server)
+                self._stop_server(server)
+                self.at(self.now + REPORT_TTL_S + CATALOG_LAG_S, self._relist)
+                self.at(self.now + step.duration_s, self._boot_server, server)
             elif step.what == "drain":
                 server.draining = True
                 for n, connection in list(server.links.values()):
                     self.policies[n].draining(self.now, connection)
                     self._drive(n)
-                self.at(self.now + CATALOG_LAG, self._relist)
-                self.at(self.now + DRAIN, self._leave, server)
+                self.at(self.now + CATALOG_LAG_S, self._relist)
+                self.at(self.now + DRAIN_S, self._end_drain, server)
             elif step.what == "slow":
                 server.factor = step.factor
-                self.at(self.now + step.span, setattr, server, "factor", 1.0)
+                self.at(self.now + step.duration_s, setattr, server, "factor", 1.0)
 
-    def _leave(self, server: Server) -> None:
-        self._down(server)
-        self.at(self.now + BOOT, self._boot, server)
+    def _end_drain(self, server: Server) -> None:
+        self._stop_server(server)
+        self.at(self.now + BOOT_S, self._boot_server, server)
 
-    def _down(self, server: Server) -> None:
-        server.up, server.draining, server.gone_at = False, False, self.now
-        server.life += 1
-        server.busy, server.waits = 0, 0.0
-        server.line.clear()
+    def _stop_server(self, server: Server) -> None:
+        server.up, server.draining, server.stopped_at = False, False, self.now
+        server.incarnation += 1
+        server.busy, server.queued_work_s = 0, 0.0
+        server.queue.clear()
         links, server.links = server.links, {}
         for n, connection in links.values():
             self.policies[n].closed(self.now, connection, True)
             self._drive(n)
 
-    def _boot(self, server: Server) -> None:
+    def _boot_server(self, server: Server) -> None:
         server.up, server.cold_since = True, self.now
-        self.at(self.now + CATALOG_LAG, self._relist)
+        self.at(self.now + CATALOG_LAG_S, self._relist)
 
     def _list(self, version: int) -> Listing:
         rows = tuple(
             Listed(s.name, "127.0.0.1", 1 + n, self._passing(s))
             for n, s in enumerate(self.servers.values())
-            if s.up or self.now - s.gone_at < EXPIRY
+            if s.up or self.now - s.stopped_at < REPORT_TTL_S
         )
         return Listing("sim", version, rows)
 
@@ -402,18 +410,18 @@
         return not server.draining
 
     def _relist(self) -> None:
-        fresh = self._list(self.versions + 1)
-        if fresh.servers != self.listing.servers:
+        new_listing = self._list(self.versions + 1)
+        if new_listing.servers != self.listing.servers:
             self.versions += 1
-            self.listing = fresh
+            self.listing = new_listing
             if self.now < self.spec.seconds:
-                for n, phase in enumerate(self._phases):
-                    if n not in self._polls:
-                        self._polls.add(n)
+                for n, phase in enumerate(self._poll_phases):
+                    if n not in self._polls_scheduled:
+                        self._polls_scheduled.add(n)
                         self.at(self.now + (phase - self.now) % 1.0, self._poll, n)
 
     def _poll(self, n: int) -> None:
-        self._polls.discard(n)
+        self._polls_scheduled.discard(n)
         policy = self.policies[n]
         if policy.membership.version != self.listing.version:
             policy.update_endpoints(self.now, self.listing)
@@ -421,36 +429,39 @@
 
     # ---- Figures
     def _count_links(self) -> None:
-        """Connections by server at the end of the load, before idle ones close: how evenly clients spread."""
+        """Measure how evenly connections are spread over the servers.
+
+        Called at the end of the load, before idle connections close.
+        """
         counts = [len(server.links) for server in self.servers.values() if server.up]
         mean = sum(counts) / max(1, len(counts))
         self.balance = round(max(counts, default=0) / mean, 3) if mean else 0.0
         self.links = sum(counts)
 
-    def _figures(self, wall: float) -> dict[str, Any]:
-        until = self.spec.seconds
-        load = [at for at in self.connects + self.tries if 0.0 <= at < until]
+    def _figures(self, wall_s: float) -> dict[str, Any]:
+        end_at = self.spec.seconds
+        load = [at for at in self.connects + self.attempts if 0.0 <= at < end_at]
         surge = max((s.factor for s in self.steps if s.what == "surge"), default=1.0)
         return {
             "spec": asdict(self.spec),
             "rate": round(self.rate, 1),
             "outcomes": dict(self.outcomes),
-            "worth": round(self.worth / max(self.asked, 1e-9), 4),
-            "commit_worth": round(self.commit_worth / max(self.commits, 1e-9), 4),
+            "worth": round(self.worth / max(self.offered_worth, 1e-9), 4),
+            "commit_worth": round(self.commit_worth / max(self.offered_commit_worth, 1e-9), 4),
             "dials": len(self.connects),
-            "busiest_dials": most_in_a_second(self.connects, -self.spec.settle, until),
-            "busiest": most_in_a_second(load, 0.0, until),
-            "storm": round(most_in_a_second(load, 0.0, until) / (self.rate * surge), 3),
-            "storm_connects": round(most_in_a_second(self.connects, 0.0, until) / (self.rate * surge), 3),
-            "tries_per_call": round(sum(self.first.values()) / max(1, self.first[False]), 3),
-            "late_tries": self.late,
+            "busiest_dials": most_in_a_second(self.connects, -self.spec.settle, end_at),
+            "busiest": most_in_a_second(load, 0.0, end_at),
+            "storm": round(most_in_a_second(load, 0.0, end_at) / (self.rate * surge), 3),
+            "storm_connects": round(most_in_a_second(self.connects, 0.0, end_at) / (self.rate * surge), 3),
+            "tries_per_call": round(sum(self.attempts_by_retry.values()) / max(1, self.attempts_by_retry[False]), 3),
+            "late_tries": self.late_attempts,
             "unmarked": self.unmarked,
-            "commits_twice": self.twice,
+            "commits_twice": self.duplicate_runs,
             "balance": self.balance,
             "links": self.links,
             "events": self.events,
-            "events_per_s": round(self.events / wall),
-            "wall_s": round(wall, 2),
+            "events_per_s": round(self.events / wall_s),
+            "wall_s": round(wall_s, 2),
         }
 
 
@@ -490,7 +501,7 @@
 
 
 class NaivePolicy(Policy):
-    """The baseline: the same client with no retry budget, backoff, jitter or dial budget."""
+    """The baseline: the same client without retry budget, backoff, jitter and dial budget."""
 
     dialer_type = NaiveDialer
     results_type = NaiveResults
--- a/lapishaven/lab/disk.py
+++ b/lapishaven/lab/disk.py
@@ -1,5 +1,8 @@
-"""A disk in memory that fails by script: short writes, ENOSPC, EIO, a lost rename, and power loss that keeps any part
-of what was not synced. The storage tests and its benchmark open stores on it."""
+"""A simulated disk with fault injection, for the tests and the benchmark of the storage package.
+
+It can produce short writes, ENOSPC, EIO, a lost rename, and a power loss that keeps an arbitrary part of the data that
+was not synced.
+"""
 
 from __future__ import annotations
 
@@ -13,33 +16,45 @@
 
 @dataclass(slots=True)
 class _File:
+    """``durable``: the contents as of the last sync."""
+
     data: bytearray = field(default_factory=bytearray)
-    durable: bytes = b""  # as of the last sync
+    durable: bytes = b""
 
 
 class Disk:
-    """What lasts: file contents, and the directory as of its last sync. ``Files`` of one mount are made by it."""
+    """The contents of a disk, which outlive the processes that mount it.
+
+    ``durable_entries``: the directory as of its last sync. ``capacity``: in bytes, or None for no limit. ``fault``:
+    called with the operation and the file name before each operation; it returns an error to raise, the most bytes that
+    an append writes, or None. ``calls``: all operations so far.
+    """
 
     def __init__(self, capacity: int | None = None) -> None:
         self.files: dict[str, _File] = {}
-        self.names_durable: dict[str, _File] = {}
+        self.durable_entries: dict[str, _File] = {}
         self.capacity = capacity
         self.locked = False
         self.fault: Callable[[str, str], OSError | int | None] = lambda call, name: None
         self.calls: list[tuple[str, str]] = []
 
     def mount(self) -> MemoryFiles:
+        """The file operations of one process on this disk."""
         return MemoryFiles(self)
 
     @property
     def used(self) -> int:
+        """The size of all files in bytes."""
         return sum(len(file.data) for file in self.files.values())
 
     def lose_power(self, random: Random) -> Disk:
-        """What a restart finds: synced bytes, and of each file's rest any prefix, perhaps with a page of zeros in it.
-        The directory is as synced, with any of its later changes."""
-        found = Disk(self.capacity)
-        names = dict(self.names_durable)
+        """The disk after a power loss.
+
+        Each file has its synced bytes and an arbitrary prefix of the others, perhaps with a block of zeros in it. The
+        directory is as of its last sync, with an arbitrary selection of the later changes.
+        """
+        result = Disk(self.capacity)
+        names = dict(self.durable_entries)
         for name, file in self.files.items():
             if name not in names and random.random() < 0.5:
                 names[name] = file
@@ -47,91 +62,102 @@
             if name not in self.files and random.random() < 0.5:
                 del names[name]
         for name, file in names.items():
-            now = bytes(file.data)
-            if not now.startswith(file.durable):
-                now = file.durable  # it was truncated, and that did not last
-            rest = bytearray(now[len(file.durable) :][: random.randint(0, len(now) - len(file.durable))])
-            if len(rest) > 8 and random.random() < 0.5:
-                at = random.randrange(len(rest))
-                rest[at : at + 512] = bytes(min(512, len(rest) - at))
-            data = file.durable + bytes(rest)
-            found.files[name] = found.names_durable[name] = _File(bytearray(data), data)
-        return found
+            written = bytes(file.data)
+            if not written.startswith(file.durable):
+                written = file.durable  # truncated below the synced size; the truncation is lost
+            unsynced = bytearray(written[len(file.durable) :][: random.randint(0, len(written) - len(file.durable))])
+            if len(unsynced) > 8 and random.random() < 0.5:
+                offset = random.randrange(len(unsynced))
+                unsynced[offset : offset + 512] = bytes(min(512, len(unsynced) - offset))
+            data = file.durable + bytes(unsynced)
+            result.files[name] = result.durable_entries[name] = _File(bytearray(data), data)
+        return result
 
     def copy(self) -> Disk:
-        """Another disk with the same bytes, all of them durable."""
-        found = Disk(self.capacity)
+        """A copy of the disk with all data synced."""
+        result = Disk(self.capacity)
         for name, file in self.files.items():
-            found.files[name] = found.names_durable[name] = _File(bytearray(file.data), bytes(file.data))
-        return found
+            result.files[name] = result.durable_entries[name] = _File(bytearray(file.data), bytes(file.data))
+        return result
 
 
 class MemoryFiles:
-    """One mount of a disk."""
+    """The file operations of one process on a ``Disk``, with the interface of the storage package's ``FileSystem``."""
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
-        self._mine = False
+        self._holds_lock = False
 
-    def _call(self, call: str, name: str = "") -> int | None:
-        self.disk.calls.append((call, name))
-        found = self.disk.fault(call, name)
-        if isinstance(found, OSError):
-            raise found
-        return found
+    def _begin(self, operation: str, name: str = "") -> int | None:
+        self.disk.calls.append((operation, name))
+        fault = self.disk.fault(operation, name)
+        if isinstance(fault, OSError):
+            raise fault
+        return fault
 
     def _file(self, name: str) -> _File:
         if name not in self.disk.files:
-            raise FileNotFoundError(errno.ENOENT, "No such file", name)
+            raise FileNotFoundError(errno.ENOENT, "No such file on the simulated disk", name)
         return self.disk.files[name]
 
     def names(self) -> list[str]:
+        """The names of all files."""
         return sorted(self.disk.files)
 
     def size(self, name: str) -> int:
+        """The size of a file in bytes."""
         return len(self._file(name).data)
 
-    def read(self, name: str, at: int, size: int) -> bytes:
-        self._call("read", name)
-        return bytes(self._file(name).data[at : at + size])
+    def read(self, name: str, offset: int, size: int) -> bytes:
+        """Read up to ``size`` bytes from ``offset``."""
+        self._begin("read", name)
+        return bytes(self._file(name).data[offset : offset + size])
 
     def append(self, name: str, data: bytes) -> int:
-        most = self._call("append", name)
+        """Append to a file, created if missing, and return the number of bytes written."""
+        max_bytes = self._begin("append", name)
         file = self.disk.files.setdefault(name, _File())
         room = len(data) if self.disk.capacity is None else max(0, self.disk.capacity - self.disk.used)
-        taken = min(len(data), room, most if most is not None else len(data))
+        taken = min(len(data), room, max_bytes if max_bytes is not None else len(data))
         if not taken and data:
-            raise OSError(errno.ENOSPC, "No space left on device")
+            raise OSError(errno.ENOSPC, f"No space left on the simulated disk for {len(data)} bytes of {name}")
         file.data += data[:taken]
         return taken
 
     def truncate(self, name: str, size: int) -> None:
-        self._call("truncate", name)
+        """Cut a file off at ``size`` bytes."""
+        self._begin("truncate", name)
         del self._file(name).data[size:]
 
     def sync(self, name: str) -> None:
-        self._call("sync", name)
+        """Make the contents of a file durable."""
+        self._begin("sync", name)
         file = self._file(name)
         file.durable = bytes(file.data)
 
     def sync_directory(self) -> None:
-        self._call("sync_names")
-        self.disk.names_durable = dict(self.disk.files)
+        """Make creations, renames and removals durable."""
+        self._begin("sync_names")
+        self.disk.durable_entries = dict(self.disk.files)
 
     def rename(self, old: str, new: str) -> None:
-        self._call("rename", old)
+        """Rename a file, replacing ``new``."""
+        self._begin("rename", old)
         self.disk.files[new] = self.disk.files.pop(old)
 
     def remove(self, name: str) -> None:
-        self._call("remove", name)
+        """Delete a file."""
+        self._begin("remove", name)
         self._file(name)
         del self.disk.files[name]
 
     def lock(self) -> None:
+        """Take the write lock. Raises ``StoreLockedError`` if another process has it."""
         if self.disk.locked:
-            raise StoreLockedError("another process writes to this disk")
-        self.disk.locked = self._mine = True
+            raise StoreLockedError("locking the simulated disk: another process writes to it")
+        self.disk.locked = self._holds_lock = True
 
     def close(self) -> None:
-        if self._mine:
-            self.disk.locked = self._mine = False
+        """Release the write lock if this process has it."""
+        if self._holds_lock:
+            self.disk.locked = self._holds_lock = False
--- a/lapishaven/lab/etcd.py
+++ b/lapishaven/lab/etcd.py
@@ -1,14 +1,21 @@
-"""A stand-in for etcd v3's JSON gateway, as far as ownership uses it: a process on loopback with faults on request.
+"""A stand-in for the JSON gateway of etcd v3, with fault injection: the part that ownership uses, on loopback.
 
-``Store`` is the state, pure, with time passed in; the rest is HTTP. What etcd does that matters here is done likewise:
-int64 as strings, fields that are zero or false left out, one revision for a transaction, keys that go with their
-lease, a keep-alive of an expired lease answered without a TTL, a put with such a lease rejected, expiry checked twice a
-second. It is not etcd: one process, nothing on disk, no watch, no auth.
+``Store`` holds the state, without I/O and with time passed in; ``Gateway`` adds the faults and ``serve`` the HTTP
+server. These properties of etcd are reproduced: int64 values are strings, fields that are zero or false are left out, a
+transaction has one revision, a lease's keys are deleted with it, a keep-alive of an expired lease is answered without a
+TTL, a put with such a lease is rejected, and expiry is checked twice a second. Unlike etcd it is a single process
+without storage, watches or authentication.
 
-Faults are words on standard input, a JSON object a line: ``{"stall": S}`` holds what comes for S seconds and does it
-then, ``{"refuse": S}`` answers 503, ``{"lose": N}`` does the next N writes and closes without an answer,
-``{"late": S, "for": S}`` does at once and answers S seconds later, ``{"twice": N}`` does the next N transactions twice,
-as a proxy that retries, ``{"restart": "kept" or "aged"}`` drops connections and renews, or ends, all leases.
+Faults are JSON objects on standard input, one a line:
+
+- ``{"stall": S}`` holds requests for S seconds, then processes them;
+- ``{"refuse": S}`` answers 503 for S seconds;
+- ``{"lose": N}`` applies the next N writes and closes their connections without an answer;
+- ``{"late": DELAY, "for": S}`` applies requests at once and answers after DELAY seconds, for S seconds;
+- ``{"twice": N}`` applies the next N transactions twice, as a proxy that retries would;
+- ``{"restart": "kept"}`` drops all connections and renews all leases; ``"aged"`` ends the leases.
+
+``{"report": true}`` prints the calls by path and the number of keys.
 """
 
 from __future__ import annotations
@@ -25,57 +32,60 @@
 from typing import Any
 
 EXPIRY_INTERVAL_S = 0.5  # between two checks for expired leases, as in etcd
-MIN_TTL_S = 2  # etcd raises shorter ones to its election timeout
-FIRST_LEASE = 7_587_000_000_000_000_000  # etcd numbers leases by large integers
+MIN_TTL_S = 2  # etcd raises shorter TTLs to its election timeout
+FIRST_LEASE = 7_587_000_000_000_000_000  # etcd's lease ids are large integers, too
 STALL_STEP_S = 0.05
 
 
 class EtcdError(Exception):
-    """An error that etcd answers with: its code and text."""
+    """An error response of etcd: its HTTP status and text."""
 
-    def __init__(self, code: int, text: str) -> None:
+    def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
-        self.code = code
+        self.status = status
 
 
 @dataclass(slots=True)
 class Entry:
-    """A key's value, its lease (0 for none), and the revisions that created it and last wrote it."""
+    """The value of a key, its lease (0 for none), the revisions of its creation and last write, and its write count."""
 
     value: str
     lease: int
-    create: int
-    mod: int
+    create_revision: int
+    mod_revision: int
     version: int
 
 
 @dataclass(slots=True)
 class GrantedLease:
-    """A lease: its time to live in seconds, when it expires, and the keys that go with it."""
+    """A lease and the keys that are deleted with it."""
 
-    ttl: int
+    ttl_s: int
     expires_at: float
     keys: set[str] = field(default_factory=set)
 
 
 class Store:
-    """Keys and values as they come, in base64 (its order is not that of the bytes, so ranges decode)."""
+    """Keys, leases and their revisions.
 
-    def __init__(self, min_ttl: int = MIN_TTL_S) -> None:
+    Keys and values stay in base64 as received. Ranges decode the keys, as base64 does not keep the order of the bytes.
+    """
+
+    def __init__(self, min_ttl_s: int = MIN_TTL_S) -> None:
         self.revision = 1
         self.entries: dict[str, Entry] = {}
         self.leases: dict[int, GrantedLease] = {}
         self._next_lease = FIRST_LEASE
-        self._min_ttl = min_ttl
+        self._min_ttl_s = min_ttl_s
 
     def expire(self, now: float) -> None:
         """End the leases that have expired."""
-        for number in [number for number, lease in self.leases.items() if lease.expires_at <= now]:
-            self.end(number)
+        for lease_id in [lease_id for lease_id, lease in self.leases.items() if lease.expires_at <= now]:
+            self.end(lease_id)
 
-    def end(self, number: int) -> None:
-        """End a lease; its keys go with it."""
-        keys = self.leases.pop(number).keys
+    def end(self, lease_id: int) -> None:
+        """End a lease and delete its keys, in one revision."""
+        keys = self.leases.pop(lease_id).keys
         if keys:
             self.revision += 1
             for key in keys:
@@ -85,7 +95,7 @@
         return {"cluster_id": "1", "member_id": "1", "revision": str(self.revision), "raft_term": "2"}
 
     def call(self, now: float, path: str, body: dict[str, Any]) -> dict[str, Any]:
-        """Carry out one call; ``EtcdError`` where etcd answers with an error."""
+        """Execute one request and return its response. Raises ``EtcdError`` where etcd answers with an error."""
         handlers: dict[str, Callable[[float, dict[str, Any]], dict[str, Any]]] = {
             "/v3/lease/grant": self._grant,
             "/v3/lease/keepalive": self._keepalive,
@@ -98,19 +108,19 @@
         return handlers[path](now, body)
 
     def _grant(self, now: float, body: dict[str, Any]) -> dict[str, Any]:
-        ttl = max(self._min_ttl, int(body["TTL"]))
-        number = self._next_lease
+        ttl_s = max(self._min_ttl_s, int(body["TTL"]))
+        lease_id = self._next_lease
         self._next_lease += 1
-        self.leases[number] = GrantedLease(ttl, now + ttl)
-        return {"header": self._header(), "ID": str(number), "TTL": str(ttl)}
+        self.leases[lease_id] = GrantedLease(ttl_s, now + ttl_s)
+        return {"header": self._header(), "ID": str(lease_id), "TTL": str(ttl_s)}
 
     def _keepalive(self, now: float, body: dict[str, Any]) -> dict[str, Any]:
         lease = self.leases.get(int(body["ID"]))
-        result = {"header": self._header(), "ID": body["ID"]}
+        renewal = {"header": self._header(), "ID": body["ID"]}
         if lease is not None:
-            lease.expires_at = now + lease.ttl
-            result["TTL"] = str(lease.ttl)
-        return {"result": result}
+            lease.expires_at = now + lease.ttl_s
+            renewal["TTL"] = str(lease.ttl_s)
+        return {"result": renewal}
 
     def _revoke(self, now: float, body: dict[str, Any]) -> dict[str, Any]:
         if int(body["ID"]) not in self.leases:
@@ -122,42 +132,42 @@
         key = base64.b64decode(body["key"])
         end = base64.b64decode(body.get("range_end", ""))
         if end:
-            names = sorted(base64.b64decode(name) for name in self.entries)
-            found = [base64.b64encode(name).decode() for name in names if key <= name < end]
+            all_keys = sorted(base64.b64decode(encoded) for encoded in self.entries)
+            found = [base64.b64encode(one).decode() for one in all_keys if key <= one < end]
         else:
             found = [body["key"]] if body["key"] in self.entries else []
         answer: dict[str, Any] = {"header": self._header()}
         if found:
             answer["count"] = str(len(found))
             if not body.get("count_only"):
-                answer["kvs"] = [self._key_value(name) for name in found]
+                answer["kvs"] = [self._key_value(encoded) for encoded in found]
         return answer
 
-    def _key_value(self, name: str) -> dict[str, str]:
-        entry = self.entries[name]
+    def _key_value(self, key: str) -> dict[str, str]:
+        entry = self.entries[key]
         fields = {
-            "key": name,
-            "create_revision": str(entry.create),
-            "mod_revision": str(entry.mod),
+            "key": key,
+            "create_revision": str(entry.create_revision),
+            "mod_revision": str(entry.mod_revision),
             "version": str(entry.version),
             "value": entry.value,
         }
         return {**fields, "lease": str(entry.lease)} if entry.lease else fields
 
-    def _holds(self, comparison: dict[str, Any]) -> bool:
+    def _comparison_holds(self, comparison: dict[str, Any]) -> bool:
         if comparison.get("result") != "EQUAL":
             raise EtcdError(400, "only EQUAL is there")
         entry = self.entries.get(comparison["key"])
         if comparison["target"] == "CREATE":
-            return (entry.create if entry else 0) == int(comparison["create_revision"])
+            return (entry.create_revision if entry else 0) == int(comparison["create_revision"])
         if comparison["target"] == "MOD":
-            return (entry.mod if entry else 0) == int(comparison["mod_revision"])
+            return (entry.mod_revision if entry else 0) == int(comparison["mod_revision"])
         if comparison["target"] == "LEASE":
             return (entry.lease if entry else 0) == int(comparison["lease"])
         raise EtcdError(400, f"no target {comparison['target']}")
 
     def _transaction(self, now: float, body: dict[str, Any]) -> dict[str, Any]:
-        holds = all([self._holds(comparison) for comparison in body.get("compare", [])])
+        holds = all([self._comparison_holds(comparison) for comparison in body.get("compare", [])])
         operations = body.get("success" if holds else "failure", [])
         keys = [next(iter(operation.values()))["key"] for operation in operations]
         if len(set(keys)) != len(keys):
@@ -176,7 +186,7 @@
         return {**answer, "succeeded": True} if holds else answer
 
     def _changes(self, operation: dict[str, Any]) -> bool:
-        """Whether it is a put, or deletes a key that is there."""
+        """Whether the operation changes the store: a put, or the deletion of an existing key."""
         return "request_put" in operation or operation["request_delete_range"]["key"] in self.entries
 
     def _put(self, put: dict[str, Any]) -> None:
@@ -184,8 +194,8 @@
         old = self.entries.get(key)
         if old is not None and old.lease in self.leases:
             self.leases[old.lease].keys.discard(key)
-        create, version = (old.create, old.version + 1) if old else (self.revision, 1)
-        self.entries[key] = Entry(put.get("value", ""), lease, create, self.revision, version)
+        create_revision, version = (old.create_revision, old.version + 1) if old else (self.revision, 1)
+        self.entries[key] = Entry(put.get("value", ""), lease, create_revision, self.revision, version)
         if lease:
             self.leases[lease].keys.add(key)
 
@@ -196,42 +206,44 @@
 
 
 class Gateway:
-    """The store with its faults, for many threads."""
+    """The store with fault injection, safe for use by several threads."""
 
-    def __init__(self, min_ttl: int = MIN_TTL_S) -> None:
-        self.store = Store(min_ttl)
+    def __init__(self, min_ttl_s: int = MIN_TTL_S) -> None:
+        self.store = Store(min_ttl_s)
         self.lock = threading.Lock()
         self.calls: dict[str, int] = {}
         self._stall_until = 0.0
         self._refuse_until = 0.0
-        self._late_until = 0.0
-        self._late_s = 0.0
+        self._delay_until = 0.0
+        self._answer_delay_s = 0.0
         self._writes_to_lose = 0
         self._transactions_to_repeat = 0
-        self._incarnation = 0  # grows with each restart; a connection of an earlier one is closed
+        self._incarnation = 0  # incremented by each restart, which closes the connections of earlier incarnations
 
-    def fault(self, words: dict[str, Any]) -> None:
-        """Take a fault, as the module describes them."""
+    def fault(self, command: dict[str, Any]) -> None:
+        """Inject a fault; the module documents the commands."""
         now = time.monotonic()
         with self.lock:
-            self._stall_until = now + words["stall"] if "stall" in words else self._stall_until
-            self._refuse_until = now + words["refuse"] if "refuse" in words else self._refuse_until
-            if "late" in words:
-                self._late_s = words["late"]
-                self._late_until = now + words["for"]
-            self._writes_to_lose += words.get("lose", 0)
-            self._transactions_to_repeat += words.get("twice", 0)
-            if "restart" in words:
+            self._stall_until = now + command["stall"] if "stall" in command else self._stall_until
+            self._refuse_until = now + command["refuse"] if "refuse" in command else self._refuse_until
+            if "late" in command:
+                self._answer_delay_s = command["late"]
+                self._delay_until = now + command["for"]
+            self._writes_to_lose += command.get("lose", 0)
+            self._transactions_to_repeat += command.get("twice", 0)
+            if "restart" in command:
                 self._incarnation += 1
-                for number, lease in list(self.store.leases.items()):
-                    if words["restart"] == "aged":
-                        self.store.end(number)
+                for lease_id, lease in list(self.store.leases.items()):
+                    if command["restart"] == "aged":
+                        self.store.end(lease_id)
                     else:
-                        lease.expires_at = now + lease.ttl
+                        lease.expires_at = now + lease.ttl_s
 
     def answer(self, path: str, body: dict[str, Any], incarnation: int) -> tuple[int, dict[str, Any]] | None:
-        """The HTTP status and the answer; None: close without an answer. ``incarnation``: in which the connection was
-        opened."""
+        """Returns the HTTP status and the response, or None to close the connection without one.
+
+        ``incarnation``: that of the gateway when the connection was opened.
+        """
         while (wait := self._stall_until - time.monotonic()) > 0:
             time.sleep(min(wait, STALL_STEP_S))
         now = time.monotonic()
@@ -241,34 +253,34 @@
                 return None
             if now < self._refuse_until:
                 return 503, {"error": "etcdserver: no leader", "code": 14}
-            times = 1
+            repetitions = 1
             if self._transactions_to_repeat > 0 and path == "/v3/kv/txn":
                 self._transactions_to_repeat -= 1
-                times = 2
+                repetitions = 2
             try:
-                for _ in range(times):
-                    found = self.store.call(now, path, body)
+                for _ in range(repetitions):
+                    response = self.store.call(now, path, body)
             except EtcdError as error:
-                return error.code, {"error": str(error), "code": 5, "message": str(error)}
+                return error.status, {"error": str(error), "code": 5, "message": str(error)}
             except (KeyError, ValueError, TypeError) as error:
                 return 400, {"error": f"{type(error).__name__}: {error}", "code": 3}
             if self._writes_to_lose > 0 and path in ("/v3/kv/txn", "/v3/lease/grant"):
                 self._writes_to_lose -= 1
                 return None
-            late = self._late_s if now < self._late_until else 0.0
-        if late:
-            time.sleep(late)
-        return 200, found
+            delay_s = self._answer_delay_s if now < self._delay_until else 0.0
+        if delay_s:
+            time.sleep(delay_s)
+        return 200, response
 
     def incarnation(self) -> int:
-        """Grows with each restart."""
+        """The number of restarts so far."""
         return self._incarnation
 
     def expire(self) -> None:
-        """End expired leases, for ever."""
+        """End expired leases periodically; never returns."""
         while True:
             time.sleep(EXPIRY_INTERVAL_S)
-            if time.monotonic() >= self._stall_until:  # a stalled process ends nothing either
+            if time.monotonic() >= self._stall_until:  # a stalled etcd does not end leases either
                 with self.lock:
                     self.store.expire(time.monotonic())
 
@@ -279,7 +291,7 @@
 
 
 def serve(host: str, port: int, gateway: Gateway) -> ThreadingHTTPServer:
-    """The gateway on a socket, on threads of its own. Raises ``OSError`` if it cannot listen."""
+    """Serve the gateway over HTTP on background threads. Raises ``OSError`` if the address cannot be bound."""
 
     class Handler(BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
@@ -289,19 +301,19 @@
             super().setup()
             self._incarnation = gateway.incarnation()
 
-        def do_POST(self) -> None:  # noqa: N802 - the name that http.server calls
-            """Answer one call."""
+        def do_POST(self) -> None:  # noqa: N802 - the name is set by http.server
+            """Answer one request."""
             body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
             try:
-                found = gateway.answer(self.path, json.loads(body), self._incarnation)
+                answer = gateway.answer(self.path, json.loads(body), self._incarnation)
             except ValueError:
-                found = 400, {"error": "no JSON", "code": 3}
-            if found is None:
+                answer = 400, {"error": "no JSON", "code": 3}
+            if answer is None:
                 self.close_connection = True
                 return
-            data = json.dumps(found[1]).encode()
+            data = json.dumps(answer[1]).encode()
             with suppress(OSError):
-                self.send_response(found[0])
+                self.send_response(answer[0])
                 self.send_header("Content-Type", "application/json")
                 self.send_header("Content-Length", str(len(data)))
                 self.end_headers()
@@ -317,7 +329,7 @@
 
 
 def main() -> None:
-    """Serve the gateway that the first argument describes, until standard input ends."""
+    """Serve the gateway that the first argument describes, and execute commands until standard input ends."""
     spec = json.loads(sys.argv[1])
     gateway = Gateway(spec.get("min_ttl", MIN_TTL_S))
     server = serve(spec.get("host", "127.0.0.1"), spec.get("port", 0), gateway)
@@ -326,8 +338,8 @@
         flush=True,
     )
     for line in sys.stdin:
-        words = json.loads(line)
-        if words.get("report"):
+        command = json.loads(line)
+        if command.get("report"):
             print(
                 json.dumps(
                     {
@@ -341,7 +353,7 @@
                 flush=True,
             )
         else:
-            gateway.fault(words)
+            gateway.fault(command)
 
 
 if __name__ == "__main__":
--- a/lapishaven/lab/field/silent.py
+++ b/lapishaven/lab/field/silent.py
@@ -76,11 +76,11 @@
         pids = [process.pid for name in names if (process := fleet.nodes[name].process) is not None]
         runs: list[tuple[float, bytes]] = []  # begun at those that are stopped, on the loop's clock
         for name in names:
-            fleet.nodes[name].interpreter.began = lambda body: runs.append((loop.time(), body))
-        found: list[tuple[float, site.Kind, bytes, float, Outcome]] = []
+            fleet.nodes[name].interpreter.on_run_started = lambda body: runs.append((loop.time(), body))
+        found: list[tuple[float, site.RequestClass, bytes, float, Outcome]] = []
 
         async def call(at: float, n: int) -> None:
-            kind = random.choices(site.KINDS, [each.share for each in site.KINDS])[0]
+            kind = random.choices(site.CLASSES, [each.share for each in site.CLASSES])[0]
             body = b"%d" % n
             outcome = await random.choice(clients).outcome(kind.name, body)
             found.append((at, kind, body, loop.time() - at, outcome))
@@ -107,8 +107,8 @@
         starts = fleet.starts()
         counts: Counter[str] = sum((Counter(client.policy.counts) for client in clients), Counter())
 
-    def past_aim(calls: list[tuple[float, site.Kind, bytes, float, Outcome]]) -> list[Any]:
-        return [each for each in calls if each[3] > each[1].aim or not isinstance(each[4], Served | Uncertain)]
+    def past_aim(calls: list[tuple[float, site.RequestClass, bytes, float, Outcome]]) -> list[Any]:
+        return [each for each in calls if each[3] > each[1].objective_s or not isinstance(each[4], Served | Uncertain)]
 
     inside = [each for each in found if stop <= each[0] < wake]
     calm = [each for each in found if start + spec.settle / 2 <= each[0] < stop]
--- a/lapishaven/lab/field/stand_in_interpreters.py
+++ b/lapishaven/lab/field/stand_in_interpreters.py
@@ -45,7 +45,7 @@
 
     def __init__(self, number: int, hall: Hall, box: Box, scale: float, random: Random) -> None:
         works = {
-            name: replace(work, least=work.least * scale, most=work.most * scale) for name, work in site.WORKS.items()
+            name: replace(work, min_s=work.min_s * scale, max_s=work.max_s * scale) for name, work in site.WORKS.items()
         }
         super().__init__(box, works, random, site.GAUGES)
         self._at, self._hall = number, hall
@@ -54,7 +54,7 @@
         self.fails = False
         hall.empty += 1
 
-    async def _work(self) -> None:
+    async def _step_cores(self) -> None:
         """No steps: each run has a timer."""
 
     def _mark(self, sign: int) -> None:
@@ -70,7 +70,7 @@
         self._hall.bodies[body] += 1
         if self.fails:
             del self.cores.runs[handle]
-            self._over(handle)
+            self._remember_ended(handle)
             return self._notice(f"{handle} ERROR 0.000", b"")
         self._hall.flow()
         self._mark(-1)
@@ -82,7 +82,7 @@
         loop = asyncio.get_running_loop()
         while self._queue and len(self._timers) < self.box.cores:
             handle = self._queue.popleft()
-            span = self.cores.runs[handle].left / self.cores.speed(loop.time())
+            span = self.cores.runs[handle].work_left_s / self.cores.speed(loop.time())
             self._timers[handle] = loop.call_later(span, self._done, handle)
 
     def _free(self, handle: str) -> None:
@@ -101,8 +101,8 @@
         run = self.cores.runs.pop(handle, None)
         self._free(handle)
         if run is not None:
-            self._over(handle)
-            spent = asyncio.get_running_loop().time() - run.began
+            self._remember_ended(handle)
+            spent = asyncio.get_running_loop().time() - run.started_at
             self._notice(f"{handle} OK {spent * 1000:.3f}", result(run.body))
 
     def _command(self, writer: asyncio.StreamWriter, words: list[str]) -> None:
@@ -134,7 +134,7 @@
         Light(
             n,
             hall,
-            Box(cores=spec["slots"], speed=speed, cold_span=spec.get("cold_span", 4.0)),
+            Box(cores=spec["slots"], speed=speed, cold_span_s=spec.get("cold_span", 4.0)),
             spec["scale"],
             Random(random.getrandbits(64)),
         )
--- a/lapishaven/lab/field/tier.py
+++ b/lapishaven/lab/field/tier.py
@@ -74,7 +74,7 @@
 
     def capacity(self) -> float:
         """Calls a second, with the usual mix of classes."""
-        return self.slots * sum(self.speeds) / (site.MEAN_WORK * self.scale)
+        return self.slots * sum(self.speeds) / (site.MEAN_WORK_S * self.scale)
 
     def __enter__(self) -> Tier:
         names = self.backs + self.fronts + self.plain
@@ -118,7 +118,7 @@
         return str(path)
 
     def _serve(self, name: str, vm: int, catalog: int, cores: int, back: bool) -> None:
-        box = Box(cores=cores, cold_span=self.cold_span)
+        box = Box(cores=cores, cold_span_s=self.cold_span)
         listen = self._ports.take(HOST)
         self.controls[name] = self._ports.take(HOST)[1]
         config = json.loads(
@@ -201,8 +201,8 @@
         """Poisson arrivals of the usual mix, fronts' parts of it ``differ`` up to so many times."""
         loop, random = asyncio.get_running_loop(), self.random
         parts = [differ ** random.random() for _ in self.fronts]
-        kinds, shares = [kind.name for kind in site.KINDS], [kind.share for kind in site.KINDS]
-        safe = {kind.name: kind.safe for kind in site.KINDS}
+        kinds, shares = [kind.name for kind in site.CLASSES], [kind.share for kind in site.CLASSES]
+        safe = {kind.name: kind.safe for kind in site.CLASSES}
         tasks: list[asyncio.Task[Call]] = []
         start = due = loop.time() + 0.05
         while due < start + seconds:
@@ -218,7 +218,7 @@
 
 def figures(calls: Sequence[Call], scale: float = 1.0) -> dict[str, Any]:
     """What the callers met. On time: within the class's aim, stretched as its work is."""
-    aims = {kind.name: kind.aim * max(1.0, scale) for kind in site.KINDS}
+    aims = {kind.name: kind.objective_s * max(1.0, scale) for kind in site.CLASSES}
     spans = sorted(call.span if call.status == 200 else NEVER for call in calls)
     statuses = Counter(call.status for call in calls)
     late = sum(call.status != 200 or call.span > aims[call.cls] for call in calls)
--- a/lapishaven/lab/handover/caller.py
+++ b/lapishaven/lab/handover/caller.py
@@ -47,10 +47,10 @@
 
 
 def arrivals(
-    load: Load, start: float, random: Random, kinds: Sequence[site.Kind] = site.KINDS
-) -> list[tuple[float, site.Kind]]:
+    load: Load, start: float, random: Random, kinds: Sequence[site.RequestClass] = site.CLASSES
+) -> list[tuple[float, site.RequestClass]]:
     """Poisson arrivals from ``start`` (s on the loop's clock), each of a class drawn by the site's shares."""
-    out: list[tuple[float, site.Kind]] = []
+    out: list[tuple[float, site.RequestClass]] = []
     at = start
     shares = [kind.share for kind in kinds]
     while True:
@@ -70,13 +70,13 @@
         self._numbers = 0
         self._readers: set[asyncio.Task[None]] = set()
 
-    async def run(self, planned: Sequence[tuple[float, site.Kind]]) -> None:
+    async def run(self, planned: Sequence[tuple[float, site.RequestClass]]) -> None:
         """Send each request at its time, then wait for the answers up to the last due time."""
         loop = asyncio.get_running_loop()
         for n, (at, kind) in enumerate(planned):
             await asyncio.sleep(max(0.0, at - loop.time()))
             await self._send(f"{self.tag}{n}".encode(), kind)
-        last_due = max((at + kind.deadline for at, kind in planned), default=loop.time())
+        last_due = max((at + kind.deadline_s for at, kind in planned), default=loop.time())
         while self.book.open() and loop.time() < last_due + 0.1:
             await asyncio.sleep(0.02)
         await self.close()
@@ -88,11 +88,11 @@
             task.cancel()
         await asyncio.gather(*self._readers, return_exceptions=True)
 
-    async def _send(self, body: bytes, kind: site.Kind) -> None:
+    async def _send(self, body: bytes, kind: site.RequestClass) -> None:
         loop = asyncio.get_running_loop()
         line = await self._line()
         if line is None:
-            self.book.not_sent(loop.time(), body, kind.name, not kind.safe, kind.deadline)
+            self.book.not_sent(loop.time(), body, kind.name, not kind.safe, kind.deadline_s)
             return
         id, line.next_id = line.next_id, line.next_id + 1
         call = f"{self.random.getrandbits(64):016x}"
@@ -102,7 +102,7 @@
         line.sent[id] = body
         line.ids.add(id)
         line.writer.write(data)
-        self.book.sent(loop.time(), body, kind.name, not kind.safe, kind.deadline, line.number)
+        self.book.sent(loop.time(), body, kind.name, not kind.safe, kind.deadline_s, line.number)
 
     async def _line(self) -> Line | None:
         usable = [line for line in self.lines if not line.over and not (line.draining and self.load.heed_draining)]
--- a/lapishaven/lab/handover/trial.py
+++ b/lapishaven/lab/handover/trial.py
@@ -23,7 +23,7 @@
 from lapishaven.lab.interpreter import Box, Interpreter
 
 Mode = Literal["upgrade", "restart", "burst"]
-DEADLINES = [kind.deadline for kind in site.KINDS]
+DEADLINES = [kind.deadline_s for kind in site.CLASSES]
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
         return out
 
 
-def plan(spec: Spec, start: float, random: Random) -> list[tuple[float, site.Kind]]:
+def plan(spec: Spec, start: float, random: Random) -> list[tuple[float, site.RequestClass]]:
     """The arrivals: steady, and in the burst trial a second of ``burst`` more, half of it before ``at``, and a
     pause from 0.1 s before the grace's end to 0.2 s after it, where who is early or late by a little cannot be told."""
     steady = arrivals(Load(spec.rate, spec.seconds), start, random)
@@ -94,7 +94,7 @@
                     site.WORKS,
                     Random(random.getrandbits(64)),
                     site.GAUGES,
-                    began=lambda body, name=name: book.ran(loop.time(), body, name),  # type: ignore[misc]
+                    on_run_started=lambda body, name=name: book.ran(loop.time(), body, name),  # type: ignore[misc]
                 )
                 await interpreter.open(spec.host)
                 interpreters[name] = interpreter
--- a/lapishaven/lab/interpreter.py
+++ b/lapishaven/lab/interpreter.py
@@ -1,8 +1,9 @@
-"""A stand-in interpreter: the whole of its protocol, and a model of cores shared by all that runs.
+"""A stand-in interpreter: its full protocol, and a model of the cores that its runs share.
 
-Each run has so much work, in seconds on a standard core. What runs shares the cores; past ``crowd`` runs a core
-everything gets less done in total; a cold start works at part of its speed; a box may be slowed by a script.
-With more than ``fall_multiple`` runs a core in the mean of ``fall_span`` seconds it falls over.
+Each run needs an amount of work, in seconds of a standard core. Active runs share the cores equally. Above ``crowd``
+runs per core the total throughput drops; a cold machine starts at a fraction of its speed; a script may slow it down.
+The machine crashes when the moving average over ``fall_span_s`` exceeds ``fall_multiple`` runs per core, or when the
+runs fill its memory.
 """
 
 from __future__ import annotations
@@ -16,92 +17,107 @@
 from lapishaven.proto import ProtocolError
 from lapishaven.proto.lines import LineBuffer
 
-KEPT = 4000  # notices retained
-LINE_LIMIT = 16 * 1024
-BODY_LIMIT = 64 * 1024
-TICK = 0.01  # s between two steps of the cores
-ENDED_KEPT = 20_000  # names of ended runs, for which a further APPLY is moot
+NOTICES_KEPT = 4000  # sent again to a backend that reconnects
+MAX_LINE_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
+STEP_INTERVAL_S = 0.01
+ENDED_HANDLES_KEPT = 20_000  # an APPLY of one of these is answered MOOT
 
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """What a class takes: seconds on a standard core, drawn evenly between the two."""
+    """The work of a class of requests, in seconds of a standard core, drawn uniformly from ``min_s`` to ``max_s``."""
 
-    least: float
-    most: float
+    min_s: float
+    max_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Box:
-    """One machine."""
+    """The parameters of one machine.
+
+    ``speed``: of a core, in standard cores. ``crowd``: runs per core above which throughput drops. ``thrash``: the
+    share of the throughput lost for each run per core above ``crowd``. ``cold_from``: the share of its speed at which
+    a cold machine starts; ``cold_span_s``: the seconds until it is warm. ``fall_multiple``: the average runs per core
+    at which the machine crashes; ``fall_span_s``: the time constant of that average. ``memory_runs``: the runs per core
+    that fill the memory.
+    """
 
     cores: int = 6
     speed: float = 1.0
-    crowd: float = 3.0  # runs a core past which all of them get less done
-    thrash: float = 0.25  # part of the throughput lost for each further run a core
+    crowd: float = 3.0
+    thrash: float = 0.25
     cold_from: float = 0.24
-    cold_span: float = 17.0
+    cold_span_s: float = 17.0
     fall_multiple: float = 6.0
-    fall_span: float = 1.5
-    memory_runs: float = 12.0  # runs a core that fill the memory
+    fall_span_s: float = 1.5
+    memory_runs: float = 12.0
 
 
 @dataclass(slots=True)
-class Running:
+class Run:
+    """One run in progress. ``work_left_s``: in seconds of a standard core."""
+
     handle: str
-    cls: str
+    class_name: str
     body: bytes
-    left: float
-    began: float
+    work_left_s: float
+    started_at: float
     paused: bool = False
 
 
 @dataclass(slots=True)
 class Cores:
-    """The model alone, with time passed in; the server below and simulated time both step it."""
+    """The model of a machine's cores, with time passed in. ``Interpreter`` and the emulator both step it.
+
+    ``factor``: applied to the speed by a fault. ``runs_per_core``: the moving average that decides about a crash;
+    ``max_runs_per_core``: its maximum so far. ``core_use``: the moving average of the share of the cores in use.
+    """
 
     box: Box
-    works: dict[str, Work]
+    work_by_class: dict[str, Work]
     random: Random
-    began: float
+    started_at: float
     cold: bool
-    factor: float = 1.0  # of speed, by a trouble
-    runs: dict[str, Running] = field(default_factory=dict)
+    factor: float = 1.0
+    runs: dict[str, Run] = field(default_factory=dict)
     now: float = 0.0
-    crowded: float = 0.0  # smoothed runs a core
-    worst: float = 0.0  # the most that it came to
-    fallen: bool = False
-    used: float = 0.0  # smoothed part of the cores in use
+    runs_per_core: float = 0.0
+    max_runs_per_core: float = 0.0
+    crashed: bool = False
+    core_use: float = 0.0
 
     def __post_init__(self) -> None:
-        self.now = self.began
+        self.now = self.started_at
 
     def speed(self, now: float) -> float:
-        """Of one core, in standard cores."""
+        """The speed of one core, in standard cores."""
         warm = 1.0
         if self.cold:
-            age = (now - self.began) / self.box.cold_span
+            age = (now - self.started_at) / self.box.cold_span_s
             warm = min(1.0, self.box.cold_from + (1 - self.box.cold_from) * age)
         return self.box.speed * self.factor * warm
 
-    def start(self, now: float, handle: str, cls: str, body: bytes) -> None:
-        work = self.works[cls]
-        self.runs[handle] = Running(handle, cls, body, self.random.uniform(work.least, work.most), now)
+    def start(self, now: float, handle: str, class_name: str, body: bytes) -> None:
+        """Start a run with work drawn for its class."""
+        work = self.work_by_class[class_name]
+        self.runs[handle] = Run(handle, class_name, body, self.random.uniform(work.min_s, work.max_s), now)
 
     @property
     def on_cores(self) -> int:
+        """The number of runs that are not paused."""
         return sum(not run.paused for run in self.runs.values())
 
     def rate(self, now: float, running: int) -> float:
-        """Seconds of work that each of so many runs gets done in a second."""
+        """Work done per second for each run, in seconds of a standard core, while ``running`` of them are active."""
         if not running:
             return 0.0
-        each = running / self.box.cores
-        lost = min(0.9, max(0.0, each - self.box.crowd) * self.box.thrash)
-        return self.speed(now) * min(1.0, 1.0 / each) * (1.0 - lost)
+        per_core = running / self.box.cores
+        lost = min(0.9, max(0.0, per_core - self.box.crowd) * self.box.thrash)
+        return self.speed(now) * min(1.0, 1.0 / per_core) * (1.0 - lost)
 
-    def step(self, now: float) -> list[Running]:
-        """Work up to now; gives what ended."""
+    def step(self, now: float) -> list[Run]:
+        """Advance the runs to ``now`` and return those that ended."""
         span, self.now = now - self.now, now
         if span <= 0:
             return []
@@ -109,72 +125,82 @@
         done = self.rate(now, len(active)) * span
         ended = []
         for run in active:
-            run.left -= done
-            if run.left <= 0:
+            run.work_left_s -= done
+            if run.work_left_s <= 0:
                 ended.append(run)
                 del self.runs[run.handle]
-        each = len(active) / self.box.cores
-        part = min(1.0, span / self.box.fall_span)
-        self.crowded += part * (each - self.crowded)
-        self.worst = max(self.worst, self.crowded)
-        self.used += min(1.0, span / 0.3) * (min(1.0, each) - self.used)
-        if self.crowded > self.box.fall_multiple or len(self.runs) > self.box.memory_runs * self.box.cores:
-            self.fallen = True
+        per_core = len(active) / self.box.cores
+        smoothing = min(1.0, span / self.box.fall_span_s)
+        self.runs_per_core += smoothing * (per_core - self.runs_per_core)
+        self.max_runs_per_core = max(self.max_runs_per_core, self.runs_per_core)
+        self.core_use += min(1.0, span / 0.3) * (min(1.0, per_core) - self.core_use)
+        if self.runs_per_core > self.box.fall_multiple or len(self.runs) > self.box.memory_runs * self.box.cores:
+            self.crashed = True
         return ended
 
 
 class Interpreter:
-    """The process beside one match server, on a loopback address."""
+    """A stand-in for the external interpreter of one match server, listening on a loopback address."""
 
     def __init__(
         self,
         box: Box,
-        works: dict[str, Work],
+        work_by_class: dict[str, Work],
         random: Random,
         gauges: tuple[str, ...],
-        fell: Callable[[], None] = lambda: None,
-        began: Callable[[bytes], None] = lambda body: None,
+        on_crash: Callable[[], None] = lambda: None,
+        on_run_started: Callable[[bytes], None] = lambda body: None,
     ) -> None:
-        """``fell`` is told when the box falls over, ``began`` the body of each run that begins."""
-        self.box, self.works, self.random, self.gauges, self.fell = box, works, random, gauges, fell
-        self.began = began
-        self.starts: Counter[bytes] = Counter()  # runs begun, by body: the ledger of effects
-        self.completed: Counter[bytes] = Counter()
+        """``on_crash`` is called when the machine crashes, ``on_run_started`` with the body of each run that starts."""
+        self.box, self.work_by_class, self.random, self.gauges, self.on_crash = (
+            box,
+            work_by_class,
+            random,
+            gauges,
+            on_crash,
+        )
+        self.on_run_started = on_run_started
+        self.starts: Counter[bytes] = Counter()  # runs started, by request body
+        self.completed: Counter[bytes] = Counter()  # runs completed, by request body
         self.rejected = 0
         self.address: tuple[str, int] = ("", 0)
         self._server: asyncio.Server | None = None
-        self._link: asyncio.StreamWriter | None = None
+        self._connection: asyncio.StreamWriter | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self.factor = 1.0
         self.up = False
         self.reset(cold=False)
 
     def reset(self, cold: bool) -> None:
-        """The process starts: nothing runs, notices are numbered from 1."""
-        self.cores = Cores(self.box, self.works, self.random, asyncio.get_running_loop().time(), cold, self.factor)
+        """Act as a newly started process: nothing runs, and notices are numbered from 1."""
+        self.cores = Cores(
+            self.box, self.work_by_class, self.random, asyncio.get_running_loop().time(), cold, self.factor
+        )
         self._number = 0
-        self._notices: deque[tuple[int, bytes]] = deque(maxlen=KEPT)
+        self._notices: deque[tuple[int, bytes]] = deque(maxlen=NOTICES_KEPT)
         self._ended: OrderedDict[str, None] = OrderedDict()
         self.up = True
 
     def down(self) -> None:
-        """It dies, and with it all that runs."""
+        """Act as a crashed process: drop every run and abort the connection of the backend."""
         self.up = False
         self.cores.runs.clear()
-        if self._link is not None:
-            self._link.transport.abort()
-            self._link = None
+        if self._connection is not None:
+            self._connection.transport.abort()
+            self._connection = None
 
     def slow(self, factor: float) -> None:
-        """From now on it works at this part of its speed."""
+        """Multiply the speed by ``factor`` from now on."""
         self.factor = self.cores.factor = factor
 
     async def open(self, host: str) -> None:
+        """Listen on a free port of ``host`` and start to advance the runs."""
         self._server = await asyncio.start_server(self._serve, host, 0)
         self.address = self._server.sockets[0].getsockname()[:2]
-        self._task(self._work())
+        self._spawn(self._step_cores())
 
     async def close(self) -> None:
+        """Stop listening, drop every run and end all tasks."""
         if self._server is not None:
             self._server.close()
         self.down()
@@ -182,30 +208,30 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _task(self, work: object) -> None:
+    def _spawn(self, work: object) -> None:
         task: asyncio.Task[None] = asyncio.get_running_loop().create_task(work)  # type: ignore[arg-type]
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _work(self) -> None:
+    async def _step_cores(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(STEP_INTERVAL_S)
             if not self.up:
                 continue
             now = loop.time()
             for run in self.cores.step(now):
                 self.completed[run.body] += 1
-                self._over(run.handle)
-                self._notice(f"{run.handle} OK {(now - run.began) * 1000:.3f}", result(run.body))
-            if self.cores.fallen:
-                self.fell()
+                self._remember_ended(run.handle)
+                self._notice(f"{run.handle} OK {(now - run.started_at) * 1000:.3f}", result(run.body))
+            if self.cores.crashed:
+                self.on_crash()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if not self.up:
             writer.transport.abort()
             return
-        lines, body = LineBuffer(LINE_LIMIT), None
+        lines, body = LineBuffer(MAX_LINE_BYTES), None
         try:
             while data := await reader.read(65536):
                 lines.feed(data)
@@ -221,74 +247,74 @@
                     if line is None:
                         break
                     words = line.decode().split(" ")
-                    if words[0] == "APPLY" and len(words) == 4 and 0 <= int(words[3]) <= BODY_LIMIT:
+                    if words[0] == "APPLY" and len(words) == 4 and 0 <= int(words[3]) <= MAX_BODY_BYTES:
                         body = words[1], words[2], int(words[3])
                     else:
                         self._command(writer, words)
         except (ProtocolError, ValueError, IndexError, ConnectionError):
-            pass  # what is not a command closes the link
+            pass  # a malformed command closes the connection
         finally:
-            if self._link is writer:
-                self._link = None
+            if self._connection is writer:
+                self._connection = None
             writer.close()
 
     def _command(self, writer: asyncio.StreamWriter, words: list[str]) -> None:
         now = asyncio.get_running_loop().time()
-        kind, word = words[0], words[1]
-        if kind == "CONNECT":
-            if self._link is not None and self._link is not writer:
-                self._link.close()  # each new link replaces the previous one
-            self._link = writer
-            state, age = "COLD" if self.cores.cold else "WARM", (now - self.cores.began) * 1000
+        command, argument = words[0], words[1]
+        if command == "CONNECT":
+            if self._connection is not None and self._connection is not writer:
+                self._connection.close()  # each new connection replaces the previous one
+            self._connection = writer
+            state, age = "COLD" if self.cores.cold else "WARM", (now - self.cores.started_at) * 1000
             self._write(f"BANNER {state} {age:.0f}\r\n".encode())
             for number, notice in self._notices:
-                if number > int(word):
+                if number > int(argument):
                     self._write(notice)
-        elif kind == "TOP":
+        elif command == "TOP":
             values = {
-                "core_use": self.cores.used,
+                "core_use": self.cores.core_use,
                 "on_cores": float(self.cores.on_cores),
                 "heap_share": len(self.cores.runs) / (self.box.memory_runs * self.box.cores),
                 "links": 1.0,
             }
-            told = " ".join(f"{values[name]:.4f}" for name in self.gauges)
-            self._write(f"TOPS {word} {told}\r\n".encode())
-        elif kind == "SMOKE":
-            self._write(f"SMOKED {word} OK\r\n".encode())
-        elif kind == "BREAK":
-            run = self.cores.runs.get(word)
+            gauges = " ".join(f"{values[name]:.4f}" for name in self.gauges)
+            self._write(f"TOPS {argument} {gauges}\r\n".encode())
+        elif command == "SMOKE":
+            self._write(f"SMOKED {argument} OK\r\n".encode())
+        elif command == "BREAK":
+            run = self.cores.runs.get(argument)
             if run is not None and not run.paused:
                 run.paused = True
-                self._notice(f"{word} STOPPED {(now - run.began) * 1000:.3f}", b"")
-        elif kind == "CONTINUE":
-            run = self.cores.runs.get(word)
+                self._notice(f"{argument} STOPPED {(now - run.started_at) * 1000:.3f}", b"")
+        elif command == "CONTINUE":
+            run = self.cores.runs.get(argument)
             if run is not None:
                 run.paused = False
-            elif word in self._ended:
-                self._notice(f"{word} MOOT 0.000", b"")
+            elif argument in self._ended:
+                self._notice(f"{argument} MOOT 0.000", b"")
             else:
-                self._reject("CONTINUE", word)
+                self._reject("CONTINUE", argument)
         else:
-            raise ValueError(f"not a command: {kind}")
+            raise ValueError(f"unknown interpreter command {command[:40]!r}; closing the connection")
 
-    def _apply(self, writer: asyncio.StreamWriter, handle: str, cls: str, body: bytes) -> None:
-        if cls not in self.works:
+    def _apply(self, writer: asyncio.StreamWriter, handle: str, class_name: str, body: bytes) -> None:
+        if class_name not in self.work_by_class:
             return self._reject("APPLY", handle)
         if handle in self.cores.runs:
-            return  # it runs already
+            return  # a repeated APPLY of a run in progress
         if handle in self._ended:
             return self._notice(f"{handle} MOOT 0.000", b"")
         self.starts[body] += 1
-        self.began(body)
-        self.cores.start(asyncio.get_running_loop().time(), handle, cls, body)
+        self.on_run_started(body)
+        self.cores.start(asyncio.get_running_loop().time(), handle, class_name, body)
 
     def _reject(self, command: str, handle: str) -> None:
         self.rejected += 1
         self._write(f"ERROR {command} {handle}\r\n".encode())
 
-    def _over(self, handle: str) -> None:
+    def _remember_ended(self, handle: str) -> None:
         self._ended[handle] = None
-        while len(self._ended) > ENDED_KEPT:
+        while len(self._ended) > ENDED_HANDLES_KEPT:
             self._ended.popitem(last=False)
 
     def _notice(self, text: str, body: bytes) -> None:
@@ -298,10 +324,10 @@
         self._write(line)
 
     def _write(self, data: bytes) -> None:
-        if self._link is not None and not self._link.is_closing():
-            self._link.write(data)
+        if self._connection is not None and not self._connection.is_closing():
+            self._connection.write(data)
 
 
 def result(body: bytes) -> bytes:
-    """What a run makes of a body; a checker can tell it from anything else."""
+    """The result of a run, derived from the request body so that a checker can verify it."""
     return b"match:" + body
--- a/lapishaven/lab/ports.py
+++ b/lapishaven/lab/ports.py
@@ -1,9 +1,10 @@
-"""Ports that a trial gives to its servers: held from the start, so that nothing else on the machine takes them.
+"""Ports reserved for the servers of a trial, so that no other socket on the machine takes them.
 
-A port that was free a moment ago may be another socket's by the time that a server binds it: its own fleet's next
-stand-in or a client's connection, as the kernel gives both any port that is not bound. So a socket is bound to it, with
-``SO_REUSEADDR`` and without listening, for as long as the trial lasts: a server that sets the option too, as match
-servers do, can bind and listen beside it, also again after a kill, and while it does not, connections are refused.
+A port that was free when it was chosen may be taken before a server binds it, by another stand-in of the fleet or by an
+outgoing connection, as the kernel assigns any unbound port to either. So each port is held, for as long as the trial
+lasts, by a socket that is bound with ``SO_REUSEADDR`` and does not listen. A server that sets the option, as match
+servers do, can bind the same port and listen, also when it is restarted after a kill. While no server listens,
+connections are refused.
 """
 
 from __future__ import annotations
@@ -12,19 +13,20 @@
 
 
 class Ports:
-    """``take`` gives a port; ``close`` lets go of all."""
+    """Reserves ports with ``take`` and releases all of them with ``close``."""
 
     def __init__(self) -> None:
-        self._held: list[socket.socket] = []
+        self._sockets: list[socket.socket] = []
 
     def take(self, host: str) -> tuple[str, int]:
-        """A port on ``host`` that is this trial's until ``close``. Raises ``OSError`` where there is none."""
+        """Reserve a free port of ``host`` until ``close``; returns its address. Raises ``OSError`` if there is none."""
         sock = socket.socket()
-        self._held.append(sock)
+        self._sockets.append(sock)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((host, 0))
         return host, int(sock.getsockname()[1])
 
     def close(self) -> None:
-        while self._held:
-            self._held.pop().close()
+        """Release all ports."""
+        while self._sockets:
+            self._sockets.pop().close()
--- a/lapishaven/lab/script.py
+++ b/lapishaven/lab/script.py
@@ -1,14 +1,15 @@
-"""Scripts of troubles: lines of a time and what then happens, for a fleet on sockets or in simulated time.
+"""Fault scripts for a fleet, on sockets or in simulated time: each line has a time in seconds and a fault.
 
 ::
 
-    2.0  kill 20% back 5            a fifth of the servers dies at once and starts again 5 s later, cold
+    2.0  kill 20% back 5            kill a fifth of the servers; they restart cold 5 s later
     2.0  kill n1 n3 back 5
-    2.0  slow n2 x0.1 for 30        it works at a tenth of its speed
-    4.0  deploy 98% batch 16% every 5    rolls over so much of the fleet, so much at a time
-    5.0  drain n4                   a notice to leave, then a new process
-    1.0  catalog away for 60        1.0 catalog lies empty for 10 (half, garbage)
-    3.0  surge x1.5 for 10          more arrivals, where the driver of the load heeds it
+    2.0  slow n2 x0.1 for 30        run at a tenth of the speed for 30 s
+    4.0  deploy 98% batch 16% every 5    rolling restart: drain 16% of the fleet every 5 s
+    5.0  drain n4                   graceful shutdown, then a new process
+    1.0  catalog away for 60        the catalog refuses connections
+    1.0  catalog lies empty for 10  the catalog sends wrong lists: empty, half or garbage
+    3.0  surge x1.5 for 10          multiply the arrival rate, if the load generator supports it
 """
 
 from __future__ import annotations
@@ -19,19 +20,24 @@
 
 
 class ScriptError(ValueError):
-    """One plain line on what is wrong."""
+    """A script is invalid. The text is one line that names the fault and the script's line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One thing that happens to some servers, or to the catalog or the load where there are none."""
+    """One fault, on ``servers``, or on the catalog or the load if that is empty.
+
+    ``at``: seconds from the start of the script. ``what``: kill, slow, drain, catalog-away, catalog-lies or surge.
+    ``factor``: of the speed or the arrival rate. ``duration_s``: until the fault ends, or until the server restarts.
+    ``variant``: of catalog-lies: empty, half or garbage.
+    """
 
     at: float
-    what: str  # kill, slow, drain, catalog-away, catalog-lies, surge
+    what: str
     servers: tuple[str, ...] = ()
     factor: float = 1.0
-    span: float = 0.0  # until it is over, or until the server starts again
-    word: str = ""
+    duration_s: float = 0.0
+    variant: str = ""
 
 
 def _number(word: str, line: str, prefix: str = "") -> float:
@@ -40,7 +46,7 @@
     except ValueError:
         value = -1.0
     if not value >= 0:
-        raise ScriptError(f"{word!r} is no number in: {line}")
+        raise ScriptError(f"fault script: {word!r} is not a number of 0 or more in: {line}")
     return value
 
 
@@ -53,22 +59,25 @@
         return tuple(sorted(random.sample(list(names), min(len(names), _share(words[0], len(names), line)))))
     for word in words:
         if word not in names:
-            raise ScriptError(f"no server {word!r} in: {line}")
+            raise ScriptError(f"fault script: unknown server {word!r} in: {line}")
     return tuple(words)
 
 
 def parse(text: str, names: Sequence[str], seed: int) -> list[Step]:
-    """The steps in the order of their times; servers of a share are drawn by the seed."""
+    """Parse a script into steps in time order. Servers given as a percentage are drawn with the seed.
+
+    Raises ``ScriptError`` at the first invalid line.
+    """
     steps: list[Step] = []
     random = Random(seed)
-    for raw in text.splitlines():
-        line = raw.partition("#")[0].strip()
+    for raw_line in text.splitlines():
+        line = raw_line.partition("#")[0].strip()
         if not line:
             continue
         first, *words = line.split()
         at = _number(first, line)
         if not words:
-            raise ScriptError(f"nothing happens in: {line}")
+            raise ScriptError(f"fault script: no fault after the time in: {line}")
         steps += _steps(at, words[0], words[1:], names, random, line)
     return sorted(steps, key=lambda step: step.at)
 
@@ -76,43 +85,44 @@
 def _option(words: list[str], name: str, line: str, default: float | None = None) -> float:
     if name not in words:
         if default is None:
-            raise ScriptError(f"{name} is missing in: {line}")
+            raise ScriptError(f"fault script: {name} is missing in: {line}")
         return default
-    place = words.index(name)
-    if place + 1 >= len(words):
-        raise ScriptError(f"{name} has no value in: {line}")
-    value = words[place + 1]
-    del words[place : place + 2]
+    index = words.index(name)
+    if index + 1 >= len(words):
+        raise ScriptError(f"fault script: {name} has no value in: {line}")
+    value = words[index + 1]
+    del words[index : index + 2]
     return _number(value.removesuffix("%"), line)
 
 
 def _steps(at: float, verb: str, words: list[str], names: Sequence[str], random: Random, line: str) -> list[Step]:
     if verb == "kill":
-        back = _option(words, "back", line)
-        return [Step(at, "kill", _servers(words, names, random, line), span=back)]
+        restart_s = _option(words, "back", line)
+        return [Step(at, "kill", _servers(words, names, random, line), duration_s=restart_s)]
     if verb == "drain":
         return [Step(at, "drain", _servers(words, names, random, line))]
     if verb == "slow":
-        span = _option(words, "for", line)
+        duration_s = _option(words, "for", line)
         factors = [word for word in words if word.startswith("x")]
         if len(factors) != 1:
-            raise ScriptError(f"one factor like x0.1 is needed in: {line}")
+            raise ScriptError(f"fault script: slow needs exactly one factor such as x0.1 in: {line}")
         words.remove(factors[0])
-        return [Step(at, "slow", _servers(words, names, random, line), _number(factors[0], line, "x"), span)]
+        return [Step(at, "slow", _servers(words, names, random, line), _number(factors[0], line, "x"), duration_s)]
     if verb == "deploy":
-        batch = max(1, round(_option(words, "batch", line) / 100 * len(names)))
-        every = _option(words, "every", line)
+        batch_size = max(1, round(_option(words, "batch", line) / 100 * len(names)))
+        interval_s = _option(words, "every", line)
         order = list(_servers(words, names, random, line))
         random.shuffle(order)
         return [
-            Step(at + n // batch * every, "drain", tuple(order[n : n + batch])) for n in range(0, len(order), batch)
+            Step(at + n // batch_size * interval_s, "drain", tuple(order[n : n + batch_size]))
+            for n in range(0, len(order), batch_size)
         ]
     if verb == "surge" and words and words[0].startswith("x"):
         return [Step(at, "surge", (), _number(words[0], line, "x"), _option(words, "for", line))]
     if verb == "catalog" and words and words[0] in ("away", "lies"):
-        span = _option(words, "for", line)
-        word = words[1] if len(words) > 1 else ""
-        if words[0] == "lies" and word not in ("empty", "half", "garbage"):
-            raise ScriptError(f"a lie is empty, half or garbage in: {line}")
-        return [Step(at, f"catalog-{words[0]}", (), 1.0, span, word)]
-    raise ScriptError(f"not understood: {line}")
+        duration_s = _option(words, "for", line)
+        variant = words[1] if len(words) > 1 else ""
+        if words[0] == "lies" and variant not in ("empty", "half", "garbage"):
+            raise ScriptError(f"fault script: catalog lies needs empty, half or garbage, not {variant!r}, in: {line}")
+        return [Step(at, f"catalog-{words[0]}", (), 1.0, duration_s, variant)]
+    raise ScriptError(f"fault script: unknown fault {verb!r} in: {line}")
--- a/lapishaven/lab/site.py
+++ b/lapishaven/lab/site.py
@@ -1,4 +1,4 @@
-"""What a stand-in site is like: classes, boxes and the configuration of each match server."""
+"""The site that the stand-ins model: classes of requests, machines, and the configuration of each match server."""
 
 from __future__ import annotations
 
@@ -15,53 +15,62 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """A class of work as the brief has it."""
+class RequestClass:
+    """A class of requests, as specified for the site.
+
+    ``share``: of all requests. ``objective_s``: the latency objective, after which a result counts less.
+    ``deadline_s``: after which it counts nothing. ``worth``: the value of a result within its objective. ``safe``:
+    whether an attempt may run more than once.
+    """
 
     name: str
     share: float
     work: Work
-    aim: float
-    deadline: float
+    objective_s: float
+    deadline_s: float
     worth: float
     safe: bool
 
 
-KINDS = (
-    Kind("fuzzy-match", 0.42, Work(0.29, 0.49), 1.5, 5.6, 1.0, True),
-    Kind("segment-save", 0.42, Work(0.17, 0.30), 1.5, 4.5, 1.0, True),
-    Kind("approve-commit", 0.16, Work(0.17, 0.30), 1.1, 3.8, 3.0, False),
+CLASSES = (
+    RequestClass("fuzzy-match", 0.42, Work(0.29, 0.49), 1.5, 5.6, 1.0, True),
+    RequestClass("segment-save", 0.42, Work(0.17, 0.30), 1.5, 4.5, 1.0, True),
+    RequestClass("approve-commit", 0.16, Work(0.17, 0.30), 1.1, 3.8, 3.0, False),
+)
+WORKS = {request_class.name: request_class.work for request_class in CLASSES}
+MEAN_WORK_S = sum(
+    request_class.share * (request_class.work.min_s + request_class.work.max_s) / 2 for request_class in CLASSES
 )
-WORKS = {kind.name: kind.work for kind in KINDS}
-MEAN_WORK = sum(kind.share * (kind.work.least + kind.work.most) / 2 for kind in KINDS)
 STOP_MS = 3200
 
 
-def rules(kinds: Sequence[Kind] = KINDS) -> dict[str, ClassRule]:
-    """The classes as a client is told of them."""
-    order = sorted(kinds, key=lambda kind: kind.worth)
-    part = 1.0 / len(order)
+def rules(classes: Sequence[RequestClass] = CLASSES) -> dict[str, ClassRule]:
+    """The classes as a client's settings."""
+    order = sorted(classes, key=lambda request_class: request_class.worth)
+    rank_share = 1.0 / len(order)
     return {
-        kind.name: ClassRule(
-            kind.deadline,
-            "safe" if kind.safe else "once",
-            (kind.work.least + kind.work.most) / 2,
-            rank=order.index(kind) * part,
-            rank_span=part * 0.999,
+        request_class.name: ClassRule(
+            request_class.deadline_s,
+            "safe" if request_class.safe else "once",
+            (request_class.work.min_s + request_class.work.max_s) / 2,
+            rank=order.index(request_class) * rank_share,
+            rank_span=rank_share * 0.999,
         )
-        for kind in kinds
+        for request_class in classes
     }
 
 
 def box(random: Random) -> Box:
-    """One box of the fleet: a third old, two thirds new."""
+    """Draw a machine: a third of them are old and slow, two thirds new."""
     speed = random.uniform(0.5, 0.7) if random.random() < 0.33 else random.uniform(1.0, 1.3)
     return Box(speed=speed)
 
 
-def settings(of: Box, servers: int, callers: int, cold: bool, kinds: Sequence[Kind] = KINDS) -> dict[str, Any]:
-    """The settings object that a match server's configuration holds."""
-    memory = of.memory_runs * of.cores * 16.0 * 30.0
+def settings(
+    box: Box, servers: int, callers: int, cold: bool, classes: Sequence[RequestClass] = CLASSES
+) -> dict[str, Any]:
+    """The ``settings`` object of a match server's configuration."""
+    memory_kb = box.memory_runs * box.cores * 16.0 * 30.0
     return {
         "callers": {"marks-retry": True},
         "customers": [],
@@ -69,10 +78,10 @@
         "value-by": "request",
         "extra": {
             "below": "silent",
-            "calls-by-class": [False] * len(kinds),
-            "class-skip-worth": [0.0] * len(kinds),
+            "calls-by-class": [False] * len(classes),
+            "class-skip-worth": [0.0] * len(classes),
             "cold": cold,
-            "cores": of.cores,
+            "cores": box.cores,
             "deep-checks": True,
             "dep-window": 5.0,
             "fair-calls": 0.0,
@@ -82,7 +91,7 @@
             "idle": 15.0,
             "key-kb": 0.0,
             "linger": 0.2,
-            "memory-kb": memory,
+            "memory-kb": memory_kb,
             "passes-deadline": False,
             "registry-follows": True,
             "run-factor": 16.0,
@@ -94,23 +103,23 @@
         "limits": {"max-retry-after": 1.0, "retry-after": True},
         "obligations": {
             "answer-slack": 0.1,
-            "cold": of.cold_span,
-            "cold-from": of.cold_from,
+            "cold": box.cold_span_s,
+            "cold-from": box.cold_from,
             "drain-grace": 2.0,
-            "fall-multiple": of.fall_multiple,
-            "tip-after": of.fall_span,
+            "fall-multiple": box.fall_multiple,
+            "tip-after": box.fall_span_s,
         },
         "profiles": [
             {
-                "name": kind.name,
-                "aim": kind.aim,
-                "deadline": kind.deadline,
-                "credit": kind.worth,
-                "effect": "free" if kind.safe else "single_shot",
+                "name": request_class.name,
+                "aim": request_class.objective_s,
+                "deadline": request_class.deadline_s,
+                "credit": request_class.worth,
+                "effect": "free" if request_class.safe else "single_shot",
                 "late-worth": 0.2,
                 "window": 5.0,
             }
-            for kind in kinds
+            for request_class in classes
         ],
     }
 
@@ -121,13 +130,13 @@
     interpreter: tuple[str, int],
     catalog: tuple[str, int],
     seed: int,
-    of: Box,
+    box: Box,
     servers: int,
     callers: int,
     cold: bool,
     stop_ms: int = STOP_MS,
 ) -> str:
-    """The configuration file of one match server."""
+    """The text of a match server's configuration file."""
     return json.dumps(
         {
             "name": name,
@@ -137,6 +146,6 @@
             "seed": f"{seed:016x}",
             "stop_ms": stop_ms,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "settings": settings(of, servers, callers, cold),
+            "settings": settings(box, servers, callers, cold),
         }
     )
--- a/lapishaven/lab/wiretap.py
+++ b/lapishaven/lab/wiretap.py
@@ -1,7 +1,7 @@
-"""What crossed the sockets, read at the sockets: the checker's own eyes, apart from any client's counters.
+"""Records a client's traffic at its sockets, so that a check does not depend on the client's own counters.
 
-``Tap.socket`` makes sockets that write down each connect and every byte as the system took or gave it. Requests
-and answers are read from these bytes by a parser that shares nothing with the client's.
+``Tap.socket`` creates sockets that record each connect and all bytes that the kernel accepted or delivered. Requests
+and answers are parsed from these bytes by code that is independent of the client's parser.
 """
 
 from __future__ import annotations
@@ -15,87 +15,93 @@
 
 
 @dataclass(slots=True)
-class Try:
-    """One request as it went out."""
+class RecordedAttempt:
+    """One request as sent. ``socket``: identifies the connection. ``request_id``: the JSON-RPC id on it."""
 
-    at: float
+    sent_at: float
     call: str
-    cls: str
-    rep: bool
+    class_name: str
+    is_retry: bool
     body: bytes
     socket: int
-    id: int
-    answered: float | None = None
-    ending: str = ""
+    request_id: int
+    answered_at: float | None = None
+    result: str = ""
 
 
 @dataclass(slots=True)
 class Tap:
-    """The book of all sockets it made."""
+    """Creates recording sockets and collects what they record.
+
+    ``ignored_addresses``: connections to these, such as the catalog's, are not recorded. ``connects``: the times of all
+    connects. ``unreadable``: lines that could not be parsed. ``max_in_flight``: the most requests in flight on one
+    connection.
+    """
 
     clock: Callable[[], float]
-    not_servers: set[tuple[str, int]] = field(default_factory=set)  # addresses that are no match servers'
+    ignored_addresses: set[tuple[str, int]] = field(default_factory=set)
     connects: list[float] = field(default_factory=list)
-    tries: list[Try] = field(default_factory=list)
-    forgets: int = 0
-    checks: int = 0
-    answers_twice: int = 0
+    attempts: list[RecordedAttempt] = field(default_factory=list)
+    cancellations: int = 0
+    health_checks: int = 0
+    duplicate_answers: int = 0
     unreadable: int = 0
-    most_open: int = 0  # on one connection
+    max_in_flight: int = 0
     late_results: int = 0
 
     def socket(self, family: int) -> socket.socket:
-        return _Tapped(self, family)
+        """Create a recording TCP socket."""
+        return _RecordingSocket(self, family)
 
 
-class _Tapped(socket.socket):
-    """A socket that tells its tap what it does."""
+class _RecordingSocket(socket.socket):
+    """A TCP socket that reports its traffic to a ``Tap``."""
 
-    __slots__ = ("_tap", "_sent", "_got", "_open", "_done", "_server")
+    __slots__ = ("_tap", "_sent", "_received", "_in_flight", "_answered", "_recorded")
 
     def __init__(self, tap: Tap, family: int) -> None:
         super().__init__(family, socket.SOCK_STREAM)
-        self._tap, self._sent, self._got = tap, bytearray(), bytearray()
-        self._open: dict[int, Try] = {}
-        self._done: set[int] = set()
-        self._server = True
+        self._tap, self._sent, self._received = tap, bytearray(), bytearray()
+        self._in_flight: dict[int, RecordedAttempt] = {}
+        self._answered: set[int] = set()
+        self._recorded = True
 
     def connect(self, address: Any) -> None:
-        self._server = tuple(address[:2]) not in self._tap.not_servers
-        if self._server:
+        self._recorded = tuple(address[:2]) not in self._tap.ignored_addresses
+        if self._recorded:
             self._tap.connects.append(self._tap.clock())
         super().connect(address)
 
     def send(self, data: Any, flags: int = 0) -> int:
         count = super().send(data, flags)
-        self._out(bytes(data[:count]))
+        self._record_sent(bytes(data[:count]))
         return count
 
     def sendmsg(self, buffers: Any, *rest: Any) -> int:
         data = b"".join(buffers)
         count = super().sendmsg([data], *rest)
-        self._out(data[:count])
+        self._record_sent(data[:count])
         return count
 
     def recv(self, size: int, flags: int = 0) -> bytes:
         data = super().recv(size, flags)
-        if self._server:
-            self._got += data
-            for line in self._lines(self._got):
-                self._in(line)
+        if self._recorded:
+            self._received += data
+            for line in self._take_lines(self._received):
+                self._record_answer(line)
         return data
 
     @staticmethod
-    def _lines(buffer: bytearray) -> list[bytes]:
-        *whole, rest = bytes(buffer).split(b"\n")
+    def _take_lines(buffer: bytearray) -> list[bytes]:
+        *complete, rest = bytes(buffer).split(b"\n")
         buffer[:] = rest
-        return whole
+        return complete
 
-    def _out(self, data: bytes) -> None:
-        if not self._server:
+    def _record_sent(self, data: bytes) -> None:
+        if not self._recorded:
             return
         self._sent += data
-        for line in self._lines(self._sent):
+        for line in self._take_lines(self._sent):
             try:
                 message = json.loads(line)
                 method, params = message["method"], message.get("params", {})
@@ -103,39 +109,41 @@
                 self._tap.unreadable += 1
                 continue
             if method == "forget":
-                self._tap.forgets += 1
+                self._tap.cancellations += 1
             elif method == "isWell":
-                self._tap.checks += 1
+                self._tap.health_checks += 1
             else:
                 body = base64.b64decode(params.get("arg", ""))
-                each = Try(
+                attempt = RecordedAttempt(
                     self._tap.clock(), params["call"], method, params.get("rep") == 1, body, id(self), message["id"]
                 )
-                self._tap.tries.append(each)
-                self._open[each.id] = each
-                self._tap.most_open = max(self._tap.most_open, sum(t.answered is None for t in self._open.values()))
+                self._tap.attempts.append(attempt)
+                self._in_flight[attempt.request_id] = attempt
+                self._tap.max_in_flight = max(
+                    self._tap.max_in_flight, sum(one.answered_at is None for one in self._in_flight.values())
+                )
 
-    def _in(self, line: bytes) -> None:
+    def _record_answer(self, line: bytes) -> None:
         try:
             message = json.loads(line)
         except ValueError:
             self._tap.unreadable += 1
             return
-        number = message.get("id")
-        if number is None:
+        request_id = message.get("id")
+        if request_id is None:
             return
-        if number in self._done:
-            self._tap.answers_twice += 1
-        each = self._open.pop(number, None)
-        if each is not None:
-            self._done.add(number)
-            each.answered = self._tap.clock()
+        if request_id in self._answered:
+            self._tap.duplicate_answers += 1
+        attempt = self._in_flight.pop(request_id, None)
+        if attempt is not None:
+            self._answered.add(request_id)
+            attempt.answered_at = self._tap.clock()
             code = message.get("error", {}).get("code") if "error" in message else None
-            each.ending = "served" if "result" in message else "refused" if code == -32066 else "failed"
+            attempt.result = "served" if "result" in message else "refused" if code == -32066 else "failed"
 
 
 def most_in_a_second(times: list[float], since: float, until: float) -> int:
-    """The most events in any window of one second that begins at one of them."""
+    """The largest number of events from ``since`` to ``until`` within any window of one second."""
     times = sorted(t for t in times if since <= t < until)
     most = start = 0
     for end, at in enumerate(times):
--- a/tests/test_client_driver.py
+++ b/tests/test_client_driver.py
@@ -300,7 +300,7 @@
         server, catalog = await serve(echo, log), Catalog(lag=0.0)
         catalog.addresses["n1"] = server.sockets[0].getsockname()[:2]
         await catalog.open("127.0.0.1")
-        catalog.book.report(asyncio.get_running_loop().time(), "n1", True)
+        catalog.server_list.report(asyncio.get_running_loop().time(), "n1", True)
         rules = replace(settings().catalog_rules, poll_s=0.01, timeout_s=0.2)
         given = Settings(CLASSES, catalog="{}:{}".format(*catalog.address), catalog_rules=rules)
         async with server, Client(given) as client:
@@ -312,16 +312,16 @@
                 assert await client.call("fuzzy-match", b"a") == b"done"
 
             assert await client.call("fuzzy-match", b"a") == b"done"
-            catalog.lie = "empty"
+            catalog.wrong_answer = "empty"
             await until("list empty")
-            catalog.lie = "garbage"
+            catalog.wrong_answer = "garbage"
             await until("catalog failed")
             address = catalog.address
             await catalog.close()
             await until("catalog failed")
-            catalog.lie = ""
+            catalog.wrong_answer = ""
             await catalog.open(*address)
-            catalog.book.report(asyncio.get_running_loop().time(), "n1", True)
+            catalog.server_list.report(asyncio.get_running_loop().time(), "n1", True)
             await until("list taken")
         await catalog.close()
 
@@ -339,7 +339,7 @@
         box = Box(speed=4.0)
         async with Fleet(2, 1, boxes=[box, box], lag=0.1, log=log, extra=["--uwsgi", str(uwsgi)]) as fleet:
             await fleet.ready()
-            tap.not_servers.add(fleet.catalog.address)
+            tap.ignored_addresses.add(fleet.catalog.address)
             given = Settings(
                 site.rules(),
                 catalog="{}:{}".format(*fleet.catalog.address),
@@ -367,8 +367,8 @@
             if first.served:  # its server may be the one that was killed
                 assert not isinstance(again, Served) or again.body == first.body  # type: ignore[attr-defined]
                 assert fleet.starts()[b"u"] == 1
-        sent = [attempt.call for attempt in tap.tries]
-        assert len(sent) == len(set(sent)) and tap.most_open <= 32 and tap.unreadable == 0
+        sent = [attempt.call for attempt in tap.attempts]
+        assert len(sent) == len(set(sent)) and tap.max_in_flight <= 32 and tap.unreadable == 0
 
     asyncio.run(asyncio.wait_for(main(), 60.0))
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -94,7 +94,7 @@
         catalog = CatalogStandIn(lag=0.0)
         await catalog.open("127.0.0.1")
         catalog.addresses["n1"] = ("127.0.0.1", 9)
-        catalog.book.report(asyncio.get_running_loop().time(), "n1", True)
+        catalog.server_list.report(asyncio.get_running_loop().time(), "n1", True)
         address = "{}:{}".format(*catalog.address)
         rules = replace(Catalog(), file=str(tmp_path / "list.json"), save_s=0.0, poll_s=0.05)
         settings = Settings(CLASSES, catalog=address, catalog_rules=rules)
@@ -131,13 +131,13 @@
         loop = asyncio.get_running_loop()
         for name in ("n1", "n2"):
             catalog.addresses[name] = ("127.0.0.1", 9)
-            catalog.book.report(loop.time(), name, True)
+            catalog.server_list.report(loop.time(), name, True)
         settings = Settings(CLASSES, catalog="{}:{}".format(*catalog.address), catalog_rules=Catalog(poll_s=0.02))
         async with Client(settings) as client:
             while client.policy.membership.version < 0:
                 await asyncio.sleep(0.01)
             catalog.addresses["n3"] = ("127.0.0.1", 9)
-            catalog.book.report(loop.time(), "n3", True)
+            catalog.server_list.report(loop.time(), "n3", True)
             while "n3" not in client.policy.membership:
                 await asyncio.sleep(0.01)
             names = set(client.policy.membership.names)
--- a/tests/test_ownership_serve.py
+++ b/tests/test_ownership_serve.py
@@ -182,7 +182,7 @@
             async def build_config(name: str, incarnation: str) -> str:
                 began = lambda body: books[name].ran(loop.time(), body, incarnation)  # noqa: E731
                 interpreter = Interpreter(
-                    Box(speed=4.0), site.WORKS, Random(random.getrandbits(64)), site.GAUGES, began=began
+                    Box(speed=4.0), site.WORKS, Random(random.getrandbits(64)), site.GAUGES, on_run_started=began
                 )
                 await interpreter.open("127.0.0.1")
                 stack.push_async_callback(interpreter.close)
@@ -222,7 +222,7 @@
                             processes[name],
                             f"{name}b",
                             await build_config(name, f"{name}b"),
-                            [kind.deadline for kind in site.KINDS],
+                            [kind.deadline_s for kind in site.CLASSES],
                         )
                         assert upgrade.old_code == 0 and not upgrade.killed
             await wait_for(
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -46,7 +46,7 @@
             cores=rules.cores,
             speed=speed,
             cold_from=rules.slow_start_initial_speed,
-            cold_span=rules.slow_start_span,
+            cold_span_s=rules.slow_start_span,
             memory_runs=1e9,
         )
         self.cores = Cores(box, WORKS, Random(seed + 1), 0.0, True)
@@ -78,9 +78,9 @@
 
     def step(self, now: float, send_sample: bool) -> None:
         for run in self.cores.step(now):
-            self.events.append(RunFinished(int(run.handle), now - run.began, Outcome.OK))
+            self.events.append(RunFinished(int(run.handle), now - run.started_at, Outcome.OK))
         if send_sample:
-            self.events.append(LoadSample(0, self.cores.used, float(self.cores.on_cores), 0.2, 10.0))
+            self.events.append(LoadSample(0, self.cores.core_use, float(self.cores.on_cores), 0.2, 10.0))
         events, self.events = self.events, []
         for action in self.controller.handle(now, events):
             if isinstance(action, StartRun):
