--- a/lapishaven/lab/baselines.py
+++ b/lapishaven/lab/baselines.py
@@ -101,10 +101,10 @@
                 pass
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def outcome(self, cls: str, body: bytes) -> Outcome:
+    async def outcome(self, class_name: str, body: bytes) -> Outcome:
         """Make one call; see ``Client.outcome``."""
         loop = asyncio.get_running_loop()
-        start, rule, attempts = loop.time(), self.settings.classes[cls], 0
+        start, rule, attempts = loop.time(), self.settings.classes[class_name], 0
         due = start + rule.deadline_s
         last: Outcome = Expired(0, 0.0)
         await self._list_received.wait()
@@ -115,10 +115,10 @@
             elapsed_s = loop.time() - start
             try:
                 async with asyncio.timeout_at(due):
-                    answer = await self._attempt(cls, body, attempts > 1)
+                    answer = await self._attempt(class_name, body, attempts > 1)
             except TimeoutError:
                 return Expired(
-                    attempts, rule.deadline_s, f"no result of {cls} within its deadline of {rule.deadline_s:g} s"
+                    attempts, rule.deadline_s, f"no result of {class_name} within its deadline of {rule.deadline_s:g} s"
                 )
             except OSError as error:
                 last = Failed(attempts, elapsed_s, str(error))
@@ -131,7 +131,9 @@
             last = Refused(attempts, elapsed_s, answer.text) if refused else Failed(attempts, elapsed_s, answer.text)
         return last
 
-    async def _attempt(self, cls: str, body: bytes, is_retry: bool) -> jsonrpc.ResultResponse | jsonrpc.ErrorResponse:
+    async def _attempt(
+        self, class_name: str, body: bytes, is_retry: bool
+    ) -> jsonrpc.ResultResponse | jsonrpc.ErrorResponse:
         if not self._servers:
             await asyncio.sleep(0.05)
             raise ConnectionError(f"choosing a server: the catalog at {self.settings.catalog} lists none as passing")
@@ -146,11 +148,11 @@
             asyncio.get_running_loop().create_future()
         )
         connection.in_flight[connection.last_id] = future
-        rule = self.settings.classes[cls]
+        rule = self.settings.classes[class_name]
         connection.writer.write(
             jsonrpc.encode_request(
                 connection.last_id,
-                cls,
+                class_name,
                 f"{self.random.getrandbits(64):016x}",
                 body,
                 rule.heap_kb,
--- a/lapishaven/lab/client_simulation.py
+++ b/lapishaven/lab/client_simulation.py
@@ -95,8 +95,8 @@
     """One server of the model.
 
     ``cold_since``: when it started; None if it is warmed up. ``factor``: applied to the speed by a fault. ``busy``: the
-    cores in use. ``queued_work_s``: the work in ``queue``, in seconds of a standard core. ``links``: connections, as
-    (client's index, connection). ``stopped_at``: when it last stopped.
+    cores in use. ``queued_work_s``: the work in ``queue``, in seconds of a standard core. ``connections``: as (client's
+    index, connection). ``stopped_at``: when it last stopped.
     """
 
     name: str
@@ -110,7 +110,7 @@
     busy: int = 0
     queue: deque[Request] = field(default_factory=deque)
     queued_work_s: float = 0.0
-    links: dict[int, tuple[int, Connection]] = field(default_factory=dict)
+    connections: dict[int, tuple[int, Connection]] = field(default_factory=dict)
     running: set[int] = field(default_factory=set)
     stopped_at: float = 0.0
 
@@ -127,7 +127,7 @@
 
     def __init__(self, spec: Spec, settings: Settings | None = None) -> None:
         self.spec, self.random = spec, Random(spec.seed)
-        self.classes: tuple[site.RequestClass, ...] = getattr(self, "classes", site.CLASSES)
+        self.kinds: tuple[site.RequestClass, ...] = getattr(self, "kinds", site.CLASSES)
         self.now = -spec.settle
         self.events = 0
         self._handlers: dict[type[Action], Callable[[int, Any], None]] = {
@@ -166,8 +166,8 @@
     def _make_clients(self, base: Settings) -> None:
         spec = self.spec
         policy_type = NaivePolicy if spec.naive else Policy
-        for n in range(spec.clients):
-            client_settings = replace(base, caller=n, callers=spec.clients)
+        for client in range(spec.clients):
+            client_settings = replace(base, caller=client, callers=spec.clients)
             policy = policy_type(client_settings, Random(self.random.getrandbits(64)), self.now)
             policy.update_endpoints(self.now, self.listing)
             self.policies.append(policy)
@@ -189,8 +189,8 @@
             self.at(step.at, self._apply_fault, step)
         self.at(self.spec.seconds, self._count_links)
         if self.spec.together:
-            for n in range(self.spec.clients):
-                self.at(self.now + self.random.random(), self._call, n)
+            for client in range(self.spec.clients):
+                self.at(self.now + self.random.random(), self._call, client)
         end_at = self.spec.seconds + 8.0
         while self._heap and self._heap[0][0] <= end_at:
             self.now, _, callback, args = heappop(self._heap)
@@ -198,56 +198,56 @@
             callback(*args)
         return self._figures(perf_counter() - started_at)
 
-    def _drive(self, n: int) -> None:
+    def _drive(self, client: int) -> None:
         """Execute the actions of a client's policy and schedule its next timer."""
-        policy = self.policies[n]
+        policy = self.policies[client]
         while actions := policy.take_actions():
             for action in actions:
-                self._handlers[type(action)](n, action)
+                self._handlers[type(action)](client, action)
         when = policy.next_timer_at()
-        if when is not None and when < self._timer_at[n]:
-            self._timer_at[n] = when
-            self.at(when, self._run_timers, n, when)
+        if when is not None and when < self._timer_at[client]:
+            self._timer_at[client] = when
+            self.at(when, self._run_timers, client, when)
 
-    def _send_request(self, n: int, action: SendRequest) -> None:
-        self._sent(n, action.connection, action.attempt)
+    def _send_request(self, client: int, action: SendRequest) -> None:
+        self._sent(client, action.connection, action.attempt)
 
-    def _complete_call(self, n: int, action: CompleteCall) -> None:
-        self._finished(n, action.call, action.outcome)
+    def _complete_call(self, client: int, action: CompleteCall) -> None:
+        self._finished(client, action.call, action.outcome)
 
-    def _open_connection(self, n: int, action: OpenConnection) -> None:
+    def _open_connection(self, client: int, action: OpenConnection) -> None:
         self.connects.append(self.now)
-        self.at(self.now + ONE_WAY_DELAY_S, self._dial_ended, n, action.connection)
+        self.at(self.now + ONE_WAY_DELAY_S, self._dial_ended, client, action.connection)
 
-    def _cancel_request(self, n: int, action: CancelRequest) -> None:
+    def _cancel_request(self, client: int, action: CancelRequest) -> None:
         self.at(self.now + ONE_WAY_DELAY_S, self._cancelled, action.connection, action.attempt)
 
-    def _close_connection(self, n: int, action: CloseConnection) -> None:
+    def _close_connection(self, client: int, action: CloseConnection) -> None:
         server = self.servers.get(action.connection.endpoint.name)
         if server is not None:
-            server.links.pop(action.connection.id * self.spec.clients + n, None)
+            server.connections.pop(action.connection.id * self.spec.clients + client, None)
 
-    def _send_probe(self, n: int, action: SendProbe) -> None:
+    def _send_probe(self, client: int, action: SendProbe) -> None:
         if self.servers[action.connection.endpoint.name].up:
-            self.at(self.now + 2 * ONE_WAY_DELAY_S, self._probe_answered, n, action.connection)
+            self.at(self.now + 2 * ONE_WAY_DELAY_S, self._probe_answered, client, action.connection)
 
-    def _check_health(self, n: int, action: CheckHealth) -> None:
+    def _check_health(self, client: int, action: CheckHealth) -> None:
         up = self.servers[action.endpoint.name].up
-        self.at(self.now + ONE_WAY_DELAY_S, self._health_checked, n, action.endpoint, up)
+        self.at(self.now + ONE_WAY_DELAY_S, self._health_checked, client, action.endpoint, up)
 
-    def _run_timers(self, n: int, when: float) -> None:
-        if self._timer_at[n] == when:
-            self._timer_at[n] = float("inf")
-            self.policies[n].run_timers(self.now)
-            self._drive(n)
+    def _run_timers(self, client: int, when: float) -> None:
+        if self._timer_at[client] == when:
+            self._timer_at[client] = float("inf")
+            self.policies[client].run_timers(self.now)
+            self._drive(client)
 
-    def _probe_answered(self, n: int, connection: Connection) -> None:
-        self.policies[n].probe_answered(self.now, connection)
-        self._drive(n)
+    def _probe_answered(self, client: int, connection: Connection) -> None:
+        self.policies[client].probe_answered(self.now, connection)
+        self._drive(client)
 
-    def _health_checked(self, n: int, endpoint: Endpoint, healthy: bool) -> None:
-        self.policies[n].health_checked(self.now, endpoint, healthy)
-        self._drive(n)
+    def _health_checked(self, client: int, endpoint: Endpoint, healthy: bool) -> None:
+        self.policies[client].health_checked(self.now, endpoint, healthy)
+        self._drive(client)
 
     # ---- Arrivals and outcomes
     def _arrive(self, number: int) -> None:
@@ -259,25 +259,25 @@
             self.at(self.now + self.random.random() / (self.rate * surge), self._call)
 
     def _call(self, client: int | None = None) -> None:
-        n = self.random.randrange(self.spec.clients) if client is None else client
+        client = self.random.randrange(self.spec.clients) if client is None else client
         request_class = self._draw_class()
-        policy = self.policies[n]
+        policy = self.policies[client]
         if self.now >= 0:
             self.offered_worth += request_class.worth
             self.offered_commit_worth += request_class.worth * (not request_class.safe)
         policy.submit(self.now, request_class.name, b"")
-        self._drive(n)
+        self._drive(client)
 
     def _draw_class(self) -> site.RequestClass:
-        return self.random.choices(self.classes, [cls.share for cls in self.classes])[0]
+        return self.random.choices(self.kinds, [cls.share for cls in self.kinds])[0]
 
     def _record_call(self, request_class: site.RequestClass, duration_s: float, served: bool) -> None:
         """A hook for subclasses: a call within the measurement has ended."""
 
-    def _finished(self, n: int, call: Call, outcome: Outcome) -> None:
+    def _finished(self, client: int, call: Call, outcome: Outcome) -> None:
         if call.started_at < 0:
             return
-        request_class = next(cls for cls in self.classes if cls.name == call.class_name)
+        request_class = next(cls for cls in self.kinds if cls.name == call.class_name)
         self._record_call(request_class, self.now - call.started_at, isinstance(outcome, Served))
         self.outcomes[OUTCOME_NAMES[type(outcome)]] += 1
         duration_s = self.now - call.started_at
@@ -289,29 +289,29 @@
         self.worth += earned
         self.commit_worth += earned * (not request_class.safe)
         if not request_class.safe and not isinstance(outcome, Served | Uncertain):
-            self.duplicate_runs += self.runs[n, call.number] > 0  # reported as never run
+            self.duplicate_runs += self.runs[client, call.number] > 0  # reported as never run
 
     # ---- Connections and attempts
-    def _dial_ended(self, n: int, connection: Connection) -> None:
+    def _dial_ended(self, client: int, connection: Connection) -> None:
         server = self.servers[connection.endpoint.name]
         if server.up:
-            self.policies[n].connected(self.now, connection)
-            server.links[connection.id * self.spec.clients + n] = n, connection
+            self.policies[client].connected(self.now, connection)
+            server.connections[connection.id * self.spec.clients + client] = client, connection
             if server.draining:
-                self.policies[n].draining(self.now, connection)
+                self.policies[client].draining(self.now, connection)
         else:
-            self.policies[n].dial_failed(self.now, connection)
-        self._drive(n)
+            self.policies[client].dial_failed(self.now, connection)
+        self._drive(client)
 
-    def _sent(self, n: int, connection: Connection, attempt: Attempt) -> None:
+    def _sent(self, client: int, connection: Connection, attempt: Attempt) -> None:
         call = attempt.call
         self.attempts.append(self.now)
         self.late_attempts += self.now > call.deadline
         self.unmarked += (call.attempts_sent > 1) != attempt.is_retry
         self.attempts_by_retry[attempt.is_retry] += 1
-        class_index = next(i for i, cls in enumerate(self.classes) if cls.name == call.class_name)
-        work = self.classes[class_index].work
-        request = Request(attempt, n, class_index, self.random.uniform(work.min_s, work.max_s))
+        class_index = next(i for i, cls in enumerate(self.kinds) if cls.name == call.class_name)
+        work = self.kinds[class_index].work
+        request = Request(attempt, client, class_index, self.random.uniform(work.min_s, work.max_s))
         self.at(self.now + ONE_WAY_DELAY_S, self._received, self.servers[connection.endpoint.name], request)
 
     def _received(self, server: Server, request: Request) -> None:
@@ -320,7 +320,7 @@
         if server.busy < server.cores:
             return self._start(server, request)
         queue_delay_s = server.queued_work_s / (server.cores * server.rate(self.now))
-        request_class = self.classes[request.class_index]
+        request_class = self.kinds[request.class_index]
         if queue_delay_s + request.work_s / server.rate(self.now) > request_class.objective_s:
             reply = AttemptResult(
                 AttemptEnd.REJECTED,
@@ -371,9 +371,9 @@
                 self.at(self.now + step.duration_s, self._boot_server, server)
             elif step.what == "drain":
                 server.draining = True
-                for n, connection in list(server.links.values()):
-                    self.policies[n].draining(self.now, connection)
-                    self._drive(n)
+                for client, connection in list(server.connections.values()):
+                    self.policies[client].draining(self.now, connection)
+                    self._drive(client)
                 self.at(self.now + CATALOG_LAG_S, self._relist)
                 self.at(self.now + DRAIN_S, self._end_drain, server)
             elif step.what == "slow":
@@ -389,10 +389,10 @@
         server.incarnation += 1
         server.busy, server.queued_work_s = 0, 0.0
         server.queue.clear()
-        links, server.links = server.links, {}
-        for n, connection in links.values():
-            self.policies[n].closed(self.now, connection, True)
-            self._drive(n)
+        connections, server.connections = server.connections, {}
+        for client, connection in connections.values():
+            self.policies[client].closed(self.now, connection, True)
+            self._drive(client)
 
     def _boot_server(self, server: Server) -> None:
         server.up, server.cold_since = True, self.now
@@ -400,8 +400,8 @@
 
     def _list(self, version: int) -> Listing:
         rows = tuple(
-            Listed(s.name, "127.0.0.1", 1 + n, self._passing(s))
-            for n, s in enumerate(self.servers.values())
+            Listed(s.name, "127.0.0.1", 1 + index, self._passing(s))
+            for index, s in enumerate(self.servers.values())
             if s.up or self.now - s.stopped_at < REPORT_TTL_S
         )
         return Listing("sim", version, rows)
@@ -415,17 +415,17 @@
             self.versions += 1
             self.listing = new_listing
             if self.now < self.spec.seconds:
-                for n, phase in enumerate(self._poll_phases):
-                    if n not in self._polls_scheduled:
-                        self._polls_scheduled.add(n)
-                        self.at(self.now + (phase - self.now) % 1.0, self._poll, n)
-
-    def _poll(self, n: int) -> None:
-        self._polls_scheduled.discard(n)
-        policy = self.policies[n]
+                for client, phase in enumerate(self._poll_phases):
+                    if client not in self._polls_scheduled:
+                        self._polls_scheduled.add(client)
+                        self.at(self.now + (phase - self.now) % 1.0, self._poll, client)
+
+    def _poll(self, client: int) -> None:
+        self._polls_scheduled.discard(client)
+        policy = self.policies[client]
         if policy.membership.version != self.listing.version:
             policy.update_endpoints(self.now, self.listing)
-            self._drive(n)
+            self._drive(client)
 
     # ---- Figures
     def _count_links(self) -> None:
@@ -433,7 +433,7 @@
 
         Called at the end of the load, before idle connections close.
         """
-        counts = [len(server.links) for server in self.servers.values() if server.up]
+        counts = [len(server.connections) for server in self.servers.values() if server.up]
         mean = sum(counts) / max(1, len(counts))
         self.balance = round(max(counts, default=0) / mean, 3) if mean else 0.0
         self.links = sum(counts)
--- a/lapishaven/lab/emulator.py
+++ b/lapishaven/lab/emulator.py
@@ -117,7 +117,7 @@
     unread: deque[tuple[Request, float, float]] = field(default_factory=deque)
     step_scheduled: bool = False
     stopped_at: float = 0.0
-    links: dict[int, tuple[int, Any]] = field(default_factory=dict)
+    connections: dict[int, tuple[int, Any]] = field(default_factory=dict)
     crashes: int = 0
     worst_concurrency: float = 0.0
     worst_memory: float = 0.0
@@ -134,7 +134,7 @@
         self.cores = Cores(
             self.box, emulator.work_by_class, Random(self.seed ^ self.incarnation), now, self.cold, self.factor
         )
-        table = site.settings(self.box, emulator.spec.servers, emulator.spec.clients, self.cold, emulator.classes)
+        table = site.settings(self.box, emulator.spec.servers, emulator.spec.clients, self.cold, emulator.kinds)
         settings, _ = parse_settings(json.dumps(table))
         self.pools = emulator.make_pools(settings, now)
         self.broker = Broker(
@@ -150,7 +150,7 @@
         request = self.open_requests.get(handle)
         if request is not None:
             emulator.max_wait_s[class_name] = max(emulator.max_wait_s[class_name], emulator.now - request.submitted_at)
-        if not emulator.classes[emulator.names.index(class_name)].safe and request is not None:
+        if not emulator.kinds[emulator.names.index(class_name)].safe and request is not None:
             emulator.count_run(request)
         self.cores.start(emulator.now, handle, class_name, body)
         if emulator.doubled(class_name):
@@ -247,8 +247,8 @@
         total = readers + self.cores.on_cores
         work_done_s = self.cores.speed(self.emulator.now) * min(1.0, self.box.cores / total) * interval_s
         remaining: deque[tuple[Request, float, float]] = deque()
-        for n, (request, received_at, work_left_s) in enumerate(self.unread):
-            work_left_s -= work_done_s if n < readers else 0.0
+        for index, (request, received_at, work_left_s) in enumerate(self.unread):
+            work_left_s -= work_done_s if index < readers else 0.0
             if work_left_s <= 0:
                 self.submit(request, self.emulator.now - received_at)
             else:
@@ -261,7 +261,7 @@
         call = attempt.call
         if attempt.id not in attempt.connection.in_flight:
             return
-        request_class = emulator.classes[request.class_index]
+        request_class = emulator.kinds[request.class_index]
         submission = Submission(
             attempt.request_id,
             request.class_index,
@@ -299,13 +299,13 @@
     spec: EmulatorSpec
 
     def __init__(self, spec: EmulatorSpec) -> None:
-        self.classes = request_classes(spec.light)
+        self.kinds = request_classes(spec.light)
         if spec.only:
-            self.classes = tuple(replace(cls, share=1.0 if cls.name == spec.only else 0.0) for cls in self.classes)
-        self.names = [cls.name for cls in self.classes]
-        self.work_by_class = {cls.name: cls.work for cls in self.classes}
-        self.mean_work_s = sum(cls.share * (cls.work.min_s + cls.work.max_s) / 2 for cls in self.classes)
-        rules = site.rules(self.classes)
+            self.kinds = tuple(replace(cls, share=1.0 if cls.name == spec.only else 0.0) for cls in self.kinds)
+        self.names = [cls.name for cls in self.kinds]
+        self.work_by_class = {cls.name: cls.work for cls in self.kinds}
+        self.mean_work_s = sum(cls.share * (cls.work.min_s + cls.work.max_s) / 2 for cls in self.kinds)
+        rules = site.rules(self.kinds)
         base = ClientSettings(rules, catalog="127.0.0.1:1")
         base = replace(
             base, retry=replace(base.retry, tries=spec.retries), routing=replace(base.routing, strategy=spec.strategy)
@@ -314,11 +314,11 @@
         super().__init__(spec, base)
         random = Random(spec.seed ^ 0xB0)
         machines: dict[str, Any] = {}
-        for n, name in enumerate(self.servers):
+        for index, name in enumerate(self.servers):
             box = site.box(random)
             if spec.boxes:
                 box = Box(speed=random.uniform(0.5, 0.7) if spec.boxes == "old" else random.uniform(1.0, 1.3))
-            machines[name] = Machine(self, name, box, spec.seed * 1000 + n)
+            machines[name] = Machine(self, name, box, spec.seed * 1000 + index)
         self.servers = machines
         self.rate = spec.load * sum(m.box.cores * m.box.speed for m in machines.values()) / self.mean_work_s
         for machine in machines.values():
@@ -357,7 +357,7 @@
 
     # ---- Requests
     def _draw_class(self) -> site.RequestClass:
-        return self.random.choices(self.classes, [cls.share for cls in self.classes])[0]
+        return self.random.choices(self.kinds, [cls.share for cls in self.kinds])[0]
 
     def _received(self, server: Any, request: Request) -> None:
         machine: Machine = server
@@ -432,10 +432,10 @@
         machine.step_scheduled = False
         self._plans.pop(machine.name, None)
         machine.unread.clear()
-        links, machine.links = machine.links, {}
-        for n, connection in links.values():
-            self.policies[n].closed(self.now, connection, True)
-            self._drive(n)
+        connections, machine.connections = machine.connections, {}
+        for client, connection in connections.values():
+            self.policies[client].closed(self.now, connection, True)
+            self._drive(client)
 
     def _boot_server(self, server: Any) -> None:
         server.up, server.cold, server.healthy = True, True, True
