--- a/benchmarks/storage.py
+++ b/benchmarks/storage.py
@@ -28,7 +28,7 @@
 WRITER = """
 import random, sys
 from lapishaven.storage import Limits, Store
-store, rnd = Store.open(sys.argv[1], Limits(segment=30_000, dead=0.3)), random.Random(int(sys.argv[2]))
+store, rnd = Store.open(sys.argv[1], Limits(segment_bytes=30_000, garbage_ratio=0.3)), random.Random(int(sys.argv[2]))
 first = int(sys.argv[3])
 for n in range(first, first + 100_000):
     key, value = b"k%d" % rnd.randrange(300), b"%d" % n if rnd.random() > 0.25 else b""
