--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -75,6 +75,7 @@
 
 
 def summary(durations_s: list[float]) -> dict[str, float]:
+    """Return the number of calls, their percentiles, and how many had no answer within 1 s."""
     sorted_s = sorted(durations_s)
     return {
         "calls": len(sorted_s),
--- a/benchmarks/handover.py
+++ b/benchmarks/handover.py
@@ -35,6 +35,7 @@
 
 
 def specs(seed: int, short: bool) -> list[dict[str, Any]]:
+    """Return the specs of all trials: an upgrade and a restart for each load, and a burst, for each seed."""
     loads = [30.0] if short else [30.0, 60.0]
     seeds = [seed] if short else [seed, seed + 1, seed + 2]
     trial_specs: list[dict[str, Any]] = []
@@ -57,6 +58,7 @@
 
 
 def missed_targets(figures: dict[str, Any]) -> list[str]:
+    """Return the targets that a trial missed."""
     spec = figures["spec"]
     name = f"{spec['mode']}, seed {spec['seed']}, {spec['rate']:g} requests a second"
     missed = [
@@ -85,6 +87,7 @@
 
 
 def totals(rows: list[dict[str, Any]]) -> dict[str, Any]:
+    """Return the sums of the counts and the largest of the times over several trials."""
     keys = ("sent", "served", "refused_answers", "broken", "refused", "reset", "cut", "unanswered", "late_runs")
     summed: dict[str, Any] = {key: sum(row[key] for row in rows) for key in keys}
     summed["left_s"] = max(row["left_s"] for row in rows)
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -276,8 +276,16 @@
         columns = list(fleets[0])
         text += "\n\n" + table(columns, [[row[name] for name in columns] for row in fleets])
         rows = [
-            [a["members"], a["used"], a["most"], c["used"], c["most"], b["used"], b["most"]]
-            for a, b, c in zip(distributed, fixed, shifting, strict=True)
+            [
+                even["members"],
+                even["used"],
+                even["most"],
+                changing["used"],
+                changing["most"],
+                static["used"],
+                static["most"],
+            ]
+            for even, static, changing in zip(distributed, fixed, shifting, strict=True)
         ]
         header = (
             "members",
--- a/benchmarks/ownership_path.py
+++ b/benchmarks/ownership_path.py
@@ -42,6 +42,7 @@
 
 
 def measure(seed: int, calls: int, ownership_on: bool) -> list[float]:
+    """Return the latencies of the served calls in seconds, with short ownership periods if ownership is on."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "ownership.toml")
         settings_text = (ROOT / "deploy/ownership.toml").read_text().replace("/var/lib/lapishaven", folder)
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -372,7 +372,7 @@
     largest = [next(results) for _ in largest_specs]
     peak = next(results)
     twins = [next(results) for _ in twin_specs]
-    cases_found = list(results)
+    case_figures = list(results)
     socket_specs: list[dict[str, Any]] = [
         {"fronts": 20, "processes": 40, "load": 0.9, "seconds": 5.0, "policy": "", "fault": ""},
         {"fronts": 20, "processes": 40, "load": 0.9, "seconds": 5.0, "policy": WITHOUT_PROBES, "fault": ""},
@@ -397,7 +397,7 @@
         ]
     on_sockets = [run_trials(MODULE, [{"kind": "real", "seed": args.seed, **spec}], 1)[0] for spec in socket_specs]
     sampling = [sampling_costs(size, args.seed) for size in ((10, 1000) if args.short else (10, 100, 1000, 10_000))]
-    report(args, cases_found, peak["peak"], on_sockets, sampling, stopped_figures, twins, largest)
+    report(args, case_figures, peak["peak"], on_sockets, sampling, stopped_figures, twins, largest)
 
 
 def report(
