--- a/lapishaven/load_balancing/__init__.py
+++ b/lapishaven/load_balancing/__init__.py
@@ -1,10 +1,10 @@
-"""Load balancing over many endpoints by balancers each of which sees little of the load.
+"""Load balancing over many endpoints by many independent balancers, each of which sends only a small part of the load.
 
-Pure: no I/O; the time and the source of randomness are arguments. ``balancer.LoadBalancer`` is the entry. It is
-composed of ``endpoint_table`` and ``endpoint_state`` (what is known), ``endpoint_selector``, ``endpoint_cost`` and
-``report_cache`` (the choice), ``failure_detector`` (unresponsive endpoints), ``outlier_ejection`` (failing ones) and
-``retry_budget``. The other side is ``load_reporter``, which makes the reports.
-``docs/design/spread.md`` has the reasons.
+The package performs no I/O; the time and the source of randomness are arguments. ``balancer.LoadBalancer`` is the
+entry point. It is composed of ``endpoint_table`` and ``endpoint_state`` (the state of each endpoint),
+``endpoint_selector``, ``endpoint_cost`` and ``report_cache`` (choosing an endpoint), ``failure_detector``
+(unresponsive endpoints), ``outlier_ejection`` (failing endpoints) and ``retry_budget``. ``load_reporter`` runs in the
+endpoints and produces their load reports. See ``docs/design/spread.md`` for the design.
 """
 
 from lapishaven.load_balancing.balancer import LoadBalancer
--- a/lapishaven/load_balancing/balancer.py
+++ b/lapishaven/load_balancing/balancer.py
@@ -1,12 +1,12 @@
-"""The load balancer: which of many endpoints gets a request, from little and old knowledge of each.
+"""The load balancer: chooses an endpoint for each request from sparse and outdated load reports.
 
     choice = balancer.begin_choice(now)
-    # send choice.probes, pass each answer to receive_probe_answer
-    endpoint = balancer.finish_choice(now, choice)  # all answered, or choice.deadline
+    # send choice.probes, and pass each answer to receive_probe_answer
+    endpoint = balancer.finish_choice(now, choice)  # when all probes are answered, or at choice.deadline
     balancer.attempt_started(now, endpoint)
     balancer.attempt_ended(now, endpoint, sent_at, AttemptOutcome.SERVED)
 
-Pure: no I/O; the time in s is an argument. ``docs/design/spread.md`` has the reasons.
+The balancer performs no I/O, and the time, in seconds, is an argument. See ``docs/design/spread.md`` for the design.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 
 
 class LoadBalancer:
-    """One balancer's view of all endpoints, and its choices among them.
+    """Tracks the state of all endpoints and chooses among them.
 
     Attributes:
-        counts: events by name, as the metrics have them.
-        retry_budget: asked by the driver before each retry.
+        counts: number of events by name; exported as metrics.
+        retry_budget: the caller withdraws from it before each retry.
     """
 
     def __init__(self, rules: BalancingRules, random: Random) -> None:
@@ -54,69 +54,70 @@
         self._probes = OutstandingProbes(random)
 
     def set_endpoints(self, names: Iterable[str]) -> None:
-        """Make ``names`` all that there are. What is in flight at a removed one goes on."""
+        """Replace the set of endpoints. Requests in flight at a removed endpoint continue."""
         for removed in self.endpoints.replace(names):
             self._cache.forget(removed)
             self._ejection.forget(removed)
             self.failure_detector.forget(removed)
 
     def is_usable(self, now: float, endpoint: EndpointState) -> bool:
-        """Whether a request may be sent there now."""
+        """Whether a request may be sent to the endpoint now."""
         return self.selector.is_usable(now, endpoint)
 
     # ---- Choices
     def begin_choice(self, now: float, excluded: frozenset[str] = frozenset(), first: bool = True) -> Choice:
-        """A choice, with the probes that are to be sent for it.
+        """Start choosing an endpoint for an attempt; the caller sends the probes of the returned choice.
 
-        ``excluded``: endpoints that had this request before. ``first``: whether it is the request's first attempt.
+        ``excluded``: endpoints that already had an attempt of this request.
+        ``first``: whether this is the request's first attempt, which adds to the retry budget.
         """
         if first:
             self.retry_budget.deposit(now)
-        choice = Choice(excluded, self._draw_probes(now, excluded), now + self.rules.probe_wait_s)
+        choice = Choice(excluded, self._create_probes(now, excluded), now + self.rules.probe_wait_s)
         for probe in choice.probes:
             probe.choice = choice
-            self._count_probe(now, probe)
+            self._record_probe(now, probe)
         return choice
 
-    def _draw_probes(self, now: float, excluded: frozenset[str]) -> list[Probe]:
+    def _create_probes(self, now: float, excluded: frozenset[str]) -> list[Probe]:
         probes: list[Probe] = []
-        drawn: set[str] = set()
+        sampled: set[str] = set()
         if len(self.endpoints) <= 1:
             return probes
         for _ in range(self.rules.probes_per_choice):
-            endpoint = self.selector.sample(now, excluded, drawn)
+            endpoint = self.selector.sample(now, excluded, sampled)
             if endpoint is None:
                 break
-            drawn.add(endpoint.name)
+            sampled.add(endpoint.name)
             probes.append(self._probes.create(now, endpoint.name))
         return probes
 
-    def _count_probe(self, now: float, probe: Probe) -> None:
+    def _record_probe(self, now: float, probe: Probe) -> None:
         self.counts["probes"] += 1
         endpoint = self.endpoints.state_of(probe.endpoint)
         if endpoint is not None:
             self.failure_detector.probe_sent(now, endpoint)
         if self.counts["probes"] % PROBES_BETWEEN_CLEANUPS == 0:
-            self._probes.discard_old(now)
+            self._probes.discard_expired(now)
 
     def finish_choice(self, now: float, choice: Choice) -> str | None:
-        """The endpoint that gets the request; ``None`` if none is usable."""
+        """Return the endpoint to send the request to; ``None`` if none is usable."""
         choice.decided = True
-        candidates = self.selector.usable(now, list(choice.reports))
-        cached = self._cache.best(now, choice.excluded, self.selector.is_usable)
+        candidates = self.selector.filter_usable(now, list(choice.reports))
+        cached = self._cache.least_cost(now, choice.excluded, self.selector.is_usable)
         if cached is not None and cached not in candidates:
             candidates.append(cached)
         if not candidates:
             self.counts["blind"] += 1
-            endpoint = self.selector.without_reports(now, choice)
+            endpoint = self.selector.choose_without_reports(now, choice)
             return endpoint.name if endpoint is not None else None
         self.counts["chosen"] += 1
-        candidates = self.selector.drop_warming_up(candidates, len(choice.probes))
-        return self.selector.least_cost(now, candidates).name
+        candidates = self.selector.limit_slow_start(candidates, len(choice.probes))
+        return self.selector.choose_least_cost(now, candidates).name
 
     # ---- Reports
     def receive_probe_answer(self, now: float, probe_id: int, report: LoadReport) -> Choice | None:
-        """Record the answer to a probe; returns the choice that has all its answers with it, if there is one."""
+        """Record the answer to a probe; return the probe's choice if this was the last answer that it waited for."""
         probe = self._probes.pop(probe_id)
         endpoint = self.endpoints.state_of(probe.endpoint) if probe is not None else None
         if probe is None or endpoint is None:
@@ -133,7 +134,7 @@
         return choice if choice.complete else None
 
     def receive_report(self, now: float, name: str, as_of: float, report: LoadReport | None) -> None:
-        """Record that something came from an endpoint, with or without a report that was asked for at ``as_of``."""
+        """Record that an endpoint responded, and its report, if any; see ``EndpointState.receive_report``."""
         endpoint = self.endpoints.state_of(name)
         if endpoint is None:
             return
@@ -146,12 +147,12 @@
         self._cache.add(now, endpoint)
 
     def receive_response_report(self, now: float, name: str, report: LoadReport | None) -> None:
-        """Record the report that came with a response, which was made as the response was sent."""
+        """Record a response and the report in it, if any; the endpoint made the report when it sent the response."""
         self.receive_report(now, name, now - self.averages.one_way_s, report)
 
     # ---- Attempts
     def attempt_started(self, now: float, name: str) -> None:
-        """A request was sent to an endpoint."""
+        """Record that a request was sent to an endpoint."""
         endpoint = self.endpoints.state_of(name)
         if endpoint is None:
             return
@@ -161,8 +162,11 @@
     def attempt_ended(
         self, now: float, name: str, sent_at: float, outcome: AttemptOutcome, retry_after_s: float = 0.0
     ) -> None:
-        """The request that was sent at ``sent_at`` ended. ``retry_after_s``: for how long the endpoint asked to be left
-        alone. A report that came with it is recorded by ``receive_response_report``."""
+        """Record the end of the attempt that was sent at ``sent_at``.
+
+        ``retry_after_s``: how long the endpoint asked not to be sent requests (its Retry-After). A report in the
+        response is recorded separately, by ``receive_response_report``.
+        """
         endpoint = self.endpoints.state_of(name)
         if endpoint is None:
             return
@@ -179,7 +183,7 @@
 
     # ---- Failure detection
     def check_responsiveness(self, now: float) -> tuple[list[Probe], list[str]]:
-        """The health checks that are to be sent now, and the endpoints that have just become unresponsive."""
+        """Return the health-check probes to send now, and the names of the endpoints that are newly suspected."""
         to_probe, newly_suspected = self.failure_detector.check(now, self.endpoints.is_current)
         probes = []
         for endpoint in to_probe:
@@ -193,19 +197,19 @@
         return probes, [endpoint.name for endpoint in newly_suspected]
 
     def suspected_since(self, name: str) -> float | None:
-        """Since when an endpoint is suspected to be unresponsive; ``None`` if it is not."""
+        """Since when the endpoint has been suspected of being unresponsive; ``None`` if it is not suspected."""
         endpoint = self.endpoints.state_of(name)
         if endpoint is None or endpoint not in self.failure_detector.suspects:
             return None
         return endpoint.suspected_since
 
     def next_check_at(self) -> float:
-        """When ``check_responsiveness`` should be called next, in s."""
+        """When ``check_responsiveness`` should be called next; infinity if there is nothing to check."""
         return self.failure_detector.next_check_at()
 
     # ---- For operators
     def describe_endpoints(self, now: float) -> list[dict[str, Any]]:
-        """What is known of each endpoint, for ``lapishaven spread status``."""
+        """Return the rows of ``lapishaven spread status``, one per endpoint."""
         rows = []
         for name in sorted(self.endpoints.names()):
             endpoint = self.endpoints.state_of(name)
--- a/lapishaven/load_balancing/choice.py
+++ b/lapishaven/load_balancing/choice.py
@@ -1,4 +1,7 @@
-"""What passes between the load balancer and its driver: probes, choices and the outcomes of attempts."""
+"""The data exchanged between the load balancer and its caller: probes, choices and outcomes of attempts.
+
+Times are in seconds on the caller's clock.
+"""
 
 from __future__ import annotations
 
@@ -10,35 +13,40 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended, as far as it says something of its endpoint."""
+    """The outcome of an attempt, as far as it concerns the state of the endpoint."""
 
     SERVED = "served"
-    REJECTED = "rejected"  # the endpoint shed it before it ran
-    UNREACHABLE = "unreachable"  # no connection came about, so nothing was sent
+    REJECTED = "rejected"  # the endpoint rejected the request before running it
+    UNREACHABLE = "unreachable"  # no connection was established, so nothing was sent
     FAILED = "failed"
-    ABANDONED = "abandoned"  # cancelled by this side
+    ABANDONED = "abandoned"  # cancelled by the balancer's side
 
 
 @dataclass(slots=True, eq=False)
 class Probe:
-    """A request for an endpoint's load report. ``choice`` waits for it; it is ``None`` for a health check."""
+    """A request for an endpoint's load report.
+
+    ``choice``: the choice that waits for the answer; ``None`` for a health check.
+    """
 
     probe_id: int
     endpoint: str
-    sent_at: float  # s
+    sent_at: float
     choice: Choice | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Choice:
-    """A choice under way: send ``probes``, then finish it once all are answered, or at ``deadline``.
+    """An endpoint choice in progress.
+
+    The caller sends ``probes`` and finishes the choice when all are answered, or at ``deadline``.
 
     Attributes:
-        excluded: endpoints that had this request before.
-        probes: what is to be sent for it.
-        deadline: when it is made with the answers that came until then, in s.
-        reports: the answers by endpoint.
-        decided: whether it was made.
+        excluded: endpoints that already had an attempt of this request.
+        probes: the probes to send.
+        deadline: when the choice is made with the answers received so far.
+        reports: the received reports by endpoint.
+        decided: whether the choice has been made.
     """
 
     excluded: frozenset[str]
@@ -49,13 +57,13 @@
 
     @property
     def complete(self) -> bool:
-        """Whether every probe is answered."""
+        """Whether every probe has been answered."""
         return len(self.reports) == len(self.probes)
 
 
 class RecentChoice(NamedTuple):
-    """A choice that was made, for operators."""
+    """A finished choice, recorded for operators: the time, the chosen endpoint and the cost of each candidate."""
 
-    at: float  # s
+    at: float
     endpoint: str
-    costs: list[tuple[str, float]]  # of each candidate
+    costs: list[tuple[str, float]]
--- a/lapishaven/load_balancing/endpoint_selector.py
+++ b/lapishaven/load_balancing/endpoint_selector.py
@@ -1,7 +1,8 @@
-"""Which endpoint gets a request.
+"""Selects the endpoint for a request.
 
-Power of d choices (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001): a few endpoints drawn
-at random are compared by cost and the lowest is taken, so that balancers with the same view do not form a herd.
+Power of d choices (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001): of a few endpoints
+sampled at random the one with the lowest cost is chosen. The random sample keeps balancers with the same load data from
+all choosing the same endpoint (herding).
 """
 
 from __future__ import annotations
@@ -16,12 +17,15 @@
 from lapishaven.load_balancing.fleet_averages import FleetAverages
 from lapishaven.load_balancing.rules import BalancingRules
 
-MAX_REDRAWS = 8  # draws that may meet an unusable endpoint before all are looked through
-RECENT_CHOICES = 32  # kept for operators
+MAX_SAMPLES = 8  # random samples that may hit an unusable endpoint before all endpoints are scanned
+RECENT_CHOICES = 32  # number kept for operators
 
 
 class EndpointSelector:
-    """Draws candidates, and picks among them."""
+    """Samples candidates and selects among them.
+
+    ``recent``: the latest choices, for operators.
+    """
 
     def __init__(
         self,
@@ -39,61 +43,62 @@
         self.recent: deque[RecentChoice] = deque(maxlen=RECENT_CHOICES)
 
     def is_usable(self, now: float, endpoint: EndpointState) -> bool:
-        """Whether a request may be sent there now."""
+        """Whether a request may be sent to the endpoint now."""
         return endpoint.accepts_requests(now) and endpoint not in self._failure_detector.suspects
 
     def cost(self, now: float, endpoint: EndpointState) -> float:
-        """The cost of one more request there (``queueing_cost``)."""
+        """Return the cost of one more request at the endpoint (``queueing_cost``)."""
         averages = self._averages
         return endpoint.cost(now, averages.load_per_slot, averages.speed, averages.request_s, self._rules)
 
-    def usable(self, now: float, names: list[str]) -> list[EndpointState]:
-        """Those of the endpoints that are there and usable."""
-        found = []
+    def filter_usable(self, now: float, names: list[str]) -> list[EndpointState]:
+        """Return the named endpoints that still exist and are usable."""
+        usable = []
         for name in names:
             state = self._endpoints.state_of(name)
             if state is not None and self.is_usable(now, state):
-                found.append(state)
-        return found
+                usable.append(state)
+        return usable
 
-    def sample(self, now: float, excluded: frozenset[str], drawn: set[str]) -> EndpointState | None:
-        """A usable endpoint at random that is in neither set; ``None`` if there is none."""
-        for _ in range(MAX_REDRAWS if len(self._endpoints) else 0):
+    def sample(self, now: float, excluded: frozenset[str], sampled: set[str]) -> EndpointState | None:
+        """Return a random usable endpoint that is in neither set; ``None`` if there is none."""
+        for _ in range(MAX_SAMPLES if len(self._endpoints) else 0):
             name = self._endpoints.sample(self._random)
-            if name in drawn or name in excluded:
+            if name in sampled or name in excluded:
                 continue
             state = self._endpoints.state_of(name)
             if state is not None and self.is_usable(now, state):
                 return state
-        remaining = [name for name in self._endpoints.names() if name not in drawn and name not in excluded]
-        candidates = self.usable(now, remaining)
+        remaining = [name for name in self._endpoints.names() if name not in sampled and name not in excluded]
+        candidates = self.filter_usable(now, remaining)
         return self._random.choice(candidates) if candidates else None
 
-    def least_cost(self, now: float, candidates: list[EndpointState]) -> EndpointState:
-        """The candidate with the lowest cost; ties are broken at random."""
+    def choose_least_cost(self, now: float, candidates: list[EndpointState]) -> EndpointState:
+        """Return the candidate with the lowest cost, with ties broken at random, and record the choice."""
         costs = [(state.name, self.cost(now, state)) for state in candidates]
-        best = min(range(len(candidates)), key=lambda place: (costs[place][1], self._random.random()))
+        best = min(range(len(candidates)), key=lambda index: (costs[index][1], self._random.random()))
         self.recent.append(RecentChoice(now, candidates[best].name, costs))
         return candidates[best]
 
-    def drop_warming_up(self, candidates: list[EndpointState], probed: int) -> list[EndpointState]:
-        """Keep an endpoint in slow start with the probability of its desired share.
+    def limit_slow_start(self, candidates: list[EndpointState], probe_count: int) -> list[EndpointState]:
+        """Drop candidates in slow start at random, so that each gets at most about its desired share of the requests.
 
-        Such an endpoint looks idle to every balancer at once. Left to chance by each, it gets at most the share that it
-        asks for from all together, however often it has the lowest cost of the ``probed`` ones. Shares count against
-        the largest among the candidates, so that a fleet that starts together serves.
+        An endpoint in slow start looks idle to all balancers at the same time and would often have the lowest cost. If
+        each balancer keeps it with a probability of its desired share divided by ``probe_count``, it gets at most this
+        share from all balancers together even if it always wins. Shares are relative to the largest one among the
+        candidates, so that a fleet whose endpoints all start at the same time still serves.
         """
         largest = max(state.desired_share() for state in candidates)
         admitted = []
         for state in candidates:
             share = state.desired_share()
-            if share >= largest or self._random.random() < share / largest / max(1, probed):
+            if share >= largest or self._random.random() < share / largest / max(1, probe_count):
                 admitted.append(state)
         return admitted or candidates
 
-    def without_reports(self, now: float, choice: Choice) -> EndpointState | None:
-        """The choice when no answer came in time: the better of the probed ones by what is known, else any."""
-        probed = self.usable(now, [probe.endpoint for probe in choice.probes])
+    def choose_without_reports(self, now: float, choice: Choice) -> EndpointState | None:
+        """Choose when no probe was answered in time: the probed endpoint of lowest cost, or else a random one."""
+        probed = self.filter_usable(now, [probe.endpoint for probe in choice.probes])
         if not probed:
             return self.sample(now, choice.excluded, set())
-        return self.least_cost(now, probed)
+        return self.choose_least_cost(now, probed)
--- a/lapishaven/load_balancing/endpoint_state.py
+++ b/lapishaven/load_balancing/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What a load balancer knows of one endpoint: its last report, what was sent there since, and how that ended."""
+"""The state of one endpoint: its last load report, the requests sent since then, and the outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 from lapishaven.load_balancing.rules import BalancingRules
 
 NEVER = float("-inf")
-TOLERATED_SLOWDOWN = 1.5  # up to which slow requests are chance; more is load that the endpoint does not report
+# A slowdown up to this is attributed to chance; a higher one to load that the endpoint does not report.
+TOLERATED_SLOWDOWN = 1.5
 SLOWDOWN_SMOOTHING = 0.15  # weight of a new sample
 MAX_SLOWDOWN_SAMPLE = 8.0
 MIN_DECAY_S = 1e-3
@@ -20,27 +21,28 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """Times are in seconds of the caller's clock.
+    """Times are in seconds on the caller's clock; requests are those of this balancer unless stated otherwise.
 
     Attributes:
         name: ``HOST:PORT``.
-        report: its last load report.
-        report_as_of: when that was asked for, so that no request sent later is counted in it.
-        last_heard_at: when anything last came from it.
-        unreported_sends: when each of our requests was sent that the last report cannot have counted.
-        in_flight: our requests in flight there.
-        report_uses_left: requests that may still be sent on the strength of the cached report.
-        retry_after_until: the end of the time for which it asked to be left alone.
-        consecutive_failures: attempts that failed in a row.
-        ejections: in a row, without a served request between them.
-        ejected_until: the end of its last ejection.
-        on_trial: whether it gets one attempt at a time, after an ejection.
-        phantom_requests: until when each request that ended too soon counts as in flight.
-        outstanding_probe: the probe that it has not answered.
-        suspected_since: since when it is suspected to be unresponsive.
-        expected_durations: how long each of our requests was expected to take, in durations of a typical one, by the
-            time that it was sent.
-        slowdown: how many times as long as expected its requests took, as a running mean.
+        report: the last load report.
+        report_as_of: requests sent before this time count as included in ``report``.
+        last_heard_at: when anything was last received from the endpoint.
+        unreported_sends: the times at which requests were sent that count as not included in ``report``.
+        in_flight: number of requests in flight.
+        report_uses_left: number of requests that may still be sent because of the cached report.
+        retry_after_until: no request may be sent before this (the endpoint's Retry-After).
+        consecutive_failures: number of failed attempts since the last served one or the last ejection.
+        ejections: number of ejections since the last served request.
+        ejected_until: the end of the last ejection.
+        on_trial: whether the endpoint gets only one attempt at a time, after an ejection.
+        penalty_ends: for each attempt that was rejected, failed or could not connect, until when it still counts as in
+            flight.
+        outstanding_probe: the probe that has not been answered yet.
+        suspected_since: since when the endpoint has been suspected of being unresponsive.
+        expected_durations: the expected duration of each request in flight, in durations of a typical request, by the
+            time at which it was sent.
+        slowdown: running mean of the actual over the expected duration of requests.
     """
 
     name: str
@@ -55,34 +57,38 @@
     ejections: int = 0
     ejected_until: float = NEVER
     on_trial: bool = False
-    phantom_requests: list[float] = field(default_factory=list)
+    penalty_ends: list[float] = field(default_factory=list)
     outstanding_probe: OutstandingProbe | None = None
     suspected_since: float | None = None
     expected_durations: dict[float, float] = field(default_factory=dict)
     slowdown: float = 1.0
 
     def receive_report(self, now: float, as_of: float, report: LoadReport | None) -> bool:
-        """Record that something came, with or without a report that was asked for at ``as_of``; whether it is newer."""
+        """Record that the endpoint responded, and its report, if any; return whether the report is newer than the last.
+
+        ``as_of``: when the report was requested or, for a report in a response, made. Requests sent before this time
+        count as included in it.
+        """
         self.last_heard_at = now
         if report is None or not is_newer(report, self.report):
             return False
         if self.report is not None and report.incarnation != self.report.incarnation:
-            self._forget_faults()
+            self._clear_failures()
         self.report = report
         self.report_as_of = as_of
         self.unreported_sends = [sent_at for sent_at in self.unreported_sends if sent_at >= as_of]
         return True
 
-    def _forget_faults(self) -> None:
-        """The process was restarted."""
+    def _clear_failures(self) -> None:
+        """Clear failures, ejection and Retry-After after a restart of the process."""
         self.consecutive_failures = 0
         self.ejections = 0
-        self.phantom_requests.clear()
+        self.penalty_ends.clear()
         self.ejected_until = NEVER
         self.retry_after_until = NEVER
 
     def accepts_requests(self, now: float) -> bool:
-        """Whether it may be sent to, as far as its reports, its Retry-After and its failures go."""
+        """Whether reports, Retry-After and ejection allow another request; the failure detector is not consulted."""
         if self.is_draining():
             return False
         if self.retry_after_until > now or self.ejected_until > now:
@@ -90,46 +96,47 @@
         return not (self.on_trial and self.in_flight)
 
     def is_draining(self) -> bool:
-        """Whether it asked for no more requests."""
+        """Whether the endpoint has asked for no more requests."""
         return self.report is not None and self.report.desired_share <= 0
 
     def desired_share(self) -> float:
-        """The part of its full share of the requests that it asks for."""
+        """The fraction of its full share of requests that the endpoint asks for; 1 if unknown."""
         return self.report.desired_share if self.report is not None else 1.0
 
     def slots(self) -> int:
-        """How many requests it works on at one time."""
+        """The number of requests that the endpoint runs concurrently; 1 if unknown."""
         return self.report.slots if self.report is not None else 1
 
     def estimated_load(self, now: float, load_per_slot: float, request_s: float, rules: BalancingRules) -> float:
-        """Its requests in flight, as far as can be known.
+        """Return the estimated number of requests in flight at the endpoint, from all balancers.
 
-        The last report decays towards the fleet's mean ``load_per_slot`` with its age. To that come our requests sent
-        since, those that ended too soon, and load that shows only in how long requests take.
+        With its age, the last report decays towards the fleet's mean ``load_per_slot``. Added to it are the requests
+        sent since the report, the penalties for unsuccessful attempts, and the unreported load that a high
+        ``slowdown`` indicates.
         """
         slots = self.slots()
         if self.report is None:
             reported = load_per_slot * slots
         else:
             decay_s = max(MIN_DECAY_S, rules.report_decay_requests * request_s)
-            trust = exp(-max(0.0, now - self.report_as_of) / decay_s)
-            without_report = max(load_per_slot * slots, float(self.in_flight))
-            reported = trust * self.report.weighted_load + (1 - trust) * without_report
-        if self.phantom_requests:
-            self.phantom_requests = [until for until in self.phantom_requests if until > now]
+            report_weight = exp(-max(0.0, now - self.report_as_of) / decay_s)
+            load_without_report = max(load_per_slot * slots, float(self.in_flight))
+            reported = report_weight * self.report.weighted_load + (1 - report_weight) * load_without_report
+        if self.penalty_ends:
+            self.penalty_ends = [until for until in self.penalty_ends if until > now]
         unreported = max(0.0, self.slowdown - TOLERATED_SLOWDOWN) * slots
-        return reported + len(self.unreported_sends) + len(self.phantom_requests) + unreported
+        return reported + len(self.unreported_sends) + len(self.penalty_ends) + unreported
 
     def cost(
         self, now: float, load_per_slot: float, mean_speed: float, request_s: float, rules: BalancingRules
     ) -> float:
-        """The cost of one more request; ``mean_speed`` stands in where its own is not known."""
+        """Return the cost of one more request; ``mean_speed`` is used while the endpoint's own speed is unknown."""
         load = self.estimated_load(now, load_per_slot, request_s, rules)
         own_speed = self.report.speed if self.report is not None else 0.0
         return queueing_cost(load, self.slots(), own_speed or mean_speed)
 
     def attempt_started(self, now: float, load_per_slot: float, request_s: float, rules: BalancingRules) -> None:
-        """A request was sent there."""
+        """Record that a request was sent to the endpoint."""
         load = self.estimated_load(now, load_per_slot, request_s, rules)
         self.expected_durations[now] = max(1.0, (load + 1) / self.slots())
         self.in_flight += 1
@@ -139,20 +146,20 @@
     def attempt_ended(
         self, now: float, sent_at: float, outcome: AttemptOutcome, request_s: float, mean_speed: float
     ) -> None:
-        """The request that was sent at ``sent_at`` ended."""
+        """Record the end of the attempt that was sent at ``sent_at``."""
         self.in_flight = max(0, self.in_flight - 1)
         expected = self.expected_durations.pop(sent_at, 1.0)
         if sent_at in self.unreported_sends:
             self.unreported_sends.remove(sent_at)
         if outcome is AttemptOutcome.SERVED:
-            self._learn_slowdown(now - sent_at, expected, request_s, mean_speed)
+            self._update_slowdown(now - sent_at, expected, request_s, mean_speed)
         elif outcome is not AttemptOutcome.ABANDONED:
-            # An endpoint that rejects or fails at once would look idle, so what it did not do counts as in flight.
-            self.phantom_requests.append(now + max(request_s - (now - sent_at), 0.0) + request_s)
+            # Without a penalty, an endpoint that rejects or fails requests at once would look idle and attract more.
+            self.penalty_ends.append(now + max(request_s - (now - sent_at), 0.0) + request_s)
 
-    def _learn_slowdown(self, duration_s: float, expected: float, request_s: float, mean_speed: float) -> None:
-        took = 1.0
+    def _update_slowdown(self, duration_s: float, expected: float, request_s: float, mean_speed: float) -> None:
+        relative_duration = 1.0
         if request_s:
             own_speed = self.report.speed if self.report is not None else 0.0
-            took = duration_s / (request_s * (mean_speed / own_speed if own_speed else 1.0))
-        self.slowdown += SLOWDOWN_SMOOTHING * (min(took / expected, MAX_SLOWDOWN_SAMPLE) - self.slowdown)
+            relative_duration = duration_s / (request_s * (mean_speed / own_speed if own_speed else 1.0))
+        self.slowdown += SLOWDOWN_SMOOTHING * (min(relative_duration / expected, MAX_SLOWDOWN_SAMPLE) - self.slowdown)
--- a/lapishaven/load_balancing/endpoint_status.py
+++ b/lapishaven/load_balancing/endpoint_status.py
@@ -1,4 +1,7 @@
-"""What operators are shown of an endpoint. Its words are part of the metrics and of ``lapishaven spread status``."""
+"""The state of an endpoint as shown to operators.
+
+The status values and the row keys appear in metrics and in the output of ``lapishaven spread status``.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +12,20 @@
 
 
 class EndpointStatus(Enum):
-    """Whether requests are sent there, and why not."""
+    """Whether requests are sent to the endpoint and, if not, why."""
 
     OK = "ok"
     UNRESPONSIVE = "silent"
     EJECTED = "out"
-    RETRY_AFTER = "pushed back"  # it asked to be left alone for a while
+    RETRY_AFTER = "pushed back"  # asked not to be sent requests for some time
     DRAINING = "leaves"
 
 
 def status_of(now: float, endpoint: EndpointState, suspected: bool) -> EndpointStatus:
-    """The first reason that applies; ``suspected``: whether it is taken for unresponsive."""
+    """Return the endpoint's status; if several apply, the first in the order below.
+
+    ``suspected``: the failure detector suspects the endpoint of being unresponsive.
+    """
     if suspected:
         return EndpointStatus.UNRESPONSIVE
     if endpoint.ejected_until > now:
@@ -32,7 +38,7 @@
 
 
 def describe(now: float, endpoint: EndpointState, suspected: bool, load: float, cost: float) -> dict[str, Any]:
-    """One row of ``spread status``, by its column names."""
+    """Return a row of ``lapishaven spread status``, keyed by column name."""
     report = endpoint.report
     return {
         "process": endpoint.name,
--- a/lapishaven/load_balancing/failure_detector.py
+++ b/lapishaven/load_balancing/failure_detector.py
@@ -1,9 +1,9 @@
-"""Detection of unresponsive endpoints by probes that go unanswered.
+"""Detects unresponsive endpoints by unanswered probes.
 
-An endpoint's event loop answers a probe at once, whatever it works on, so a missing answer means that its process does
-not run, and not that it is loaded. Probes for a choice and health checks count alike. A suspected endpoint gets nothing
-but probes, at growing intervals, until anything comes from it. When most probes go unanswered the fault is likely on
-this side, and nobody more is suspected.
+An endpoint's event loop answers a probe immediately regardless of its load, so a missing answer means that the process
+is not running, not that it is overloaded. Probes for a choice and health-check probes count alike. A suspected endpoint
+is sent only probes, at increasing intervals, until anything is received from it. While most probes are unanswered, the
+fault is probably on the balancer's side, and no further endpoint is suspected (panic mode).
 """
 
 from __future__ import annotations
@@ -17,53 +17,63 @@
 
 from lapishaven.load_balancing.rules import BalancingRules
 
-RECENT_PROBES = 32  # by which it is told whether most go unanswered
-MIN_RECENT_PROBES = RECENT_PROBES // 4
-MAX_PROBE_INTERVAL_S = 2.0  # between probes of a suspected endpoint
-PROBE_BACKOFF = 1.5  # factor from one interval to the next
-TIMEOUT_IN_ONE_WAY_DELAYS = 6.0
-INTERVAL_IN_REQUESTS = 0.75  # of a typical request's duration, between probes of an endpoint that has one in flight
-CHECK_JITTER = (0.9, 1.1)  # factor of the probe interval
-PROBE_JITTER = (0.8, 1.2)  # factor of the interval to the next probe of a suspected endpoint
-INTERVAL_TOLERANCE = 0.89  # below the least of CHECK_JITTER, so that a check that comes early still counts
-CLOCK_TOLERANCE_S = 1e-9  # rounding of sums and differences of times
+RECENT_PROBES = 32  # number of latest probe results that decide on panic mode
+MIN_RECENT_PROBES = RECENT_PROBES // 4  # with fewer results there is no panic mode
+MAX_PROBE_INTERVAL_S = 2.0  # upper bound of the interval between probes of a suspected endpoint, before jitter
+PROBE_BACKOFF = 1.5  # factor by which this interval grows with each unanswered probe
+TIMEOUT_IN_ONE_WAY_DELAYS = 6.0  # lower bound of the probe timeout, in one-way network delays
+# Lower bound of the probe interval of an endpoint with requests in flight, in durations of a typical request.
+INTERVAL_IN_REQUESTS = 0.75
+CHECK_JITTER = (0.9, 1.1)  # range of random factors applied to the probe interval
+PROBE_JITTER = (0.8, 1.2)  # the same for the interval to the next probe of a suspected endpoint
+INTERVAL_TOLERANCE = 0.89  # below the minimum of CHECK_JITTER, so that a check made early by jitter sends its probe
+CLOCK_TOLERANCE_S = 1e-9  # allows for rounding errors in sums and differences of times
 
 
 @dataclass(slots=True, eq=False)
 class OutstandingProbe:
-    """A probe that waits for its answer. ``sent_at`` in s; ``unanswered_before``: probes in a row before it."""
+    """A probe that has not been answered yet.
+
+    ``sent_at``: in seconds.
+    ``unanswered_before``: the number of consecutive unanswered probes before it.
+    """
 
     sent_at: float
     unanswered_before: int = 0
 
 
-class Watched(Protocol):
-    """An endpoint as the failure detector sees it."""
+class MonitoredEndpoint(Protocol):
+    """An endpoint as the failure detector uses it. Times are in seconds.
 
-    last_heard_at: float  # when anything last came from it, in s
-    in_flight: int  # our requests in flight there
+    ``last_heard_at``: when anything was last received from the endpoint.
+    ``in_flight``: the number of this side's requests in flight at the endpoint.
+    ``suspected_since``: since when it has been suspected; ``None`` if it is not.
+    """
+
+    last_heard_at: float
+    in_flight: int
     outstanding_probe: OutstandingProbe | None
-    suspected_since: float | None  # since when, in s
+    suspected_since: float | None
 
 
-Endpoint = TypeVar("Endpoint", bound=Watched)
+Endpoint = TypeVar("Endpoint", bound=MonitoredEndpoint)
 
 
 class FailureDetector(Generic[Endpoint]):
-    """Is notified of probes, answers and requests; ``check`` gives whom to probe and who became unresponsive.
+    """Is notified of probes, responses and requests; ``check`` returns which endpoints to probe and to suspect.
 
     Attributes:
-        suspects: endpoints that are suspected to be unresponsive.
-        panics: how often nobody was suspected because most probes went unanswered.
-        probe_interval_s: time without an answer or report after which an endpoint with requests in flight is probed.
-        probe_timeout_s: time after which an unanswered probe makes its endpoint suspected.
+        suspects: endpoints suspected of being unresponsive.
+        panics: number of probe timeouts that did not make their endpoint suspected because of panic mode.
+        probe_interval_s: an endpoint with requests in flight is probed after this time without any response from it.
+        probe_timeout_s: an endpoint whose probe is unanswered for this long becomes suspected.
     """
 
     def __init__(self, rules: BalancingRules, random: Random) -> None:
         self._rules = rules
         self._random = random
-        self._checks: list[tuple[float, int, Endpoint]] = []  # a heap: when to check, order of entry, whom
-        self._check_count = 0
+        self._checks: list[tuple[float, int, Endpoint]] = []  # a heap: time of the check, tie-breaker, endpoint
+        self._check_sequence = 0
         self._recent_unanswered: deque[bool] = deque(maxlen=RECENT_PROBES)
         self.suspects: set[Endpoint] = set()
         self.panics = 0
@@ -71,35 +81,35 @@
         self.probe_timeout_s = rules.probe_timeout_s
 
     def set_request_duration(self, duration_s: float) -> None:
-        """Fit the probe interval to the duration of a typical request, in s: about one probe for each of them."""
+        """Adapt the probe interval to the mean duration of a request, so that there is about one probe per request."""
         self.probe_interval_s = max(self._rules.watch_interval_s, INTERVAL_IN_REQUESTS * duration_s)
 
     def set_one_way_delay(self, delay_s: float) -> None:
-        """Fit the probe timeout to the one-way network delay, in s: where all answers are late, late is no failure."""
+        """Adapt the probe timeout to the one-way network delay, so that a slow network is not taken for a failure."""
         self.probe_timeout_s = max(self._rules.probe_timeout_s, TIMEOUT_IN_ONE_WAY_DELAYS * delay_s)
 
     def _schedule_check(self, when: float, endpoint: Endpoint) -> None:
-        self._check_count += 1
-        heappush(self._checks, (when, self._check_count, endpoint))
+        self._check_sequence += 1
+        heappush(self._checks, (when, self._check_sequence, endpoint))
 
     @property
     def panic(self) -> bool:
-        """Whether so many probes go unanswered that the fault is likely on this side."""
+        """Whether so many recent probes are unanswered that the fault is probably on this side."""
         recent = self._recent_unanswered
         return len(recent) >= MIN_RECENT_PROBES and sum(recent) > self._rules.panic_fraction * len(recent)
 
     def probe_sent(self, now: float, endpoint: Endpoint) -> None:
-        """The endpoint is probed."""
+        """Record that a probe is sent to the endpoint."""
         if endpoint.outstanding_probe is None:
             endpoint.outstanding_probe = OutstandingProbe(now)
             self._schedule_check(now + self.probe_timeout_s, endpoint)
 
     def request_sent(self, now: float, endpoint: Endpoint) -> None:
-        """A request was sent to the endpoint."""
+        """Record that a request was sent to the endpoint."""
         self._schedule_check(now + self.probe_interval_s * self._random.uniform(*CHECK_JITTER), endpoint)
 
     def response_received(self, endpoint: Endpoint) -> bool:
-        """Anything came from the endpoint; whether it was suspected until now."""
+        """Record that anything was received from the endpoint; return whether it was suspected until now."""
         if endpoint.outstanding_probe is not None:
             self._recent_unanswered.append(False)
             endpoint.outstanding_probe = None
@@ -109,17 +119,20 @@
         return was_suspected
 
     def forget(self, endpoint: Endpoint) -> None:
-        """The endpoint was removed."""
+        """Discard the state of a removed endpoint."""
         self.suspects.discard(endpoint)
         endpoint.outstanding_probe = None
         endpoint.suspected_since = None
 
     def next_check_at(self) -> float:
-        """When ``check`` should be called next, in s; infinite if there is nothing to check."""
+        """Return when ``check`` should be called next; infinity if there is nothing to check."""
         return self._checks[0][0] if self._checks else float("inf")
 
     def check(self, now: float, is_current: Callable[[Endpoint], bool]) -> tuple[list[Endpoint], list[Endpoint]]:
-        """Whom to probe now, and who has just become unresponsive. ``is_current``: whether an endpoint still exists."""
+        """Return the endpoints to probe now, and those that are newly suspected.
+
+        ``is_current``: returns whether an endpoint still exists.
+        """
         to_probe: list[Endpoint] = []
         newly_suspected: list[Endpoint] = []
         while self._checks and self._checks[0][0] <= now:
@@ -142,7 +155,7 @@
         return to_probe, newly_suspected
 
     def _probe_timed_out(self, endpoint: Endpoint, probe: OutstandingProbe) -> bool:
-        """Whether the endpoint is suspected from now on, and was not before."""
+        """Record an unanswered probe; return whether the endpoint is newly suspected."""
         self._recent_unanswered.append(True)
         if endpoint in self.suspects:
             return False
--- a/lapishaven/load_balancing/load_report.py
+++ b/lapishaven/load_balancing/load_report.py
@@ -1,4 +1,4 @@
-"""What a process reports of its load, and its encoding: 15 bytes, or 20 characters of text in a header."""
+"""The load report of a process and its encoding: 15 bytes, or 20 characters of base64 in a header."""
 
 from __future__ import annotations
 
@@ -8,33 +8,34 @@
 from math import log2
 from struct import Struct
 
-# Incarnation, sequence, requests in flight, weighted load, slots, speed, desired share.
+# Incarnation, sequence number, requests in flight, weighted load, slots, speed, desired share.
 LAYOUT = Struct("<IIHHBBB")
-ENCODED_SIZE = LAYOUT.size  # bytes
-WEIGHTED_LOAD_STEPS = 16  # of one typical request
+ENCODED_SIZE = LAYOUT.size
+WEIGHTED_LOAD_STEPS = 16  # encoding steps per typical request
 SPEED_STEPS_PER_DOUBLING = 16
-SPEED_STEP_OF_ONE = 128  # the step of one typical request a second; step 0 is an unknown speed
+SPEED_STEP_OF_ONE = 128  # encodes one typical request per second; 0 encodes an unknown speed
 MAX_U32, MAX_U16, MAX_U8 = (1 << 32) - 1, (1 << 16) - 1, 255
-SEQUENCE_HALF = 1 << 31  # sequence numbers wrap: less than this ahead is newer (RFC 1982)
+SEQUENCE_HALF = 1 << 31  # sequence numbers wrap: a number ahead by less than this is newer (RFC 1982)
 
 
 class LoadReportError(ValueError):
-    """What came is no load report."""
+    """The data is not a valid load report."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """The load of a process, as it measures it.
+    """The load of a process, as measured by itself.
 
     Attributes:
-        incarnation: drawn at random at each start of the process.
-        sequence: grows with each report of one incarnation, and wraps at 32 bits.
-        in_flight: requests that it has, queued or running.
-        weighted_load: the same, each weighted by the duration of its class beside a typical request.
-        slots: requests that it works on at one time.
-        speed: typical requests that a slot which is never idle serves in a second; 0 while it is not known.
-        desired_share: the part of its full share of the requests that it asks for, below 1 in slow start or while
-            runs fail, 0 while it drains.
+        incarnation: a random number chosen at each start of the process.
+        sequence: incremented with each report of an incarnation; wraps at 32 bits.
+        in_flight: number of requests queued or running.
+        weighted_load: the same, with each request weighted by the mean duration of its class relative to a typical
+            request.
+        slots: number of requests that the process runs concurrently.
+        speed: typical requests that a busy slot serves per second; 0 if unknown.
+        desired_share: the fraction of its full share of requests that the process asks for: below 1 during slow start
+            or while runs fail, 0 while it drains.
     """
 
     incarnation: int
@@ -46,46 +47,46 @@
     desired_share: float = 1.0
 
 
-def _rounded_within(value: float, most: int) -> int:
-    return max(0, min(most, round(value)))
+def _round_and_clamp(value: float, maximum: int) -> int:
+    return max(0, min(maximum, round(value)))
 
 
 def encode(report: LoadReport) -> bytes:
-    """The report in bytes. A figure beyond its range is sent as the nearest that is within."""
+    """Encode a report as bytes. Values outside the range of their field are clamped."""
     if report.speed > 0:
         speed_step = SPEED_STEP_OF_ONE + SPEED_STEPS_PER_DOUBLING * log2(report.speed)
-        speed = max(1, _rounded_within(speed_step, MAX_U8))
+        speed = max(1, _round_and_clamp(speed_step, MAX_U8))
     else:
         speed = 0
     return LAYOUT.pack(
         report.incarnation & MAX_U32,
         report.sequence & MAX_U32,
-        _rounded_within(report.in_flight, MAX_U16),
-        _rounded_within(report.weighted_load * WEIGHTED_LOAD_STEPS, MAX_U16),
-        max(1, _rounded_within(report.slots, MAX_U8)),
+        _round_and_clamp(report.in_flight, MAX_U16),
+        _round_and_clamp(report.weighted_load * WEIGHTED_LOAD_STEPS, MAX_U16),
+        max(1, _round_and_clamp(report.slots, MAX_U8)),
         speed,
-        _rounded_within(report.desired_share * MAX_U8, MAX_U8),
+        _round_and_clamp(report.desired_share * MAX_U8, MAX_U8),
     )
 
 
 def decode(data: bytes) -> LoadReport:
-    """The report in ``data``. Raises ``LoadReportError``."""
+    """Decode a report from bytes. Raises ``LoadReportError``."""
     if len(data) != ENCODED_SIZE:
-        raise LoadReportError(f"a load report has {ENCODED_SIZE} bytes, not {len(data)}")
+        raise LoadReportError(f"malformed load report: got {len(data)} bytes, expected {ENCODED_SIZE}")
     incarnation, sequence, in_flight, load, slots, speed_step, share = LAYOUT.unpack(data)
     if not slots:
-        raise LoadReportError("a load report without slots")
+        raise LoadReportError(f"malformed load report: got 0 slots, expected 1 to {MAX_U8}")
     speed = 2.0 ** ((speed_step - SPEED_STEP_OF_ONE) / SPEED_STEPS_PER_DOUBLING) if speed_step else 0.0
     return LoadReport(incarnation, sequence, in_flight, load / WEIGHTED_LOAD_STEPS, slots, speed, share / MAX_U8)
 
 
 def encode_text(report: LoadReport) -> str:
-    """The report as the value of a header."""
+    """Encode a report as a header value."""
     return base64.b64encode(encode(report)).decode().rstrip("=")
 
 
 def decode_text(text: str) -> LoadReport:
-    """The report in the value of a header. Raises ``LoadReportError``."""
+    """Decode a report from a header value. Raises ``LoadReportError``."""
     padding = "=" * (-len(text) % 4)
     try:
         return decode(base64.b64decode(text + padding, validate=True))
@@ -94,7 +95,7 @@
 
 
 def is_newer(report: LoadReport, previous: LoadReport | None) -> bool:
-    """Whether the report is of another incarnation, or a later one of the same."""
+    """Whether the report is a later one of the same incarnation, or of another incarnation."""
     if previous is None or report.incarnation != previous.incarnation:
         return True
     return 0 < (report.sequence - previous.sequence) & MAX_U32 < SEQUENCE_HALF
--- a/lapishaven/load_balancing/load_reporter.py
+++ b/lapishaven/load_balancing/load_reporter.py
@@ -1,4 +1,4 @@
-"""Measures what a process reports of itself: load by class, speed, slow start, failures. Pure."""
+"""Measures the load that a process reports: weighted load, speed, slow start and failures. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -7,23 +7,24 @@
 
 from lapishaven.load_balancing.load_report import MAX_U8, LoadReport
 
-SPEED_WINDOW_S = 10.0  # over which speed is measured
-MIN_SLOT_SECONDS = 1.0  # of work before a speed is reported
-DURATION_SMOOTHING = 0.05  # weight of a new run in the mean duration of its class
-FAILURE_SMOOTHING = 0.1  # weight of a new run in the part of runs that fail
-FAILURE_DECAY_S = 5.0  # in which that part falls to 1/e when nothing runs
-MIN_SHARE = 1.0 / MAX_U8  # asked for even if every run fails: without requests it could not recover
+SPEED_WINDOW_S = 10.0  # time constant of the speed measurement
+MIN_BUSY_SLOT_S = 1.0  # busy slot seconds needed before a speed is reported
+DURATION_SMOOTHING = 0.05  # weight of a new run in the mean durations
+FAILURE_SMOOTHING = 0.1  # weight of a new run in the failure rate
+FAILURE_DECAY_S = 5.0  # time constant of the exponential decay of the failure rate with time
+# Desired share even if every run fails, since without requests the process could never show that it has recovered.
+MIN_SHARE = 1.0 / MAX_U8
 
 
 class LoadReporter:
-    """Is notified of every run's start and end, and makes reports.
+    """Is notified of the start and end of every run, and produces load reports.
 
     Parameters:
-        incarnation: drawn for this start of the process.
-        slots: requests that it works on at one time.
-        now: the current time in s.
-        initial_share: the part of its full share that it asks for at first.
-        slow_start_s: duration of slow start, after which it asks for its full share; 0 for no slow start.
+        incarnation: a random number that identifies this start of the process.
+        slots: number of requests that the process runs concurrently.
+        now: the current time in seconds.
+        initial_share: desired share at the beginning of slow start.
+        slow_start_s: duration of slow start, over which the desired share grows to 1; 0 for no slow start.
     """
 
     def __init__(
@@ -36,13 +37,13 @@
         self._slow_start_s = slow_start_s
         self._sequence = 0
         self._updated_at = now
-        # Slot seconds of work and the typical requests served in them; both decay alike.
+        # Busy slot seconds, and the number of typical requests served in them; both decay at the same rate.
         self._busy_slot_s = 0.0
-        self._served = 0.0
-        self._running: dict[str, tuple[int, float]] = {}  # class and start by run
+        self._served_requests = 0.0
+        self._running: dict[str, tuple[int, float]] = {}  # class and start time by run
         self._class_duration_s: dict[int, float] = {}
-        self._typical_duration_s = 0.0  # 0 while nothing was served
-        self._failing = 0.0  # part of the last runs that failed
+        self._typical_duration_s = 0.0  # 0 until a request was served
+        self._failure_rate = 0.0  # fraction of the recent runs that failed
         self.draining = False
 
     def _decay(self, now: float) -> None:
@@ -51,47 +52,47 @@
             return
         remaining = max(0.0, 1.0 - elapsed_s / SPEED_WINDOW_S)
         self._busy_slot_s = self._busy_slot_s * remaining + elapsed_s * min(self._slots, len(self._running))
-        self._served *= remaining
-        self._failing *= exp(-elapsed_s / FAILURE_DECAY_S)
+        self._served_requests *= remaining
+        self._failure_rate *= exp(-elapsed_s / FAILURE_DECAY_S)
         self._updated_at = now
 
     def relative_cost(self, class_index: int) -> float:
-        """The duration of a request of the class, in durations of a typical one."""
+        """Return the mean duration of the class relative to that of a typical request."""
         if not self._typical_duration_s:
             return 1.0
         return self._class_duration_s.get(class_index, self._typical_duration_s) / self._typical_duration_s
 
-    def run_started(self, now: float, handle: str, class_index: int) -> None:
-        """A run of the class began; ``handle`` names it until it ends."""
+    def run_started(self, now: float, run_id: str, class_index: int) -> None:
+        """Record the start of a run."""
         self._decay(now)
-        self._running[handle] = class_index, now
+        self._running[run_id] = class_index, now
 
-    def run_ended(self, now: float, handle: str, served: bool, failed: bool) -> None:
-        """A run ended. One that was cancelled is neither served nor failed."""
+    def run_ended(self, now: float, run_id: str, served: bool, failed: bool) -> None:
+        """Record the end of a run. A cancelled run is neither served nor failed."""
         self._decay(now)
-        run = self._running.pop(handle, None)
+        run = self._running.pop(run_id, None)
         if run is None:
             return
-        self._failing += FAILURE_SMOOTHING * (float(failed) - self._failing)
+        self._failure_rate += FAILURE_SMOOTHING * (float(failed) - self._failure_rate)
         if served:
             class_index, started_at = run
-            self._learn_duration(class_index, now - started_at)
+            self._record_duration(class_index, now - started_at)
 
-    def _learn_duration(self, class_index: int, duration_s: float) -> None:
+    def _record_duration(self, class_index: int, duration_s: float) -> None:
         mean_s = self._class_duration_s.get(class_index, duration_s)
         self._class_duration_s[class_index] = mean_s + DURATION_SMOOTHING * (duration_s - mean_s)
         if self._typical_duration_s:
             self._typical_duration_s += DURATION_SMOOTHING * (duration_s - self._typical_duration_s)
         else:
             self._typical_duration_s = duration_s
-        self._served += self.relative_cost(class_index)
+        self._served_requests += self.relative_cost(class_index)
 
     def report(self, now: float, in_flight: Mapping[int, int]) -> LoadReport:
-        """The next report; ``in_flight``: how many requests of each class are queued or running."""
+        """Produce the next report. ``in_flight``: the number of requests queued or running, by class."""
         self._decay(now)
         self._sequence += 1
         weighted_load = sum(count * self.relative_cost(class_index) for class_index, count in in_flight.items())
-        speed = self._served / self._busy_slot_s if self._busy_slot_s >= MIN_SLOT_SECONDS else 0.0
+        speed = self._served_requests / self._busy_slot_s if self._busy_slot_s >= MIN_BUSY_SLOT_S else 0.0
         return LoadReport(
             self._incarnation,
             self._sequence,
@@ -109,4 +110,4 @@
         if self._slow_start_s:
             progress = (now - self._started_at) / self._slow_start_s
             share = min(1.0, self._initial_share + (1.0 - self._initial_share) * progress)
-        return max(share * (1.0 - self._failing), MIN_SHARE)
+        return max(share * (1.0 - self._failure_rate), MIN_SHARE)
--- a/lapishaven/load_balancing/rules.py
+++ b/lapishaven/load_balancing/rules.py
@@ -1,4 +1,4 @@
-"""The tunable limits of the load balancer."""
+"""The tunable parameters of the load balancer."""
 
 from __future__ import annotations
 
@@ -7,29 +7,34 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancingRules:
-    """Limits of choosing, failure detection, ejection and retries. ``settings.FIELDS`` maps TOML keys to them.
+    """Parameters of endpoint selection, failure detection, ejection and retries.
+
+    ``settings.NUMERIC_KEYS`` maps the keys of the settings file to these fields.
+
 
     Attributes:
-        probes_per_choice: endpoints that are probed for each choice.
-        probe_wait_s: longest time for which a choice waits for the answers to its probes.
-        cached_reports: load reports that are kept to choose by; 0 for none.
-        report_uses: requests that may be sent on the strength of one cached report.
-        cached_report_life_s: age at which a cached report is dropped.
-        report_decay_requests: time constant with which a report loses its weight, in durations of a typical request.
-        watch_interval_s: an endpoint that has our requests in flight is probed when nothing came from it for this long.
-        probe_timeout_s: an endpoint that leaves a probe unanswered for this long is suspected to be unresponsive.
-        uncertain_after_s: a request that is not idempotent and waits on a suspected endpoint fails after this, with an
-            uncertain outcome.
-        panic_fraction: when more than this part of the last probes went unanswered nobody more is suspected, as the
-            fault is more likely on this side.
-        ejection_failures: failures in a row after which an endpoint is ejected.
-        base_ejection_s: duration of a first ejection, doubled with each further one.
-        max_ejection_s: upper bound of that duration.
-        max_ejected_fraction: part of all endpoints that may be ejected at one time; one always may.
-        retry_ratio: retries that are allowed for each first attempt.
-        raised_retry_ratio: the same, for a while after several endpoints became unresponsive at once.
-        raised_ratio_s: how long that while is.
-        initial_request_s: duration of a typical request until one was measured.
+        probes_per_choice: number of endpoints that are probed for each choice.
+        probe_wait_s: maximum time that a choice waits for the answers to its probes.
+        cached_reports: capacity of the report cache; 0 disables it.
+        report_uses: number of requests that may be sent because of one cached report.
+        cached_report_life_s: age above which a cached report is dropped.
+        report_decay_requests: time constant of the exponential decay of a report's weight, in multiples of the duration
+            of a typical request.
+        watch_interval_s: an endpoint with requests of this balancer in flight is probed when nothing has been received
+            from it for this long.
+        probe_timeout_s: an endpoint that does not answer a probe within this time is suspected of being unresponsive.
+        uncertain_after_s: a request that is not idempotent fails with an uncertain outcome when its endpoint has been
+            unresponsive for this long.
+        panic_fraction: while more than this fraction of the recent probes is unanswered, no further endpoint is
+            suspected, because the fault is more likely on the balancer's side.
+        ejection_failures: number of consecutive failures after which an endpoint is ejected.
+        base_ejection_s: duration of the first ejection; doubled for each further one.
+        max_ejection_s: maximum duration of an ejection, before jitter.
+        max_ejected_fraction: maximum fraction of all endpoints that may be ejected at the same time; one always may.
+        retry_ratio: number of retries allowed per first attempt.
+        raised_retry_ratio: the retry ratio after several endpoints became unresponsive at once.
+        raised_ratio_s: how long ``raised_retry_ratio`` then applies.
+        initial_request_s: initial value of the mean duration of a request.
     """
 
     probes_per_choice: int = 2
--- a/lapishaven/load_balancing/weighted_sampler.py
+++ b/lapishaven/load_balancing/weighted_sampler.py
@@ -1,8 +1,8 @@
-"""Sampling by weight with weights that change all the time.
+"""Weighted random sampling for weights that change often.
 
-Rejection sampling: an item is drawn evenly and accepted with its weight over the largest as the probability. A
-change of weight is one store; a draw takes as many rounds as the largest weight is over the mean one, whatever the
-number of items. ``benchmarks/spread.py`` compares it with a scan, an alias table and a tree.
+Rejection sampling: an item is drawn uniformly and accepted with the probability of its weight over the largest weight.
+Changing a weight is a single store. Sampling takes on average as many rounds as the ratio of the largest to the mean
+weight, independent of the number of items. ``benchmarks/spread.py`` compares it with a scan, an alias table and a tree.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 from collections.abc import Iterable
 from random import Random
 
-MAX_ROUNDS = 64  # after which the last item drawn is accepted
+MAX_ROUNDS = 64  # after this many rounds the last item drawn is accepted
 
 
 class WeightedSampler:
-    """Items by name, each with a weight above 0."""
+    """A set of named items, each with a weight above 0."""
 
     def __init__(self) -> None:
         self._names: list[str] = []
         self._weights: list[float] = []
         self._positions: dict[str, int] = {}
-        self._max_weight = 0.0  # or more, until it is looked up again
-        self._decreases = 0  # removals and lowered weights since then
+        self._max_weight = 0.0  # an upper bound, exact after a refresh
+        self._decreases = 0  # removals and lowered weights since the last refresh
 
     def __len__(self) -> int:
         return len(self._names)
@@ -30,7 +30,7 @@
         return name in self._positions
 
     def set_weight(self, name: str, weight: float) -> None:
-        """Add an item, or change its weight."""
+        """Add an item or change its weight."""
         position = self._positions.get(name)
         if position is None:
             self._positions[name] = len(self._names)
@@ -43,7 +43,7 @@
         self._refresh_max_weight()
 
     def remove(self, name: str) -> None:
-        """Take an item away, if it is there. The last item moves to its position."""
+        """Remove an item if it exists. The last item moves to its position."""
         position = self._positions.pop(name, None)
         if position is None:
             return
@@ -57,21 +57,21 @@
         self._refresh_max_weight()
 
     def _refresh_max_weight(self) -> None:
-        """Look up the largest weight once in a while: one that is too large costs rounds and nothing else."""
+        """Recompute the largest weight occasionally; a value that is too high only makes sampling take more rounds."""
         if self._decreases > len(self._weights):
             self._max_weight = max(self._weights, default=0.0)
             self._decreases = 0
 
     def names(self) -> Iterable[str]:
-        """All items."""
+        """Iterate over the names of all items."""
         return iter(self._names)
 
     def sample(self, random: Random) -> str:
-        """An item at random by weight. Raises ``IndexError`` if there are none."""
+        """Return a random item, chosen by weight. Raises ``IndexError`` if there are none."""
         names, weights, max_weight = self._names, self._weights, self._max_weight
         count = len(names)
         if not count:
-            raise IndexError("nothing to sample from")
+            raise IndexError("cannot sample: the sampler has no items")
         for _ in range(MAX_ROUNDS):
             position = int(random.random() * count)
             if random.random() * max_weight <= weights[position]:
--- a/tests/test_load_balancing_tier.py
+++ b/tests/test_load_balancing_tier.py
@@ -1,4 +1,4 @@
-"""Spreading on real processes: fronts before processes of the program, and faults between them."""
+"""Load balancing with real processes: frontends that balance over match servers, with faults injected."""
 
 from __future__ import annotations
 
@@ -14,139 +14,151 @@
 from lapishaven.load_balancing import command
 from lapishaven.load_balancing.settings import BalancingSettingsError
 
-STOPS = 2.2  # s, more than any aim
+STOP_DURATION_S = 2.2  # longer than any latency objective
 
 
-def play(tier: Tier, rate: float, seconds: float, faults: Callable[[], Awaitable[None]]) -> list[Call]:
-    async def both() -> list[Call]:
-        calls, _ = await asyncio.gather(tier.load(rate, seconds), faults())
+def run_load(tier: Tier, rate: float, seconds: float, inject_faults: Callable[[], Awaitable[None]]) -> list[Call]:
+    """Generate load while ``inject_faults`` runs; return all calls."""
+
+    async def run_both() -> list[Call]:
+        calls, _ = await asyncio.gather(tier.load(rate, seconds), inject_faults())
         return calls
 
-    return asyncio.run(both())
+    return asyncio.run(run_both())
 
 
-def late(calls: list[Call], aim: float = 1.5) -> list[Call]:
-    return [call for call in calls if call.cls != "approve-commit" and (call.status != 200 or call.span > aim)]
+def missed_objective(calls: list[Call], objective_s: float = 1.5) -> list[Call]:
+    """The calls that failed or exceeded the latency objective, except commits, which are not idempotent."""
+    return [call for call in calls if call.cls != "approve-commit" and (call.status != 200 or call.span > objective_s)]
 
 
-def test_a_stopped_process_costs_no_safe_call_its_aim_and_runs_nothing_twice_when_it_wakes() -> None:
-    """Guards the judging of silence: without it what waits on the stopped process, and what is sent there while it is
-    stopped, comes after its wake."""
+def test_a_stopped_process_delays_no_idempotent_call_and_runs_nothing_twice_when_it_resumes() -> None:
+    """Guards failure detection: without it, calls in flight at the stopped process and calls sent to it while it is
+    stopped are answered only after it resumes."""
     with Field() as field, Tier(field, 3, [1.0] * 5, seed=3, slots=8) as tier:
 
         async def stop() -> None:
             await asyncio.sleep(0.8)
             field.stop("b1")
-            await asyncio.sleep(STOPS)
+            await asyncio.sleep(STOP_DURATION_S)
             field.wake("b1")
 
-        calls = play(tier, 0.5 * tier.capacity(), 3.6, stop)
+        calls = run_load(tier, 0.5 * tier.capacity(), 3.6, stop)
         assert len(calls) > 100
-        assert not late(calls)
+        assert not missed_objective(calls)
         assert all(call.status in (200, 502, 504) for call in calls)
         report = tier.report()
         assert report["twice"] == 0
-        assert sum(number == 1 for _, number in report["began"]) > 10  # it had its part
+        assert sum(process == 1 for _, process in report["began"]) > 10  # b1 got its share of the calls
 
 
-def test_dead_failing_mute_and_leaving_processes_cost_little_and_no_commit_runs_twice() -> None:
-    """Guards the tier from the faults that are no silence: a kill with work in hand and a return cold, runs that all
-    fail at once, an address that accepts and says nothing, a process that drains, one that is taken off the list."""
+def test_killed_failing_unresponsive_draining_and_removed_processes_cost_few_calls_and_run_no_commit_twice() -> None:
+    """Guards against faults other than a stopped process: a process killed with runs in flight that restarts cold, one
+    whose runs all fail immediately, an address that accepts connections but never answers, a process that drains, and
+    one that is removed from the address list."""
     with (
-        socket.create_server(("127.0.0.1", 0)) as mute,
+        socket.create_server(("127.0.0.1", 0)) as unresponsive,
         Field() as field,
-        Tier(field, 3, [1.0] * 8, seed=5, slots=8, extra=[mute.getsockname()[1]]) as tier,
+        Tier(field, 3, [1.0] * 8, seed=5, slots=8, extra=[unresponsive.getsockname()[1]]) as tier,
     ):
 
-        async def faults() -> None:
+        async def inject_faults() -> None:
             await asyncio.sleep(0.6)
             field.kill("b1")
             field.say("hands", cold=1)
             field.say("hands", fail=[2, True])
             await asyncio.sleep(0.8)
             field.serve("b1")
-            field.procs["b3"].popen.terminate()  # drains: what it has is answered
+            field.procs["b3"].popen.terminate()  # drains: runs in flight are completed
             await asyncio.sleep(0.8)
             field.say("hands", fail=[2, False])
             tier.listed = [name for name in tier.listed if name != "b4"]
             tier.reload()
 
-        calls = play(tier, 0.4 * tier.capacity(), 4.0, faults)
+        calls = run_load(tier, 0.4 * tier.capacity(), 4.0, inject_faults)
         report = tier.report()
         assert report["twice"] == 0
-        lost = [call for call in calls if call.status != 200]
-        assert len(lost) < 0.06 * len(calls)  # what ran at the killed one, and what failed
-        assert all(call.status in (502, 503, 504) for call in lost)
+        failed = [call for call in calls if call.status != 200]
+        assert len(failed) < 0.06 * len(calls)  # runs of the killed process, and failed runs
+        assert all(call.status in (502, 503, 504) for call in failed)
         assert len([call for call in calls if call.status == 200 and call.span > 1.5]) < 0.01 * len(calls)
-        last = max(at for at, _ in report["began"])
-        began = Counter(number for at, number in report["began"] if at > last - 0.8)
-        assert not began[3] and not began[4]  # the one that left and the one that is off the list
-        assert began[2]  # the one that failed has its part again
+        last_start = max(at for at, _ in report["began"])
+        recent_runs = Counter(process for at, process in report["began"] if at > last_start - 0.8)
+        assert not recent_runs[3] and not recent_runs[4]  # the drained one and the removed one
+        assert recent_runs[2]  # the one that failed is used again
 
 
-def test_a_commit_on_a_stopped_process_is_told_uncertain_early_and_does_not_run_when_it_wakes() -> None:
-    """Guards a commit that lies unread in a stopped process: it goes nowhere else, its caller hears in time, and what
-    is given up by then does not run."""
+def test_a_commit_at_a_stopped_process_fails_early_as_uncertain_and_does_not_run_when_it_resumes() -> None:
+    """Guards a commit, which is not idempotent, that a stopped process has not read: it is not retried, its caller gets
+    an answer well before the deadline, and the abandoned commit does not run later."""
     with Field() as field, Tier(field, 1, [1.0] * 2, seed=6, slots=8) as tier:
 
-        async def work() -> None:
-            async def commits(count: int, mark: bytes) -> list[Call]:
+        async def scenario() -> None:
+            async def call_commits(count: int, batch: bytes) -> list[Call]:
                 now = asyncio.get_running_loop().time()
                 return list(
                     await asyncio.gather(
-                        *(tier.call("f0", "approve-commit", b"once %s %d" % (mark, n), now) for n in range(count))
+                        *(tier.call("f0", "approve-commit", b"once %s %d" % (batch, n), now) for n in range(count))
                     )
                 )
 
-            assert {call.status for call in await commits(8, b"a")} == {200}
+            assert {call.status for call in await call_commits(8, b"a")} == {200}
             field.stop("b0")
-            found = await commits(12, b"b")
-            uncertain = [call for call in found if call.status != 200]
+            calls = await call_commits(12, b"b")
+            uncertain = [call for call in calls if call.status != 200]
             assert uncertain and {call.status for call in uncertain} == {502}
-            assert max(call.span for call in uncertain) < 1.5 < 3.8  # of the deadline
-            assert all(call.status == 200 for call in await commits(4, b"c"))  # nothing more goes there
+            assert max(call.span for call in uncertain) < 1.5 < 3.8  # the deadline
+            assert all(call.status == 200 for call in await call_commits(4, b"c"))  # none is sent to b0
             before = tier.report()
             field.wake("b0")
             tier.ready(["b0"])
-            assert {call.status for call in await commits(6, b"d")} == {200}
+            assert {call.status for call in await call_commits(6, b"d")} == {200}
             after = tier.report()
             assert before["twice"] == after["twice"] == 0
             assert len(before["began"]) + len(after["began"]) == 8 + 12 - len(uncertain) + 4 + 6
 
-        asyncio.run(work())
+        asyncio.run(scenario())
 
 
-def test_fronts_that_are_all_started_again_in_one_second_do_not_act_alike() -> None:
-    """Guards against a herd of choosers that know nothing at the same moment."""
+def test_frontends_that_all_restart_at_once_do_not_choose_the_same_processes() -> None:
+    """Guards against herding: frontends without any load data at the same time must spread their first choices."""
     with Field() as field, Tier(field, 6, [1.0] * 12, seed=7, slots=4) as tier:
         for name in tier.fronts:
             field.kill(name)
         for name in tier.fronts:
             field.serve(name)
         tier.ready(tier.fronts)
-        calls = play(tier, 0.7 * tier.capacity(), 2.5, lambda: asyncio.sleep(0))
-        assert not late(calls)
-        began = tier.report()["began"]
-        first = Counter(number for at, number in began if at < began[0][0] + 1.0)
-        assert max(first.values()) < 2.0 * sum(first.values()) / 12 and len(first) == 12
+        calls = run_load(tier, 0.7 * tier.capacity(), 2.5, lambda: asyncio.sleep(0))
+        assert not missed_objective(calls)
+        starts = tier.report()["began"]
+        first_runs = Counter(process for at, process in starts if at < starts[0][0] + 1.0)
+        assert max(first_runs.values()) < 2.0 * sum(first_runs.values()) / 12 and len(first_runs) == 12
 
 
-def test_operators_see_what_is_known_of_each_process_and_why_choices_fell(capfd: pytest.CaptureFixture[str]) -> None:
-    """Guards the commands and the gauges, against a front that is asked while it serves."""
+def test_operators_see_the_state_of_each_process_and_the_costs_behind_each_choice(
+    capfd: pytest.CaptureFixture[str],
+) -> None:
+    """Guards the ``spread`` commands and the metrics, read from a frontend while it serves."""
     with Field() as field, Tier(field, 1, [1.0] * 3, seed=8, slots=8) as tier:
         field.stop("b2")
-        calls = play(tier, 0.3 * tier.capacity(), 1.5, lambda: asyncio.sleep(0))
+        calls = run_load(tier, 0.3 * tier.capacity(), 1.5, lambda: asyncio.sleep(0))
         assert len(calls) > 10
-        where = f"127.0.0.1:{tier.controls['f0']}"
-        assert command.status(where, False) == 1  # one is silent
-        rows = capfd.readouterr().out
-        assert rows.count("silent") == 1 and rows.count(" ok ") == 2
-        assert command.explain(where, 5) == 0
+        control_address = f"127.0.0.1:{tier.controls['f0']}"
+        assert command.status(control_address, False) == 1  # b2 is unresponsive
+        output = capfd.readouterr().out
+        assert output.count("silent") == 1 and output.count(" ok ") == 2
+        assert command.explain(control_address, 5) == 0
         assert "chosen" in capfd.readouterr().out
-        figures = command.fetch(where, "/v1/metrics").decode()
-        assert 'server_spread_processes{standing="silent"} 1' in figures and "server_spread_probes " in figures
+        metrics = command.fetch(control_address, "/v1/metrics").decode()
+        assert 'server_spread_processes{standing="silent"} 1' in metrics and "server_spread_probes " in metrics
         field.wake("b2")
-        with pytest.raises(BalancingSettingsError, match="does not spread"):
+        with pytest.raises(
+            BalancingSettingsError,
+            match="GET /v1/spread from 127.0.0.1:.*: status 404; only a server started with --spread has this page",
+        ):
             command.status(f"127.0.0.1:{tier.controls['b0']}", False)
-        with pytest.raises(BalancingSettingsError, match="cannot ask"):
+        with pytest.raises(
+            BalancingSettingsError,
+            match="GET /v1/spread from the admin server at 127.0.0.1:1 failed: .*Connection refused",
+        ):
             command.status("127.0.0.1:1", False)
