--- a/lapishaven/load_balancing/balancer.py
+++ b/lapishaven/load_balancing/balancer.py
@@ -30,7 +30,7 @@
 from lapishaven.load_balancing.retry_budget import RetryBudget
 from lapishaven.load_balancing.rules import BalancingRules
 
-PROBES_BETWEEN_CLEANUPS = 64
+PROBES_BETWEEN_CLEANUPS = 64  # expired probes are discarded once per this many choice probes
 
 
 class LoadBalancer:
--- a/lapishaven/load_balancing/endpoint_selector.py
+++ b/lapishaven/load_balancing/endpoint_selector.py
@@ -24,7 +24,7 @@
 class EndpointSelector:
     """Samples candidates and selects among them.
 
-    ``recent``: the latest choices, for operators.
+    ``recent``: the latest choices made by cost, for operators.
     """
 
     def __init__(
--- a/lapishaven/load_balancing/endpoint_state.py
+++ b/lapishaven/load_balancing/endpoint_state.py
@@ -21,7 +21,9 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """Times are in seconds on the caller's clock; requests are those of this balancer unless stated otherwise.
+    """The state of one endpoint, as seen by one balancer.
+
+    Times are in seconds on the caller's clock. Requests and attempts are those of this balancer.
 
     Attributes:
         name: ``HOST:PORT``.
