--- a/lapishaven/admission/arrival.py
+++ b/lapishaven/admission/arrival.py
@@ -62,6 +62,7 @@
         rules.callers.record(now, event.caller_id)
         if event.deadline is not None:
             time_left = event.deadline - request.arrived_at
+            # Called for first attempts too, because it also records the caller's time limit.
             time_used = rules.callers.time_used(event.caller_id, event.class_index, time_left)
             if event.is_retry:
                 request.objective_at -= time_used
@@ -74,8 +75,8 @@
     def _verdict(self, request: TrackedRequest, now: float) -> Rejection | None:
         """The reason to reject a request; ``None`` if it is admitted.
 
-        The checks are memory, the capacity of its pool, then load. A class within the guaranteed share of its pool is
-        not rejected for load.
+        If several checks fail, the first of these gives the reason: memory, the pool of the request's class, load. A
+        request is not rejected for load while its pool is within its guaranteed share.
         """
         rules = self._rules
         pools = rules.pools
@@ -94,7 +95,7 @@
         return rejection.FLEET_OVERLOADED if rules.signal.no_retry_elsewhere() else rejection.OVERLOADED
 
     def _is_shed(self, request: TrackedRequest) -> bool:
-        """Whether a request is rejected for load, which happens only while work waits and the cores are almost busy."""
+        """Whether a request is rejected for load; never unless the cores are busy and other work waits for them."""
         rules = self._rules
         queued = self._table.queued
         if not rules.load.has_waiting_work(len(queued)):
@@ -103,7 +104,7 @@
         return rules.shedding.is_rejected(request.rank, request.weight, current_load)
 
     def _reserve_key(self, request: TrackedRequest, now: float, actions: list[Action]) -> Rejection | None:
-        """Reserve an entry in the idempotency key table for an admitted request; reject it if there is no memory."""
+        """Reserve an entry in the idempotency key table for an admitted request; a rejection if it has no memory."""
         ttl = self._rules.reservations.reserve(request, now)
         if ttl is None:
             return rejection.KEY_TABLE_FULL
--- a/lapishaven/admission/controller.py
+++ b/lapishaven/admission/controller.py
@@ -102,7 +102,7 @@
         if isinstance(event, RunFinished):
             self._ending.finish_run(request, event, now, actions)
         elif isinstance(event, DependencyCallNeeded):
-            self._dependency.need_call(request, now)
+            self._dependency.queue_call(request, now)
         elif isinstance(event, DependencyCallFinished):
             self._dependency.finish_call(request, event, now, actions)
         else:
--- a/lapishaven/admission/dependency_handler.py
+++ b/lapishaven/admission/dependency_handler.py
@@ -24,7 +24,7 @@
         self._table = rules.table
         self._ending = ending
 
-    def need_call(self, request: TrackedRequest, now: float) -> None:
+    def queue_call(self, request: TrackedRequest, now: float) -> None:
         """Suspend a running request until it may make the dependency call that it needs."""
         if not request.is_answered:
             self._table.move(request, AWAITING_DEPENDENCY, now)
@@ -42,8 +42,9 @@
             return
         self._table.move(request, AWAITING_DEPENDENCY, now)
         if event.outcome is Outcome.TIMEOUT:
+            # The dependency may still be working on the call, so it keeps counting against the quota.
             self._calls.add_lingering(now)
-        if request.request_class.degraded_weight > 0:
+        if request.request_class.degraded_weight > 0:  # an answer without the call is worth something
             self._skip(request, now, actions)
         elif event.outcome in NEVER_EXECUTED:
             self._calls.waiting.append(request.request_id)
@@ -70,5 +71,6 @@
                 actions.append(CallDependency(request.request_id, call_timeout(request, now)))
 
     def _skip(self, request: TrackedRequest, now: float, actions: list[Action]) -> None:
+        """Continue the run without its dependency call."""
         actions.append(SkipDependency(request.request_id))
         self._table.move(request, RUNNING, now)
--- a/lapishaven/admission/load_measurement.py
+++ b/lapishaven/admission/load_measurement.py
@@ -9,20 +9,22 @@
 from lapishaven.admission.run_latency import RunLatency
 from lapishaven.admission.settings import Settings
 
-# Interval between load samples. The host's gauges average over half a second, so five samples reflect each change.
+# Interval between load samples. The host's gauges are averages over half a second, so a change takes five samples to
+# show in full.
 POLL_INTERVAL_S = 0.1
 WINDOW_SAMPLES = 10  # one second: shorter than every latency objective, long enough to average out noise
 BUSY_UTILIZATION = 0.8  # CPU utilization from which the cores count as busy
-# Factor at each sample, so that one late read loses its influence within the half second that the gauges average over.
+# The read delay is multiplied by this at each sample, so that one late read loses its influence within the half second
+# that the gauges average over.
 READ_DELAY_DECAY = 0.7
 
 
 class LoadMeasurement:
     """A rolling window of load samples. A load of 1 means that all cores are busy and nothing waits.
 
-    CPU utilization cannot exceed 1 however high the demand is, so waiting work is added to it: its waiting time
-    divided by the shortest latency objective. It is added only while the cores are busy. Known weakness: if there are
-    few runs, a single long one makes the queue look slower than it is.
+    CPU utilization cannot exceed 1 however high the demand is, so the delay of waiting work, divided by the shortest
+    latency objective, is added to it. It is added only while the cores are busy. Known weakness: if there are few
+    runs, a single long one raises the expected run time, so that the queue looks slower than it is.
     """
 
     __slots__ = ("_shortest_objective", "_window", "read_delay", "utilization")
@@ -44,7 +46,7 @@
         self.read_delay = max(self.read_delay, age)
 
     def record_utilization(self, cpu_utilization: float | None, stalled: bool, has_queue: bool) -> None:
-        """Record a CPU utilization; ``None`` if the host has no gauge, in which case a queue counts as busy cores.
+        """Record a CPU utilization; ``None`` if the host has no gauge: then the cores count as busy if work is queued.
 
         ``stalled`` means that all run slots are occupied. Nothing more can start then, even if the cores look idle
         because runs or the dependency hang, so the instance counts as busy. Known weakness: long waits for the disk
@@ -56,12 +58,12 @@
             self.utilization = cpu_utilization or 0.0
 
     def record_load(self, load: float) -> None:
-        """Add a load to the window, and let the read delay decay."""
+        """Add the load at a load sample to the window, and let the read delay decay."""
         self._window.append(load)
         self.read_delay *= READ_DELAY_DECAY
 
     def average(self) -> float:
-        """The mean load over the window."""
+        """The mean load over the window; at least one load must have been recorded."""
         return sum(self._window) / len(self._window)
 
     def current(self, queued: Iterable[TrackedRequest], run_latency: RunLatency, concurrency_limit: float) -> float:
--- a/lapishaven/backends/interpreter.py
+++ b/lapishaven/backends/interpreter.py
@@ -1,6 +1,6 @@
 """Runs attempts on the interpreter over one persistent connection (the link).
 
-The link is dialled again when it breaks, and moved when a reload changes the address.
+The link is dialled again when it breaks, and replaced by one to the new address when a reload changes the address.
 
 A break may lose the last commands, so a command is unconfirmed until a ``TOPS`` answer proves that it was read. On the
 next link a ``TOP`` query after the ``BANNER`` serves as a fence: once it is answered, all notices of earlier ends of
@@ -25,10 +25,10 @@
 from lapishaven.proto import interpreter as proto
 
 DIAL_TIMEOUT_S = 1.0
-REDIAL_DELAYS_S = (0.02, 0.05, 0.1, 0.25)  # by the number of consecutive failures; the last one is repeated
-HEALTH_CHECK_TIMEOUT_S = 3.0  # for a deep health check; callers' own time-outs are shorter
+REDIAL_DELAYS_S = (0.02, 0.05, 0.1, 0.25)  # by the number of consecutive failures; the last delay is repeated
+HEALTH_CHECK_TIMEOUT_S = 3.0  # for a deep health check; callers' own timeouts are shorter
 MOVE_TIMEOUT_S = 0.25  # for the fence on the old link when the address changes
-PROBE_TIMEOUT_S = 0.1  # for a run paused as a probe to report that; otherwise it counts as never started
+PROBE_TIMEOUT_S = 0.1  # for the report of a run paused as a probe; if none has come by the next fence, it ends as reset
 OUTCOMES = {"OK": Outcome.OK, "ERROR": Outcome.ERROR, "STOPPED": Outcome.CANCELLED, "MOOT": Outcome.OBSOLETE}
 
 
@@ -57,24 +57,25 @@
         self._unconfirmed = UnconfirmedCommands()
         self._unsent_commands: list[Command] = []  # commands to send on the next link
         self._running: set[str] = set()  # attempt ids of runs that were started and have not ended
-        self._resent: set[str] = set()  # of these, those whose command was sent on more than one link
+        self._resent: set[str] = set()  # the attempts among them whose command was sent on more than one link
         self._uncertain: list[Command] = []  # from broken links, to be resolved after the fence
-        self._pause_probes: dict[str, bool] = {}  # by attempt id paused as a probe: whether to resume it
+        # Runs paused to see whether they are running, by attempt id: whether to resume them if they are.
+        self._pause_probes: dict[str, bool] = {}
         self._fences: dict[str, Callable[[], None]] = {}  # callbacks of unanswered fences, by tag
         self._tag_count = 0
-        self._sample_requested = False
+        self._sample_requested = False  # whether a load sample was requested and has not arrived
         self._health_checks = PendingHealthChecks()
         self._redial_wait: Wait | None = None
         self._moving = False  # whether the link awaits its fence before it is dialled at a new address
         self._stopped = False
 
     # ---- Commands
-    def start(self, attempt_id: str, class_name: str, body: bytes, send_once: bool) -> None:
+    def start(self, attempt_id: str, class_name: str, body: bytes, at_most_once: bool) -> None:
         """Start a run, on the next link if there is no usable one."""
         self._running.add(attempt_id)
         self._send(
             Command(
-                attempt_id, proto.encode_start(attempt_id, class_name, body), starts_run=True, at_most_once=send_once
+                attempt_id, proto.encode_start(attempt_id, class_name, body), starts_run=True, at_most_once=at_most_once
             )
         )
 
@@ -94,6 +95,7 @@
             self._send(pause_command)
 
     def _is_uncertain(self, attempt_id: str) -> bool:
+        """Whether a command about the attempt is still to be resolved."""
         return any(command.attempt_id == attempt_id for command in self._uncertain)
 
     def resume(self, attempt_id: str) -> None:
@@ -135,7 +137,7 @@
             self._unsent_commands.append(command)
 
     def _fence(self, on_answered: Callable[[], None] | None) -> None:
-        """Query the gauges; ``on_answered`` is called once all that was sent before is proven to be read."""
+        """Query the gauges; ``on_answered`` is called at the answer, which proves that all sent before it was read."""
         assert self._conn is not None
         self._tag_count += 1
         tag = f"t{self._tag_count}"
@@ -159,6 +161,7 @@
             else:
                 number_before = self._last_run_end_number
                 yield from self._read(self._open_link(sock))
+                # A link counts as a failure unless the end of a run was read on it.
                 failures = 0 if self._last_run_end_number > number_before else failures
             if self.address == address:
                 self._redial_wait = Wait(REDIAL_DELAYS_S[min(failures, len(REDIAL_DELAYS_S) - 1)])
@@ -172,7 +175,7 @@
         """Set up a link on a socket; requests all notices after the last one that was processed."""
         conn = self._conn = Connection(self.loop, sock, self._ended)
         connect_line = proto.encode_connect(self._last_run_end_number)
-        self._unconfirmed.add_query("", len(connect_line))
+        self._unconfirmed.add_query("", len(connect_line))  # counts its bytes; no answer has the empty tag
         conn.write(connect_line)
         return conn
 
@@ -211,6 +214,7 @@
             self._redial_wait.wake()
 
     def _ended(self, end: ConnectionEnd) -> None:
+        """Handle the end of a link: keep its unsent and its uncertain commands for the next one."""
         assert self._conn is not None
         self.counters.add("ends", f"interpreter {end.value}")
         unconfirmed = self._unconfirmed.take_unconfirmed(self._conn.sent)
@@ -222,6 +226,7 @@
         self._moving = False
         self._fences.clear()
         for attempt_id, resume in self._pause_probes.items():
+            # A placeholder, of which no data is sent: at_most_once makes the next link probe the run again.
             self._uncertain.append(Command(attempt_id, b"", at_most_once=True))
             if not resume:
                 self._uncertain.append(Command(attempt_id, proto.encode_pause(attempt_id)))
@@ -229,7 +234,7 @@
 
     # ---- Uncertain commands
     def _resolve_uncertain(self) -> None:
-        """Resolve the uncertain commands; as all earlier notices were read, each is running or never arrived."""
+        """Resolve the uncertain commands; as all earlier notices were read, each run is running or never started."""
         uncertain = self._uncertain
         self._uncertain = []
         for command in uncertain:
@@ -242,11 +247,12 @@
     def _resolve_command(self, command: Command) -> None:
         """Probe a run that must not be started twice; send any other command again."""
         if command.at_most_once and command.attempt_id not in self._pause_probes:
-            # Sent again, it might run twice if it ends in between. Pausing it shows whether it is running.
+            # If its start were sent again, it might run twice, as the first run may end in between. Pausing it shows
+            # whether it is running.
             self._pause_probes[command.attempt_id] = True
             self._send(Command(command.attempt_id, proto.encode_pause(command.attempt_id), at_most_once=True))
         elif command.at_most_once:
-            return
+            return  # its run is being probed already
         elif command.attempt_id in self._pause_probes:
             self._pause_probes[command.attempt_id] = False  # its request was cancelled, so it is not resumed
         else:
@@ -256,7 +262,7 @@
             self._send(command)
 
     def _check_probes(self, conn: Connection | None, probes: list[str]) -> None:
-        """If the link is still the same, give up the probes that are unanswered after another fence."""
+        """Unless the link has changed, end the runs whose probes are still unanswered at the next fence."""
         if conn is self._conn and self._ready and not self._moving:
             self._fence(lambda: self._end_unanswered_probes(probes))
 
@@ -330,11 +336,15 @@
         self._listener.run_finished(message.attempt_id, outcome, message.elapsed, message.result)
 
     def _should_resume(self, attempt_id: str) -> bool:
-        """Whether a run was paused only as a probe; the report may arrive over the next link."""
-        are_probes = [command.at_most_once for command in self._uncertain if command.attempt_id == attempt_id]
-        return self._pause_probes.get(attempt_id, bool(are_probes) and all(are_probes))
+        """Whether a run was paused only as a probe.
+
+        The report of the pause may arrive on the next link, where ``_uncertain`` then holds the probe's placeholder.
+        """
+        probe_flags = [command.at_most_once for command in self._uncertain if command.attempt_id == attempt_id]
+        return self._pause_probes.get(attempt_id, bool(probe_flags) and all(probe_flags))
 
     def _remove_attempt(self, attempt_id: str) -> None:
+        """Remove an attempt from the runs and the probes, and its commands from the uncertain ones."""
         self._running.discard(attempt_id)
         self._resent.discard(attempt_id)
         self._pause_probes.pop(attempt_id, None)
--- a/lapishaven/backends/load_balanced.py
+++ b/lapishaven/backends/load_balanced.py
@@ -79,11 +79,11 @@
         self.set_addresses((address,))
 
     # ---- Commands
-    def start(self, attempt_id: str, class_name: str, body: bytes, send_once: bool) -> None:
-        """Run a request; ``send_once`` if it is not idempotent."""
+    def start(self, attempt_id: str, class_name: str, body: bytes, at_most_once: bool) -> None:
+        """Run a request; ``at_most_once`` if it is not idempotent."""
         now = self.loop.now
         self._dispatcher.dispatch(
-            BalancedRun(attempt_id, class_name, body, send_once, now, now + self.deadlines[class_name])
+            BalancedRun(attempt_id, class_name, body, at_most_once, now, now + self.deadlines[class_name])
         )
 
     def pause(self, attempt_id: str) -> None:
--- a/lapishaven/backends/run_dispatcher.py
+++ b/lapishaven/backends/run_dispatcher.py
@@ -21,7 +21,7 @@
 
 MAX_ATTEMPTS = 4  # of one run, over all endpoints
 MIN_TIME_FOR_RETRY_S = 0.05  # a run with less time left until its deadline is not retried
-MAX_RETRY_AFTER_S = 60.0  # longer times in an endpoint's response are cut to this
+MAX_RETRY_AFTER_S = 60.0  # a longer time that an endpoint's response asks for is cut to this
 # The outcomes reported to the balancer; all others are reported as failures.
 ATTEMPT_OUTCOMES = {
     Outcome.OK: AttemptOutcome.SERVED,
@@ -39,7 +39,7 @@
     Parameters:
         balancer: chooses endpoints.
         addresses: host and port by endpoint.
-        settings: request path and limits.
+        settings: request path, limit of concurrent runs and rules.
         finished: called at the end of each run.
         dial: opens connections.
 
@@ -72,7 +72,7 @@
         )
 
     def dispatch(self, run: BalancedRun) -> None:
-        """Begin a run, or fail it if the limit of concurrent attempts is reached."""
+        """Begin a run, or end it as unreachable if the limit of concurrent runs, ``settings.attempts``, is reached."""
         self.runs[run.attempt_id] = run
         if len(self.runs) > self.settings.attempts:
             self.counters.add("spread", "no descriptor")
@@ -82,6 +82,10 @@
 
     # ---- Choosing an endpoint
     def _begin_choice(self, run: BalancedRun, first: bool) -> None:
+        """Choose an endpoint: at once if no probes are needed, else when they are answered or at the choice's deadline.
+
+        ``first``: whether this is for the run's first attempt.
+        """
         choice = self.balancer.begin_choice(self.loop.now, run.excluded, first)
         self._prober.send(choice.probes)
         if choice.probes:
@@ -92,6 +96,7 @@
         self._prober.schedule_check()
 
     def _finish_choice(self, choice: Choice) -> None:
+        """Send the attempt of a choice that waited for probes, once, unless its run has finished."""
         run = self._runs_by_choice.pop(choice, None)
         if run is not None and self.runs.get(run.attempt_id) is run:
             self._send(run, choice)
@@ -171,12 +176,12 @@
     def finish(self, run: BalancedRun, outcome: Outcome, result: bytes = b"") -> None:
         """Report the end of a run, once."""
         if self.runs.pop(run.attempt_id, None) is not None:
-            run.attempt_number += 1
+            run.attempt_number += 1  # so that late events of the current attempt are ignored
             self._finished(run.attempt_id, outcome, self.loop.now - run.started_at, result)
 
     # ---- Retries
     def _may_retry(self, run: BalancedRun) -> bool:
-        """Whether the run may be retried at another endpoint; if so, the retry budget has been charged."""
+        """Whether the run may be retried at another endpoint; if so, the retry budget is charged by this call."""
         now = self.loop.now
         if run.cancelled or run.attempt_number >= MAX_ATTEMPTS or now + MIN_TIME_FOR_RETRY_S > run.deadline:
             return False
@@ -188,7 +193,7 @@
         self._begin_choice(run, first=False)
 
     def _handle_unresponsive(self, endpoint: str) -> None:
-        """Retry the idempotent runs of a suspected endpoint; fail the others after ``uncertain_after_s``."""
+        """Retry the idempotent runs of a suspected endpoint; time out the others after ``uncertain_after_s``."""
         now = self.loop.now
         suspected_since = self.balancer.suspected_since(endpoint)
         for run in sorted(self._runs_by_endpoint.get(endpoint, ()), key=lambda run: run.sent_at):
@@ -204,10 +209,10 @@
                 self.finish(run, Outcome.TIMEOUT)
 
     def _abandon_attempt(self, run: BalancedRun) -> None:
-        """Close the attempt's connection, so that an endpoint that resumes later does not run the request."""
+        """Close the attempt's connection, so that an endpoint that responds again later does not run the request."""
         connection = run.connection
         self._release(run, AttemptOutcome.ABANDONED)
-        run.attempt_number += 1
+        run.attempt_number += 1  # so that its late events are ignored
         if connection is not None:
             connection.close(ConnectionEnd.ABANDONED, unsent=False)
 
@@ -220,7 +225,10 @@
 
 
 def _retry_after_s(response: proto.Response | None) -> float:
-    """Seconds for which the endpoint asks for no requests; ``X-Pushback-Ms`` takes precedence over ``Retry-After``."""
+    """Seconds for which the endpoint asks for no requests; ``X-Pushback-Ms`` takes precedence over ``Retry-After``.
+
+    Only the first six digits of a value are parsed; a longer value is above ``MAX_RETRY_AFTER_S`` anyway.
+    """
     if response is None:
         return 0.0
     milliseconds = response.headers.get("x-pushback-ms", "")
--- a/lapishaven/backends/uwsgi.py
+++ b/lapishaven/backends/uwsgi.py
@@ -57,7 +57,7 @@
         """Send new attempts to this address; attempts in flight continue on their own connections."""
         self.address = address
 
-    def start(self, attempt_id: str, class_name: str, body: bytes, send_once: bool) -> None:
+    def start(self, attempt_id: str, class_name: str, body: bytes, at_most_once: bool) -> None:
         """Send an attempt on a new connection; it is never sent twice."""
         self._running[attempt_id] = None
         self.loop.spawn(self._attempt(attempt_id, class_name, body), lambda error: self._attempt_failed(attempt_id))
--- a/lapishaven/core/durable_execution.py
+++ b/lapishaven/core/durable_execution.py
@@ -48,7 +48,8 @@
             class_name, key, submission, lambda outcome: self._intent_settled(request, outcome, launch)
         )
         if retry_after is None:
-            return
+            return  # the store accepted the intent, and calls back once it is settled
+        # The store refused the intent: undo the start.
         request.state = RequestState.QUEUED
         self._guard.release(submission)
         self._counters.add("requests", "no room to record its run")
@@ -75,6 +76,7 @@
     def _intent_settled(
         self, request: Request, outcome: IntentOutcome | KnownEffect, launch: Callable[[Request], None]
     ) -> None:
+        """Launch the run if its intent is recorded and its caller still waits; otherwise end it without a run."""
         if request.state is not RequestState.RECORDING_INTENT:
             return
         if not isinstance(outcome, IntentOutcome):
--- a/lapishaven/core/ports.py
+++ b/lapishaven/core/ports.py
@@ -25,8 +25,8 @@
 class Backend(Protocol):
     """Runs attempts and reports their end through ``Broker.run_finished``. No method blocks or raises."""
 
-    def start(self, attempt_id: str, class_name: str, body: bytes, send_once: bool) -> None:
-        """Start an attempt; with ``send_once`` it must never be sent twice."""
+    def start(self, attempt_id: str, class_name: str, body: bytes, at_most_once: bool) -> None:
+        """Start an attempt; with ``at_most_once`` it must not be sent again once it may have been received."""
 
     def pause(self, attempt_id: str) -> None:
         """Stop a running attempt; its end is reported as cancelled unless it ended before that."""
--- a/lapishaven/core/run_control.py
+++ b/lapishaven/core/run_control.py
@@ -46,7 +46,7 @@
             self._launch(request)
 
     def cancel(self, request: Request) -> None:
-        """Stop a run, unless the caller of a duplicate still waits for its result."""
+        """Pause a run whose request was cancelled, unless the caller of a duplicate still waits for its result."""
         if request.state is RequestState.RUNNING and not self._lifecycle.has_waiting_duplicate(request):
             request.backend.pause(request.submission.attempt_id)
 
@@ -69,10 +69,10 @@
         self._counters.add("attempts", "started")
         self._counters.add(outcome_metrics.RELAYED, request_class.name)
         self._recorder.run_started(submission)
-        must_run_once = request_class.idempotency is not Idempotency.IDEMPOTENT
-        request.backend.start(submission.attempt_id, request_class.name, submission.body, must_run_once)
+        at_most_once = request_class.idempotency is not Idempotency.IDEMPOTENT
+        request.backend.start(submission.attempt_id, request_class.name, submission.body, at_most_once)
 
-    # ---- The end of a run
+    # ---- End of a run
     def finish(self, attempt_id: str, outcome: Outcome, elapsed: float, result: bytes) -> None:
         """Process the end of a run: notify the controller and answer the request."""
         request = self._table.by_attempt.get(attempt_id)
--- a/lapishaven/core/submission_intake.py
+++ b/lapishaven/core/submission_intake.py
@@ -1,4 +1,4 @@
-"""Adds submissions to the request table, unless they can be answered at once."""
+"""Adds submissions to the request table, unless they can be answered immediately."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SubmissionIntake:
-    """Checks each submission, in this order: shutdown, known attempt, conflicting key, contract, stored result.
+    """Checks each submission, in this order: shutdown, known attempt, key with another body, contract, stored result.
 
     A submission that passes is added to the table, and its arrival is reported to the controller.
     """
@@ -53,7 +53,7 @@
             self._contracts = contracts
 
     def submit(self, now: float, submission: Submission, reply: Reply) -> Request | None:
-        """Add a submission to the table; ``None`` if it was answered at once."""
+        """Add a submission to the table; ``None`` if it was answered immediately."""
         self._counters.add("requests", "read")
         answer = self._check_attempt(submission)
         if answer is not None:
@@ -62,7 +62,7 @@
         key = self._deduplication_key(submission)
         original = self._keys.find(key, now) if key is not None else None
         if original is not None and original.body_digest != submission.body_digest:
-            # Not a duplicate: it must not get the result of another caller's request.
+            # The same key with another body is not a duplicate: it must not get the result of another caller's request.
             self._counters.add("requests", "key of another request")
             answer = Answer(AnswerKind.FAILED, reason="this key stands for another request")
             self._lifecycle.send(submission, reply, answer)
@@ -76,7 +76,7 @@
             self._counters.add("requests", "answered from its kept result")
             self._lifecycle.send(submission, reply, Answer(AnswerKind.SERVED, stored_result))
             return None
-        request = self._enter(now, submission, reply, contract)
+        request = self._add_request(now, submission, reply, contract)
         if original is not None:
             request.duplicate_of = original.request_id
         elif key is not None:
@@ -97,13 +97,13 @@
         return None
 
     def _deduplication_key(self, submission: Submission) -> EffectKey | None:
-        """The key by which its duplicates are detected; ``None`` if it has no key or its class is idempotent."""
+        """The key that duplicates share; ``None`` if the submission has no key or its class is idempotent."""
         if submission.idempotency_key is None or not self._settings.is_deduplicated(submission):
             return None
         return submission.class_index, submission.idempotency_key
 
     def _charge_contract(self, now: float, submission: Submission) -> Contract | Denied | None:
-        """Charge the contract that covers it and return the contract; ``None`` if it needs no contract."""
+        """Charge the submission to the contract that covers it and return that; ``None`` if it needs no contract."""
         if self._contracts is None or submission.team is None:
             return None
         return self._contracts.admit(now, Party(submission.team, submission.service, submission.class_index))
@@ -114,21 +114,21 @@
         return Answer(kind, reason=denied.reason, retry_after=denied.retry_after)
 
     def _find_stored_result(self, submission: Submission) -> bytes | None:
-        """The stored result of its effect, whichever process ran it; ``None`` if there is none."""
+        """The stored result of the submission's effect, whichever process ran it; ``None`` if there is none."""
         if self._durable is None or not self._durable.covers(submission):
             return None
         return self._durable.find_result(submission)
 
     # ---- Adding to the table
-    def _enter(self, now: float, submission: Submission, reply: Reply, contract: Contract | None) -> Request:
-        """Add it to the table with the earliest deadline of its class, its contract and its caller."""
+    def _add_request(self, now: float, submission: Submission, reply: Reply, contract: Contract | None) -> Request:
+        """Add a submission to the table, with the earliest of the deadlines of its class, contract and caller."""
         time_limit = self._settings.current.classes[submission.class_index].deadline
         backend = self._default_backend
         if contract is not None:
             time_limit = min(time_limit, contract.deadline)
             backend = self._routes[contract.route]
         if self._settings.current.propagates_deadline and submission.time_left is not None:
-            # Never longer than the class's deadline, which bounds the resources that are reserved for it.
+            # Never longer than the class's deadline, which bounds how long resources are reserved for the request.
             time_limit = min(time_limit, submission.time_left)
         arrived_at = now - min(max(submission.age, 0.0), time_limit)
         request = Request(
@@ -145,13 +145,13 @@
         return request
 
     def _has_own_deadline(self, submission: Submission, contract: Contract | None) -> bool:
-        """Whether its contract or its caller determines its deadline, rather than its class alone."""
+        """Whether its caller sets a time limit for the submission, or its contract a shorter one than its class."""
         if self._settings.current.propagates_deadline and submission.time_left is not None:
             return True
         return contract is not None and contract.deadline < self._settings.class_of(submission).deadline
 
     def _queue_arrival(self, now: float, request: Request, has_own_deadline: bool) -> None:
-        """Queue its arrival event for the controller."""
+        """Queue the arrival event of a request for the controller."""
         submission = request.submission
         self._events.append(
             RequestArrived(
--- a/lapishaven/frontends/platform.py
+++ b/lapishaven/frontends/platform.py
@@ -1,4 +1,4 @@
-"""The platform frontend: maps callers' JSON-RPC lines to core requests, and answers back."""
+"""The platform frontend: maps callers' JSON-RPC lines to core requests, and their answers to response lines."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from lapishaven.net.loop import Wait
 from lapishaven.proto import TooLargeError, jsonrpc
 
-MAX_OPEN_REQUESTS = 64  # on one connection; more are answered with an error; the protocol allows 32
+MAX_OPEN_REQUESTS = 64  # on one connection, though the protocol allows callers 32; more are answered with an error
 BODY_DIGEST_BYTES = 16  # two different bodies with the same key collide with a probability of 2^-128
-MESSAGES_PER_ROUND = 16  # processed for one connection, so that a flood on one does not delay the others
+MESSAGES_PER_ROUND = 16  # of one connection, in one round of the loop, so that a flood on one does not delay others
 NOT_UP_RETRY_AFTER_S = 1.0  # Retry-After until the backend is up
 
 
@@ -33,7 +33,7 @@
     def __init__(self, host: Host, sock: socket.socket) -> None:
         self.host = host
         self.conn = Connection(host.loop, sock, self._ended)
-        self.open: dict[int, Request | None] = {}  # by JSON-RPC id; None: a health check, or not held by the core
+        self.open: dict[int, Request | None] = {}  # by JSON-RPC id; None: a health check or a request being submitted
         self.awaiting_since: float | None = host.loop.now  # loop time since which an incomplete message is awaited
         self._ids_by_attempt: dict[str, int] = {}  # JSON-RPC ids by the caller's attempt id
         self._feeding = False  # whether messages that were read are still being processed
@@ -90,7 +90,7 @@
         """Handle the end of the peer's input: a half-close, whose peer awaits its answers, or a full close.
 
         Writing shows which one it is, as a peer that has closed fully answers with a reset. The draining notice is
-        written for that: no further request is possible on this connection anyway.
+        written for that purpose: it does no harm, as the peer can send no further request on this connection anyway.
         """
         if self.open and end is ConnectionEnd.PEER_CLOSED:
             self.host.counters.add("platform", "half-closed with requests open")
@@ -139,7 +139,7 @@
             self.conn.write(jsonrpc.encode_error(message.id, jsonrpc.REJECTED_CODE, "not up yet", NOT_UP_RETRY_AFTER_S))
             return
         self.open[message.id] = None
-        # The first request keeps the entry: the core fails a second one with the same attempt id.
+        # A second request with the same attempt id does not replace the entry of the first: the core fails the second.
         self._ids_by_attempt.setdefault(message.attempt_id, message.id)
         submission = self._submission(message, class_index, request_age)
         request = broker.submit(self.host.loop.now, submission, lambda answer: self._answer(message, answer))
--- a/lapishaven/frontends/uwsgi.py
+++ b/lapishaven/frontends/uwsgi.py
@@ -1,11 +1,11 @@
-"""The uwsgi frontend: maps packets to core requests, and answers back to HTTP responses.
+"""The uwsgi frontend: maps packets to core requests, and their answers to HTTP responses.
 
 The class is the last segment of the path. Besides CONTENT_LENGTH and PATH_INFO, these variables are read:
 
 - HTTP_X_REQUEST_ID: the idempotency key, the same for every attempt of a request;
 - HTTP_X_RETRY: 1 on a retry;
 - HTTP_X_REQUEST_START: when the gateway received the request (``t=`` Unix seconds);
-- HTTP_X_CALLER: the caller's number;
+- HTTP_X_CALLER: the caller's number, below 65536;
 - HTTP_X_TEAM and HTTP_X_SERVICE: the parties of the contract that covers the request.
 
 README.md documents the statuses, which ``STATUS_BY_ANSWER`` and ``STATUS_BY_ERROR`` define.
@@ -34,11 +34,11 @@
 from lapishaven.proto import ProtocolError, TooLargeError
 from lapishaven.proto import uwsgi as proto
 
-MAX_EXCESS_BYTES = 64 * 1024  # discarded after the request; more than that is a protocol error
+MAX_EXCESS_BYTES = 64 * 1024  # bytes after the request that are discarded; more are a protocol error
 MAX_KEY_LENGTH = 128  # in characters, of HTTP_X_REQUEST_ID
 CALLER_COUNT = 65536  # caller numbers are below this
 MAX_CALLER_DIGITS = 10  # leading digits of a caller number that are parsed, to bound the work
-MAX_QUOTED_PATH_LENGTH = 80  # in characters, of an unknown path that an error quotes
+MAX_QUOTED_PATH_LENGTH = 80  # characters of an unknown path that the error text quotes
 NOT_UP_RETRY_AFTER_S = 1.0  # Retry-After until the backend is up
 DEFAULT_RETRY_AFTER_S = 1.0  # Retry-After of a rejection without a retry time; the header is always sent
 
@@ -56,7 +56,7 @@
     TooLargeError: HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
     LookupError: HTTPStatus.NOT_FOUND,
 }
-"""HTTP status by type of error in a packet."""
+"""HTTP status by the exact type of the error that a packet raised."""
 
 Headers = tuple[tuple[str, str], ...]
 
@@ -146,7 +146,7 @@
         self.host = host
         self.front = front
         self.conn = Connection(host.loop, sock, self._ended)
-        self.awaiting_since: float | None = host.loop.now  # since when the request is awaited; None once complete
+        self.awaiting_since: float | None = host.loop.now  # since when the request is awaited; None once it is read
         self._random = random
         self._load_report = load_report
         self._request: Request | None = None
@@ -223,7 +223,7 @@
         self.conn.close(self._closing_as or ConnectionEnd.FINISHED)
 
     def _retry_headers(self, answer: Answer) -> Headers:
-        """The headers on retrying a rejected request: after which time, and whether on another server.
+        """The headers that tell when, and whether on another server, a rejected request may be retried.
 
         Retry-After has whole seconds; X-Pushback-Ms gives the same time in milliseconds.
         """
--- a/lapishaven/pools/capacity.py
+++ b/lapishaven/pools/capacity.py
@@ -1,4 +1,6 @@
-"""Online estimates of an instance's capacity: its speed, its sustainable concurrency and run times. Pure.
+"""Online estimates of an instance's capacity: its speed, its sustainable concurrency and run times.
+
+Performs no I/O and reads no clock.
 
 The unit of work is one second on a free core of this instance at its normal speed. The mean work of a class is
 estimated from the core time that its runs attain. Core time is measured by a virtual clock that advances by
@@ -25,7 +27,7 @@
     """One run in progress."""
 
     class_index: int
-    attained_at_start: float  # virtual clock when it started
+    attained_at_start: float  # reading of the virtual clock when it started
     work: float  # work that was expected when it started
 
 
@@ -74,12 +76,12 @@
         self._slow_start_initial_speed = slow_start_initial_speed
         self._slow_start_span = slow_start_span
         self._started_at = started_at
-        self._now = started_at
+        self._now = started_at  # time up to which the virtual clock and the core time spent are counted
         self._runs: dict[int, _Run] = {}
-        self._active = 0
-        self._attained = 0.0  # virtual clock: core time attained by a run that has been in progress since the start
-        self._core_time_spent = 0.0  # since the last sample
-        self._work_done = 0.0  # since the last sample
+        self._active = 0  # number of runs in progress
+        self._attained = 0.0  # virtual clock: core time that a run in progress since the start would have attained
+        self._core_time_spent = 0.0  # by all runs since the last sample
+        self._work_done = 0.0  # by the runs completed since the last sample
         self._work = WorkEstimates(initial_work)
         self._detector = SpeedDetector()
         self._profile = ConcurrencyProfile()
@@ -102,7 +104,8 @@
         self._active -= 1
         attained = self._attained - run.attained_at_start
         if succeeded:
-            # A run of a class that is not known yet is no evidence of a change of speed.
+            # A run of a class that is not known yet is no evidence of a change of speed, so its work counts as what
+            # the current speed predicts.
             is_known = self._work.is_known(run.class_index)
             self._work_done += run.work if is_known else attained * self.current_speed()
             work = attained * self._slow_start_speed(now)
@@ -129,6 +132,7 @@
         return self._adopt_speed(now)
 
     def _advance(self, now: float) -> None:
+        """Advance the virtual clock and the core time spent to ``now``."""
         elapsed = now - self._now
         if elapsed <= 0:
             return
@@ -140,7 +144,7 @@
     def _adopt_speed(self, now: float) -> bool:
         """Adopt the speed measured in the detector's window if it differs enough; return whether it was adopted."""
         if self._work.adopt_changed_classes(now):
-            return False
+            return False  # the work of some classes changed, not the speed
         measured = self._detector.measured_speed()
         if measured is None:
             return False
@@ -155,6 +159,7 @@
         return True
 
     def _slow_start_speed(self, now: float) -> float:
+        """The fraction of the normal speed that slow start allows at ``now``; 1 once it is over."""
         if self._slow_start_span <= 0:
             return 1.0
         initial = self._slow_start_initial_speed
--- a/lapishaven/pools/pools.py
+++ b/lapishaven/pools/pools.py
@@ -1,4 +1,7 @@
-"""The pools of one instance: whether a pool has capacity, which request runs next, which run is preempted. Pure."""
+"""The pools of one instance: whether a pool has capacity, which request runs next, which run is preempted.
+
+Performs no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +16,11 @@
 from lapishaven.pools.settings import PoolSettings
 
 OBJECTIVE_MARGIN = 0.9  # a request is admitted if it is predicted to take at most this fraction of its objective
-INITIAL_OBJECTIVE_SHARE = 0.2  # fraction of its latency objective: assumed work of a class until a run was measured
+INITIAL_OBJECTIVE_SHARE = 0.2  # assumed work of a class until a run was measured, as a fraction of its objective
 MIN_RETRY_AFTER_S = 0.05  # lower bound of a Retry-After, even if capacity is expected sooner
-DEFAULT_RETRY_AFTER_S = 1.0  # used if callers honour no Retry-After
+DEFAULT_RETRY_AFTER_S = 1.0  # in a rejection if the settings give no longest Retry-After that callers honour
 SLOW_SPEED = 0.6  # fraction of the normal speed below which an instance counts as slow
-MIN_REMAINING_WORK = 0.1  # fraction of a run's work that remains at least when it is preempted
+MIN_REMAINING_WORK = 0.1  # least work that a preempted run is assumed to have left, as a fraction of its work
 
 POOL_FULL = "pool full"
 INSTANCE_SLOW = "slow box"
@@ -25,7 +28,9 @@
 
 
 class Pools:
-    """Implements ``AdmissionPools``: shares in units of work, a reserve, and rejections with a Retry-After.
+    """Implements ``AdmissionPools``: divides the work among pools by their shares, and rejects with a Retry-After.
+
+    One pool may have a reserve, see ``reserve_slots``.
 
     All times are seconds on the clock that is passed to the controller. ``settings`` are those of the instance,
     ``rules`` are the operator's settings for the pools.
@@ -55,17 +60,17 @@
         self._pool_of_class = {
             class_names.index(name): index for index, rule in enumerate(rules.pools) for name in rule.classes
         }
-        self._reserved: int | None = None
+        self._reserve_pool: int | None = None  # index of the pool with the reserve
         if rules.reserve is not None:
-            self._reserved = [rule.name for rule in rules.pools].index(rules.reserve.pool)
-            pool = self.pools[self._reserved]
+            self._reserve_pool = [rule.name for rule in rules.pools].index(rules.reserve.pool)
+            pool = self.pools[self._reserve_pool]
             pool.ceiling = min(pool.ceiling, rules.reserve.ceiling)
 
     def apply_settings(self, now: float, rules: PoolSettings) -> None:
         """Apply reloaded rules.
 
-        Queued requests stay queued. Running requests count for the new pool of their class. If that pool thereby
-        exceeds its new share, it starts no run until it is below it.
+        Queued requests stay queued. Running requests count for the new pool of their class. A pool that is
+        thereby above its new ceiling starts no run until it is below it.
         """
         queued = self.ready.entries()
         previous = {pool.name: pool for pool in self.pools}
@@ -99,11 +104,11 @@
         running = len(self.running)
         if pool.running + 1 > max(1.0, pool.ceiling * limit):
             return False
-        if pool_index == self._reserved:
+        if pool_index == self._reserve_pool:
             return pool.running < self.reserve_slots or running < limit + self.reserve_slots
-        on_reserve = 0
-        if self._reserved is not None:
-            on_reserve = min(self.pools[self._reserved].running, self.reserve_slots)
+        on_reserve = 0  # runs in reserve slots, which do not count against the limit of the other pools
+        if self._reserve_pool is not None:
+            on_reserve = min(self.pools[self._reserve_pool].running, self.reserve_slots)
         return running - on_reserve + 1 <= limit
 
     def work_share(self, pool_index: int) -> float:
@@ -120,7 +125,7 @@
     def is_guaranteed(self, class_index: int) -> bool:
         """Whether the class's pool is within its guaranteed share, so that its requests are not rejected for load."""
         pool_index = self._pool_of_class[class_index]
-        if pool_index == self._reserved:
+        if pool_index == self._reserve_pool:
             return True
         pool = self.pools[pool_index]
         mean_work = self.capacity.work(class_index)
@@ -130,9 +135,9 @@
     def rejection(self, now: float, class_index: int, objective_at: float, answer_by: float) -> Rejection | None:
         """The reason why an arriving request cannot meet its latency objective; ``None`` if it is admitted.
 
-        If even an idle instance would miss the objective, a request of an idempotent class with a late weight is
-        admitted while nothing is queued and its deadline can be met. Such runs also show when the instance is fast
-        again.
+        A request whose run alone would miss the objective is still admitted if its class is idempotent and has a late
+        weight, it need not wait in the queue, and its deadline can be met. Such runs also show when the instance is
+        fast again.
         """
         pool_index = self._pool_of_class[class_index]
         run_time = self.run_time(class_index)
@@ -225,7 +230,7 @@
         return self.preempt(now) if self.settings.cancellation == "pause" else []
 
     def preempt(self, now: float) -> list[int]:
-        """Choose a run to pause for each pool that has been starved for too long."""
+        """Choose a run to pause for each pool that has been starved for ``preempt_after_s``; mark it as preempted."""
         victims: list[int] = []
         limit = self.run_limit.limit
         for index, pool in enumerate(self.pools):
--- a/lapishaven/pools/preemption.py
+++ b/lapishaven/pools/preemption.py
@@ -1,4 +1,7 @@
-"""Chooses the runs that are paused so that a starved pool gets its lent share back. Pure."""
+"""Chooses the runs to pause so that a starved pool regains the part of its share that other pools have borrowed.
+
+Performs no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -11,14 +14,14 @@
 
 
 def is_starved(pool: Pool, has_queue: bool, can_start: bool, limit: float) -> bool:
-    """Whether a pool has requests queued and is below its share of the limit, but may not start a run."""
+    """Whether a pool has requests queued and is below its share of the run limit ``limit``, but may not start a run."""
     return has_queue and pool.running + 1 <= pool.share * limit and not can_start
 
 
 def is_preemption_due(pool: Pool, now: float, preempt_after_s: float) -> bool:
     """Whether a starved pool has been starved for ``preempt_after_s`` seconds.
 
-    Starts the wait if the pool has just become starved, and restarts it each time that it has passed.
+    Begins to count these seconds when the pool has just become starved, and again each time that it returns true.
     """
     if pool.starved_since is None:
         pool.starved_since = now
@@ -41,8 +44,9 @@
 ) -> int | None:
     """The id of the run to pause in favour of the pool ``starved_pool``; ``None`` if there is none.
 
-    It is the newest idempotent run of the pool that exceeds its share by the highest ratio. If no more than
-    ``min_remaining_s`` seconds of that run remain at the instance's ``speed``, the next such pool is tried.
+    It is the newest idempotent run of the pool that exceeds its share of the run limit ``limit`` by the highest ratio.
+    If no more than ``min_remaining_s`` seconds of that run remain at the instance's ``speed``, the next such pool is
+    tried.
     """
     over_share = [
         (pool.running / max(pool.share * limit, MIN_SHARE_RUNS), index)
--- a/lapishaven/server/catalog_reporter.py
+++ b/lapishaven/server/catalog_reporter.py
@@ -12,7 +12,7 @@
 from lapishaven.proto import ProtocolError
 from lapishaven.proto import catalog as proto
 
-REPORT_INTERVAL_S = 0.8  # an entry expires after 3 s, so two consecutive reports may be lost
+REPORT_INTERVAL_S = 0.8  # the registry's entry expires after 3 s, so two consecutive reports may be lost
 RESPONSE_TIMEOUT_S = 0.6  # for dialling, and again for the response to a report
 RETRY_DELAY_S = 0.1  # after a failed report
 NO_CONTENT = 204  # HTTP status of an accepted report
@@ -26,7 +26,7 @@
     ) -> None:
         """``name`` is this server's entry in the registry."""
         self.address = address
-        self.passing: bool | None = None  # the status to report; None before the first set_passing
+        self.passing: bool | None = None  # the health status to report; None before the first set_passing
         self._loop = loop
         self._name = name
         self._counters = counters
@@ -38,7 +38,7 @@
         self._stopped = False
 
     def set_passing(self, passing: bool) -> None:
-        """Set the status to report; a change is reported immediately."""
+        """Set the health status to report: passing or not. A change is reported immediately."""
         if passing == self.passing:
             return
         self.passing = passing
@@ -73,6 +73,7 @@
                 if succeeded:
                     succeeded = yield from self._report(reported is True)
                 self._counters.add("catalog", "reports" if succeeded else "failed reports")
+            # Do not wait if the status or the address changed meanwhile: report that immediately.
             if (self.passing, self.address) == (reported, address) and not self._stopped:
                 self._report_wait = Wait(REPORT_INTERVAL_S if succeeded else RETRY_DELAY_S)
                 yield self._report_wait
@@ -85,7 +86,7 @@
         return self._http is not None and self._http.reusable
 
     def _ensure_connected(self) -> Generator[Wait, Any, bool]:
-        """Dial the current address unless there is a usable connection; returns whether there is one then."""
+        """Dial the current address unless there is a usable connection; returns whether there is one now."""
         if self._has_usable_connection():
             return True
         if self._conn is not None:
@@ -134,7 +135,7 @@
             self._conn.abort(ConnectionEnd.FAULT)
 
     def close(self) -> None:
-        """Stop reporting; a report that is waiting for a dial is not sent either."""
+        """Stop reporting; a report whose connection is still being dialled is not sent either."""
         self._stopped = True
         if self._report_wait is not None:
             self._report_wait.wake()
--- a/lapishaven/server/graceful_shutdown.py
+++ b/lapishaven/server/graceful_shutdown.py
@@ -1,9 +1,9 @@
 """Graceful shutdown: answers every request that was read before the supervisor kills the process.
 
 On the shutdown notice callers are notified, and the service registry through the controller. The listeners stay open
-for the grace period, in which requests that crossed the notice are still read and served. ``FINAL_ANSWER_MARGIN_S``
-before the kill all open requests are answered, whatever their state, and the connections are closed gracefully. The
-process exits when the last connection has ended, at the latest ``EXIT_MARGIN_S`` before the kill.
+for the grace period, in which requests that were sent before callers saw the notice are still read and served.
+``FINAL_ANSWER_MARGIN_S`` before the kill all open requests are answered, whatever their state, and the connections are
+closed gracefully. The process exits when the last connection has ended, but at least ``EXIT_MARGIN_S`` before the kill.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
     @property
     def broker(self) -> Broker | None:
-        """The core; ``None`` until the backend is up."""
+        """The broker; ``None`` until the backend is up."""
 
 
 class GracefulShutdown:
@@ -68,7 +68,7 @@
         self._loop.at(self._kill_at - FINAL_ANSWER_MARGIN_S, self._finish)
 
     def shorten(self, stop_span: float) -> None:
-        """Apply a reloaded ``stop_span`` if it brings the kill forward; a later kill is not relied upon."""
+        """Apply a reloaded ``stop_span`` if it makes the kill earlier; a later kill is not relied upon."""
         if self._requested_at is None or self._closing or self._requested_at + stop_span >= self._kill_at:
             return
         self._kill_at = self._requested_at + stop_span
@@ -87,19 +87,21 @@
             return
         self._closing = True
         self._close_listeners()
-        # Requests from the listeners and the last reads are processed in this round's turn or the next one.
-        self._loop.at(self._loop.now, self._close_callers)
+        # Requests from the listeners' backlogs and from the last reads are processed in the turn of this round or the
+        # next.
+        self._loop.at(self._loop.now, self._answer_and_close)
 
-    def _close_callers(self) -> None:
+    def _answer_and_close(self) -> None:
         self._callers.close_gracefully()
         if self._core.broker is not None:
             self._core.broker.answer_all(self._loop.now)
         self._stop_when_closed()
 
     def _stop_when_closed(self) -> None:
+        """Stop the loop once all connections have ended or ``EXIT_MARGIN_S`` before the kill; until then, poll."""
         if not self._callers.sessions or self._loop.now >= self._kill_at - EXIT_MARGIN_S:
             for listener in self._listeners:
-                listener.abandon()
+                listener.abandon()  # one without a free descriptor may still be open
             self._loop.stop()
         else:
             self._loop.at(self._loop.now + CLOSED_POLL_INTERVAL_S, self._stop_when_closed)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""Closes that cross bytes in transit, on real connections, with the unfavourable order of events forced."""
+"""Connections that close while bytes are in transit: real sockets, with the unfavourable order of events forced."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     """The server closes an idle connection while bytes are in transit."""
 
     def exceed_idle_timeout(self) -> None:
-        """Advance the clock beyond the idle timeout, without a sweep."""
+        """Advance the clock beyond the idle timeout, without the sweep that closes idle connections."""
         self.now += self.server.callers.idle_timeout + 1
         self.server.loop.now = self.now
 
@@ -38,7 +38,7 @@
         self.exceed_idle_timeout()
         self.send(caller, self.message("t1", "2", "fuzzy-match"))
         self.server.callers.sweep()
-        self.until(lambda: "t1.2" in self.vm.handles, "its run")
+        self.until(lambda: "t1.2" in self.vm.handles, "the run of t1.2")
         self.vm.end("OK", "t1.2")
         self.answered(caller, "result 1", "result 2")
         self.assertIsNone(caller.ended)
@@ -46,11 +46,12 @@
     def test_request_in_the_kernel_when_connections_are_evicted_is_served(self) -> None:
         caller = self.connect()
         self.serve(caller, "t1", 1)
-        self.server.callers.sessions[self.of(caller)] = self.now  # its second chance is used up
+        # It now counts as unused since the last eviction check, so it is closed next unless the kernel holds a request.
+        self.server.callers.sessions[self.of(caller)] = self.now
         self.send(caller, self.message("t1", "2", "fuzzy-match"))
         self.server.budget.limit = self.server.budget.used
         self.server.callers.make_room()
-        self.until(lambda: "t1.2" in self.vm.handles, "its run")
+        self.until(lambda: "t1.2" in self.vm.handles, "the run of t1.2")
         self.vm.end("OK", "t1.2")
         self.answered(caller, "result 1", "result 2")
 
@@ -66,9 +67,10 @@
         self.now += MESSAGE_TIMEOUT_S + 0.1
         self.server.loop.now = self.now
         self.server.callers.sweep()
-        self.until(lambda: "t1.1" in self.vm.handles, "its run")
+        self.until(lambda: "t1.1" in self.vm.handles, "the run of t1.1")
 
-    # Guards against a reset caused by requests that cross the close: it would overtake the caller's last answer.
+    # Guards against a reset in reply to requests sent before the caller saw the close: the reset would make the caller
+    # lose its last answer.
     def test_requests_that_cross_a_close_are_not_run_and_cause_no_reset(self) -> None:
         caller = self.connect()
         self.serve(caller, "t1", 1)
@@ -79,7 +81,7 @@
         self.assertTrue(session.conn.awaits_peer_close())
         for n in range(2, 5):
             caller.sock.sendall(self.message("t1", str(n), "approve-commit"))
-        self.until(lambda: session.conn._bytes_received > 500, "the crossing requests")
+        self.until(lambda: session.conn._bytes_received > 500, "the requests sent after the close")
         self.ended(caller, "closed")
         self.assertNotIn("t1.2", self.vm.handles)
         caller.sock.close()
@@ -137,12 +139,12 @@
         caller = self.connect()
         self.send(caller, self.message("t1", "1", "fuzzy-match"), self.message("t1", "2", "approve-commit"))
         caller.sock.shutdown(socket.SHUT_WR)
-        self.until(lambda: "t1.2" in self.vm.handles, "its runs")
+        self.until(lambda: "t1.2" in self.vm.handles, "the runs of t1.1 and t1.2")
         self.vm.end("OK", "t1.1")
         self.vm.end("OK", "t1.2")
         self.answered(caller, "result 1", "result 2")
         self.ended(caller, "closed")
-        self.until(lambda: self.server.budget.used == 0, "the close")
+        self.until(lambda: self.server.budget.used == 0, "the release of the memory of the closed connection")
 
     # Guards against losing messages read before the half-close while the session waits for its next round.
     def test_half_close_drops_no_message_that_came_before_it(self) -> None:
@@ -154,7 +156,7 @@
         self.round()
         self.assertEqual((session._feeding, session.open), (True, {}), "the session should wait for its next round")
         self.server.callers.close_gracefully()  # messages that were read are processed even so
-        self.until(lambda: "t1.3" in self.vm.handles, "the runs")
+        self.until(lambda: "t1.3" in self.vm.handles, "the run of t1.3")
         for n in (1, 2, 3):
             self.vm.end("OK", f"t1.{n}")
         self.answered(caller, *["-32600 None"] * malformed_count, "result 1", "result 2", "result 3")
@@ -164,11 +166,11 @@
     def test_requests_of_a_caller_that_has_fully_closed_are_cancelled(self) -> None:
         caller = self.connect()
         self.send(caller, self.message("t1", "1", "approve-commit"))
-        self.until(lambda: "t1.1" in self.vm.handles, "its run")
+        self.until(lambda: "t1.1" in self.vm.handles, "the run of t1.1")
         caller.sock.close()
-        self.until(lambda: "BREAK t1.1" in self.vm.log, "the pause of its run")
+        self.until(lambda: "BREAK t1.1" in self.vm.log, "the pause of the run of t1.1")
         self.vm.end("STOPPED", "t1.1")
-        self.until(lambda: not self.server.broker.requests, "an empty table")
+        self.until(lambda: not self.server.broker.requests, "an empty request table")
         self.assertEqual(self.server.budget.used, 0)
 
     def test_reset_with_unread_requests_releases_everything(self) -> None:
@@ -176,14 +178,16 @@
         self.send(caller, *(self.message("t1", str(n), "fuzzy-match") for n in range(1, 40)))
         session = self.of(caller)
         reset(caller.sock)
-        self.until(lambda: session.conn.end is not None, "the end")
+        self.until(lambda: session.conn.end is not None, "the end of the connection after its reset")
         for label in list(self.vm.handles):
             self.vm.end("STOPPED", label)
-        self.until(lambda: not self.server.broker.requests, "an empty table")
+        self.until(lambda: not self.server.broker.requests, "an empty request table")
         self.assertEqual((self.server.budget.used, self.server.loop.unsent), (0, 0))
 
 
 class SlowReader(Tcp):
+    """A caller reads its answers slowly or not at all."""
+
     # Guards against truncating the last answer a second after the close because the caller reads slowly.
     def test_answer_is_sent_completely_however_slowly_it_is_read(self) -> None:
         caller = self.connect(SO_RCVBUF=2048)
@@ -231,54 +235,59 @@
 
 
 class TooLarge(Tcp):
+    """A caller sends a line that is longer than allowed."""
+
     # Guards against dropping answers because a later line on the connection is too long.
     def test_requests_before_a_line_that_is_too_long_are_answered(self) -> None:
         caller = self.connect()
         self.send(caller, self.message("t1", "1", "approve-commit"))
-        self.until(lambda: "t1.1" in self.vm.handles, "its run")
+        self.until(lambda: "t1.1" in self.vm.handles, "the run of t1.1")
         self.send(caller, b"x" * 9000)
-        self.until(lambda: (caller.pump(), len(caller.lines) == 1)[1], "the error")
+        self.until(lambda: (caller.pump(), len(caller.lines) == 1)[1], "the error for a line that is too long")
         for _ in range(20):  # more than any buffer holds, so the server must keep reading
             caller.sock.sendall(bytes(200_000))
-            self.until(lambda: not buffered(self.of(caller).conn.sock), "an empty buffer")
+            self.until(lambda: not buffered(self.of(caller).conn.sock), "an empty receive buffer of the server")
         self.vm.end("OK", "t1.1")
         self.answered(caller, "-32700 None", "result 1")
         self.ended(caller, "closed")
 
 
 class Loops(World):
+    """Stale events, timers and exceptions in the event loop."""
+
     # Guards against delivering an event of a descriptor closed in the same round to the descriptor that reuses its
     # number.
     def test_stale_event_is_not_delivered_to_the_next_owner_of_the_descriptor_number(self) -> None:
         loop, events = Loop(), list[str]()
         pairs = [socket.socketpair() for _ in range(2)]
-        later: list[socket.socket] = []
+        new_pair: list[socket.socket] = []
 
-        def first(mine: int) -> None:
+        # Both descriptors are ready. Whichever callback runs first closes the other and reuses its descriptor number.
+        def on_first_ready(ready: int) -> None:
             events.append("first")
-            loop.unwatch(pairs[mine][0].fileno())
-            other = pairs[1 - mine][0]
+            loop.unwatch(pairs[ready][0].fileno())
+            other = pairs[1 - ready][0]
             number = other.fileno()
             loop.unwatch(number)
             other.close()
             reused, peer = socket.socketpair()
-            later.extend((reused, peer))
+            new_pair.extend((reused, peer))
             assert reused.fileno() == number
-            loop.watch(number, 1, lambda mask: events.append("its own"))
+            loop.watch(number, 1, lambda mask: events.append("new owner"))  # 1: EPOLLIN
 
-        for n, (mine, peer) in enumerate(pairs):
-            loop.watch(mine.fileno(), 1, lambda mask, n=n: first(n))
+        for n, (ours, peer) in enumerate(pairs):
+            loop.watch(ours.fileno(), 1, lambda mask, n=n: on_first_ready(n))
             peer.sendall(b"x")
         loop.round(0, lambda now: None)
         self.assertEqual(events, ["first"])
-        later[1].sendall(b"x")
+        new_pair[1].sendall(b"x")
         loop.round(0, lambda now: None)
-        self.assertEqual(events, ["first", "its own"])
-        for sock in (*(end for pair in pairs for end in pair), *later):
+        self.assertEqual(events, ["first", "new owner"])
+        for sock in (*(end for pair in pairs for end in pair), *new_pair):
             sock.close()
         loop.close()
 
-    # Guards against timers that accumulate: each wait with a time-out left one behind until it was due.
+    # Guards against timers that accumulate: each wait with a timeout left one behind until it was due.
     def test_timers_of_ended_waits_are_released(self) -> None:
         loop = Loop(lambda: 1.0)
 
@@ -352,7 +361,7 @@
         conn.write(b"answer\n")
         conn.close(ConnectionEnd.FINISHED)
         theirs.close() if n % 2 else reset(theirs)
-        wait_for(lambda conn=conn: (loop.round(0.001, lambda now: None), conn.end)[1], "its end")
+        wait_for(lambda conn=conn: (loop.round(0.001, lambda now: None), conn.end)[1], "the end of a short connection")
     assert len(ended) == 300
     assert (loop.unsent, len(loop.senders), len(loop._watched)) == (0, 0, 0)
     assert loop.timers < 200
@@ -361,7 +370,7 @@
 
 @pytest.mark.parametrize("how", ["cancelled", "timed out"])
 def test_partly_sent_request_that_is_abandoned_is_never_completed_at_the_backend(how: str) -> None:
-    """Guards against a run of an abandoned request: a graceful close would send the queued rest of it."""
+    """Guards against running an abandoned request: a graceful close would send its queued rest and so complete it."""
     clock = [100.0]
     loop = Loop(lambda: clock[0])
     ours, theirs = socket.socketpair()
@@ -370,7 +379,7 @@
 
     class Listener:
         def backend_up(self, cold: bool, up_for: float) -> None: ...
-        def load_sampled(self, values: dict[str, float]) -> None: ...
+        def load_sampled(self, gauges: dict[str, float]) -> None: ...
         def run_finished(self, attempt_id: str, outcome: Outcome, elapsed: float, result: bytes) -> None:
             ended.append(outcome)
 
@@ -380,10 +389,10 @@
 
     deadlines = {"fuzzy-match": 5.6}
     backend = UwsgiBackend(loop, ("127.0.0.1", 1), "/run/", 1, deadlines, Listener(), Counters(), dial)  # type: ignore[arg-type]
-    backend.start("h", "fuzzy-match", bytes(60_000), True)
+    backend.start("attempt", "fuzzy-match", bytes(60_000), True)
     loop.round(0, lambda now: None)
     if how == "cancelled":
-        backend.pause("h")
+        backend.pause("attempt")
     else:
         clock[0] += 6.0
     received = b""
@@ -418,6 +427,6 @@
 
 
 def test_request_lines_of_these_tests_are_valid() -> None:
-    """Guards against invalid lines from the test helper, with which every test here would pass vacuously."""
+    """Guards against invalid lines from the test helper: tests that expect a request not to run would always pass."""
     line = World.message(IdleConnections(), "t1", "1", "fuzzy-match")
     assert isinstance(next(iter(jsonrpc.ServerParser().feed(line))), jsonrpc.RunRequest) and json.loads(line)["id"] == 1
