--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -30,13 +30,18 @@
 from lapishaven.ownership.notices import NoticeKind
 
 MODULE = "lapishaven.lab.field.trial"
+# Of the simulated budgets: the share of the rate that members without a grant use together, how long a grant lasts, and
+# the burst size of a member's token bucket, in seconds at its rate.
 FALLBACK_SHARE, GRANT_LIFETIME_S, BURST_S = 0.1, 6.0, 1.0
 FALSE_LOSSES = {NoticeKind.SHARD_LOST, NoticeKind.SESSION_ENDED, NoticeKind.OUTCOME_UNCERTAIN}
 LONG_FLEETS = [(3, 1), (3, 64), (3, 1024), (30, 256), (30, 1024), (300, 1024)]  # members, shards
 
 
 def specs(seed: int, short: bool) -> list[dict[str, Any]]:
-    """Return the specs of the trials on real processes."""
+    """Return the specs of the trials on real processes (``lapishaven.lab.field.trial``).
+
+    ``quiet`` is the number of kills, and of leaves, that no other fault overlaps; they are timed.
+    """
     trial_specs = []
     for trial in range(1 if short else 6):
         for coordinator in ("sqlite", "etcd"):
@@ -51,31 +56,35 @@
     return trial_specs
 
 
-def fleet_figures(members: int, count: int, seed: int) -> dict[str, Any]:
-    """Simulate a fleet; return how evenly shards are spread, how many move, and the requests to the coordinator."""
+def fleet_figures(members: int, shard_count: int, seed: int) -> dict[str, Any]:
+    """Simulate a fleet; return how evenly shards are spread, how many move, and the requests to the coordinator.
+
+    ``fleet.run`` takes the simulated time at which it ends, not a duration.
+    """
     began_at = time.monotonic()
-    fleet = SimFleet(count, seed)
+    fleet = SimFleet(shard_count, seed)
     for n in range(members):
         fleet.start(f"m{n}")
     fleet.run(20.0)
-    mean = count / members
+    mean = shard_count / members
     most_shards = max(fleet.counts().values())
     fleet.calls.clear()
     fleet.run(30.0)
-    calls_per_s = sum(fleet.calls.values()) / 10.0
+    calls_per_s = sum(fleet.calls.values()) / 10.0  # from 20 to 30 s
     owners_before = fleet.owners()
     fleet.start("new")
     fleet.run(45.0)
-    join_over_least = fleet.moves(owners_before) / max(1, count // (members + 1))
+    # Shards moved, over the least number that must move: the share of the member that joins or leaves.
+    join_over_least = fleet.moves(owners_before) / max(1, shard_count // (members + 1))
     owners_before, owned_before = fleet.owners(), fleet.counts()["m0"]
     fleet.drain("m0")
     fleet.run(60.0)
     leave_over_least = fleet.moves(owners_before) / max(1, owned_before)
     return {
         "members": members,
-        "shards": count,
+        "shards": shard_count,
         "most_over_mean": round(most_shards / mean, 3),
-        "even": most_shards <= max(1.25 * mean, -(-count // members)),
+        "even": most_shards <= max(1.25 * mean, -(-shard_count // members)),  # or the mean, rounded up
         "join_over_least": round(join_over_least, 3),
         "leave_over_least": round(leave_over_least, 3),
         "calls_s": round(calls_per_s, 1),
@@ -90,8 +99,8 @@
     A shard that is still without an owner after 20 s counts as 20 s.
     """
     fleet = SimFleet(16, seed)
-    for kill_number in range(8):
-        fleet.start(f"m{kill_number}")
+    for member_number in range(8):
+        fleet.start(f"m{member_number}")
     fleet.run(10.0)
     random, durations_s = Random(seed), []
     for kill_number in range(kills):
@@ -113,7 +122,7 @@
 
 
 def false_losses(seed: int) -> int:
-    """Return the number of false losses of ownership in a simulated hour without faults."""
+    """Return the number of losses of ownership in a simulated hour without faults; each of them is false."""
     fleet = SimFleet(32, seed)
     for n in range(8):
         fleet.start(f"m{n}")
@@ -122,11 +131,12 @@
 
 
 def budget_figures(members: int, seed: int, seconds: float, distributed: bool, shift_s: float = 0.0) -> dict[str, Any]:
-    """Simulate a budget of 200 a second for which members ask 400 a second in all, at rates that differ by member.
+    """Simulate a budget of 200 requests a second while members together ask for 400, at rates that differ by member.
 
     Every ``shift_s`` seconds, if that is not 0, the members' rates are drawn anew. The owner that distributes the
     budget dies every 5 s and is replaced 3 to 4 s later. The baseline, with ``distributed`` false, gives each member a
-    fixed equal share. Returns the used share of the budget and the largest share spent in any 5 s.
+    fixed equal share. Returns the share of the budget that was used, and the largest share spent in any 5 s; the first
+    15 s are not counted.
     """
     rate, random, now = 200.0, Random(seed), 0.0
     store = FencedStore(":memory:", {"budgets": budgets.DUTY_SCHEMA})
@@ -144,7 +154,7 @@
         return store.admit(EffectRequest(("budgets", 0), token, effect_number), effect, detail).answer
 
     step_s, arrivals = 0.01, np.random.default_rng(seed)
-    rounds = 0
+    report_count = 0
     while now < seconds:
         now = round(now + step_s, 3)
         if distributed and now >= next_kill_at:
@@ -158,7 +168,7 @@
         if distributed and now >= next_round_at and now >= available_at:
             next_round_at = now + distribution.step(0, submit_effect, now)
         if distributed and now >= next_report_at:
-            next_report_at, rounds = now + 0.5, rounds + 1
+            next_report_at, report_count = now + 0.5, report_count + 1
             for member, bucket in enumerate(buckets):
                 need = bucket.measure_demand(now)
                 store.write(
@@ -167,7 +177,7 @@
                         contract="c",
                         member=f"m{member}",
                         need=need,
-                        seen=rounds,
+                        seen=report_count,
                         adopted=bucket.round,
                         spill=bucket.overflow_rate,
                     )
@@ -184,7 +194,7 @@
         for bucket, count in zip(buckets, demands, strict=True):
             for _ in range(int(count)):
                 spent[int(now)] += bucket.take(now) is None
-    steady = [spent[second] for second in range(15, int(seconds))]
+    steady = [spent[second] for second in range(15, int(seconds))]  # requests by second, without the first 15 s
     # Over windows of 5 s, because spending tokens saved up to the burst size is not overspending.
     shares_spent = [sum(steady[n : n + 5]) / (5 * rate) for n in range(len(steady) - 4)]
     store.close()
@@ -215,12 +225,14 @@
     after_kill_p99_s = after_kill_s[int(0.99 * (len(after_kill_s) - 1))] if after_kill_s else float("inf")
     if after_kill_p99_s > TTL + 1.0:
         missed.append(
-            f"real processes: p99 of {after_kill_p99_s} s without an owner after a kill, at most {TTL + 1.0} s allowed"
+            f"real processes: p99 of the time without an owner after a kill is {after_kill_p99_s} s,"
+            f" at most {TTL + 1.0} s allowed"
         )
     after_leave_most_s = after_leave_s[-1] if after_leave_s else float("inf")
     if after_leave_most_s > 0.2:
         missed.append(
-            f"real processes: up to {after_leave_most_s} s without an owner after a hand-over, at most 0.2 s allowed"
+            f"real processes: longest time without an owner after a hand-over is {after_leave_most_s} s, at most 0.2 s"
+            " allowed"
         )
     fleets = [
         fleet_figures(members, shard_count, args.seed)
@@ -230,13 +242,15 @@
         moved = max(row["join_over_least"], row["leave_over_least"])
         if row["owned"] != row["shards"] or not row["even"] or moved > 1.1:
             missed.append(
-                f"simulated fleet of {row['members']} members: shards not all owned, uneven, or moved too often: {row}"
+                f"simulated fleet of {row['members']} members: some shards have no owner, a member has more than 1.25"
+                " times the mean (or the mean rounded up), or a join or leave moved more than 1.1 times the least"
+                f" number of shards: {row}"
             )
     simulated_after_kill_s = sorted(unowned_after_kills(args.seed, 20 if args.short else 200))
     simulated_p99_s = simulated_after_kill_s[int(0.99 * (len(simulated_after_kill_s) - 1))]
     if simulated_p99_s > 4.0:
         missed.append(
-            f"simulated: p99 of {simulated_p99_s} s without an owner after a kill,"
+            f"simulated: p99 of the time without an owner after a kill is {simulated_p99_s} s,"
             " at most 4 s allowed with a lease of 3 s"
         )
     lost_falsely = false_losses(args.seed)
@@ -250,11 +264,14 @@
     fixed = [budget_figures(members, args.seed, 40.0 if args.short else 120.0, False) for members in member_counts]
     for row in distributed:
         if row["most"] > 1.0 + FALLBACK_SHARE + budgets.MAX_OVERFLOW_SHARE + BURST_S / 5 or row["used"] < 0.97:
-            missed.append(f"budget overspent or less than 97% used: {row}")
+            missed.append(
+                "budget: more spent in 5 s than the rate plus fallback share, re-granted overflow and burst allow, or"
+                f" less than 0.97 of it used: {row}"
+            )
     figures = {
         "seed": args.seed,
         "faults": sum(f["faults"] for f in ours),
-        "processes": 8 * len(ours),
+        "processes": 8 * len(ours),  # the default number of members of a trial
         "effects": sum(f["effects"] for f in ours),
         "interleaved": sum(f["interleaved"] for f in ours),
         "stale_refused": sum(f["stale_refused"] for f in ours),
@@ -277,15 +294,15 @@
         text += "\n\n" + table(columns, [[row[name] for name in columns] for row in fleets])
         rows = [
             [
-                even["members"],
-                even["used"],
-                even["most"],
+                steady["members"],
+                steady["used"],
+                steady["most"],
                 changing["used"],
                 changing["most"],
                 static["used"],
                 static["most"],
             ]
-            for even, static, changing in zip(distributed, fixed, shifting, strict=True)
+            for steady, static, changing in zip(distributed, fixed, shifting, strict=True)
         ]
         header = (
             "members",
--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -32,7 +32,7 @@
 from lapishaven.ledger.writer import Writer
 
 MODULE = "benchmarks.record"
-SAFE_OBJECTIVE_S = 1.5
+SAFE_OBJECTIVE_S = 1.5  # latency objective of idempotent requests, which the figures call safe
 
 
 def _write_settings(folder: Path) -> str:
@@ -42,6 +42,7 @@
 
 
 async def _commit(tier: Tier, server: str, key: str, due_at: float) -> Call:
+    """Send a commit. The stand-in interpreters count bodies that start with "once" if they run more than once."""
     extra_headers = {"HTTP_X_REQUEST_ID": key, "HTTP_X_CALLER": "7"}
     return await tier.call(server, "approve-commit", b"once " + key.encode(), due_at, more=extra_headers)
 
@@ -50,7 +51,8 @@
     """Send commits at ``rate`` a second while a random server is killed about every second and started again.
 
     Each commit goes to one server, and a fifth of them to a second one at the same time. At the end every acknowledged
-    key is looked up in the file. ``mode`` is ``record``, or ``behind`` for the baseline.
+    key is looked up in the file. ``mode`` is ``record``, or ``behind`` for the baseline: the earlier store, which is
+    written after the reply has been sent.
     """
     random = Random(seed)
     folder = Path(tempfile.mkdtemp(prefix="lapishaven-record-"))
@@ -96,13 +98,15 @@
             return loop.time() - start
 
         duration_s = asyncio.run(send_commits())
-        tier.ready(tier.backs)
+        tier.ready(tier.backs)  # the restarted servers too
         ran_twice = tier.report()["twice"]
     with closing(sqlite3.connect(folder / "record.db")) as database:
         if mode == "record":
+            # The stored key is a JSON list; its third element is the request id.
             recorded_keys = {
                 json.loads(key)[2] for (key,) in database.execute("select key from effect where standing = 'done'")
             }
+            # Each charge also has an entry in the contra account 'earned'.
             charges = Counter(key for (key,) in database.execute("select key from ledger where account != 'earned'"))
             charged_twice = sum(count > 1 for count in charges.values())
             in_doubt = database.execute("select count(*) from effect where standing = 'intended'").fetchone()[0]
@@ -110,7 +114,7 @@
             query = "select key from record where event = 'answered' and detail = 'served' and key is not null"
             answered = Counter(json.loads(key)[2] for (key,) in database.execute(query))
             recorded_keys, charged_twice, in_doubt = set(answered), sum(count > 1 for count in answered.values()), 0
-    differences = audit(record_argument) if mode == "record" else None
+    audit_status = audit(record_argument) if mode == "record" else None  # 1 if the audit finds an inconsistency
     return {
         "mode": mode,
         "servers": servers,
@@ -121,7 +125,7 @@
         "charged_twice": charged_twice,
         "ran_twice": ran_twice,
         "in_doubt": in_doubt,
-        "audit": differences,
+        "audit": audit_status,
         "rate": round(commits / duration_s, 1),
         "p50_ms": round(float(np.percentile(latencies, 50)) * 1000, 1),
         "p99_ms": round(float(np.percentile(latencies, 99)) * 1000, 1),
@@ -130,7 +134,10 @@
 
 
 def stall(span: float, seconds: float, seed: int) -> dict[str, Any]:
-    """Lock the file for ``span`` seconds (0: never) after a third of ``seconds``, during other requests and commits."""
+    """Send idempotent requests and commits for ``seconds``; after a third of it lock the file for ``span`` seconds.
+
+    With a ``span`` of 0 the file is not locked.
+    """
     random = Random(seed)
     folder = Path(tempfile.mkdtemp(prefix="lapishaven-record-"))
     with (
@@ -157,7 +164,7 @@
                     lock, released_at = None, loop.time()
                     unlocked_at.append(released_at)
                 name = random.choice(tier.backs)
-                if random.random() < 0.84:
+                if random.random() < 0.84:  # the share of idempotent requests in ``lapishaven.lab.site.KINDS``
                     safe.append(asyncio.create_task(tier.call(name, "fuzzy-match", b"safe", due_at)))
                 else:
                     commits.append(asyncio.create_task(_commit(tier, name, f"s{len(commits)}", due_at)))
@@ -166,6 +173,7 @@
         unlocked_at: list[float] = []
         safe, commits, _ = asyncio.run(send_requests())
         ran_twice = tier.report()["twice"]
+    # The end of the first served commit of those that were due after the lock was released.
     served_again_at = min(
         (call.at + call.span for call in commits if unlocked_at and call.status == 200 and call.at > unlocked_at[0]),
         default=0.0,
@@ -190,14 +198,15 @@
 
 
 def groups(most: int, seconds: float, threads: int = 32) -> dict[str, Any]:
-    """Measure durable operations a second by ``threads`` threads, each of which waits for its last one to be durable.
+    """Measure the durable operations per second of ``threads`` threads.
 
-    At most ``most`` operations share a transaction.
+    Each thread waits until its operation is durable before it submits the next one. At most ``most`` operations share a
+    transaction.
     """
-    from lapishaven.ledger import writer as module
+    from lapishaven.ledger import writer as writer_module  # its MAX_GROUP is replaced during the trial
 
     folder = Path(tempfile.mkdtemp(prefix="lapishaven-record-"))
-    default_max_group, module.MAX_GROUP = module.MAX_GROUP, most
+    default_max_group, writer_module.MAX_GROUP = writer_module.MAX_GROUP, most
     writer = Writer(LedgerDatabase(str(folder / "record.db")), lambda count, succeeded: None)
     latencies: list[float] = []
     end_at = time.monotonic() + seconds
@@ -214,13 +223,13 @@
             written.wait(10.0)
             latencies.append(time.monotonic() - submitted_at)
 
-    waiting = [threading.Thread(target=submit_operations, args=(thread_number,)) for thread_number in range(threads)]
-    for thread in waiting:
+    submitters = [threading.Thread(target=submit_operations, args=(thread_number,)) for thread_number in range(threads)]
+    for thread in submitters:
         thread.start()
-    for thread in waiting:
+    for thread in submitters:
         thread.join()
     writer.close(5.0)
-    module.MAX_GROUP = default_max_group
+    writer_module.MAX_GROUP = default_max_group
     return {
         "group": most,
         "durable_per_s": round(len(latencies) / seconds),
@@ -253,16 +262,22 @@
         if ours[key]
     ]
     if not behind["not_recorded"] and not behind["ran_twice"]:
-        missed.append("baseline written after the reply: no commit was lost or ran twice, so the kills prove nothing")
+        missed.append(
+            "baseline written after the reply: no acknowledged commit is missing and none ran twice, so the kills prove"
+            " nothing"
+        )
     if locked["safe_on_time"] < unlocked["safe_on_time"] - 0.02:
         missed.append(
             f"idempotent requests on time: {locked['safe_on_time']} with the file locked,"
             f" {unlocked['safe_on_time']} without; at most 0.02 less allowed"
         )
     if locked["ran_twice"] or locked["audit"] or locked["most_s"] > 4.5:
-        missed.append(f"file locked: a commit ran twice, took more than 4.5 s, or fails the audit: {locked}")
+        missed.append(f"file locked: a commit ran twice or took more than 4.5 s, or the audit failed: {locked}")
     if group_commits["durable_per_s"] < single["durable_per_s"]:
-        missed.append(f"group commits slower than single transactions: {group_commits}, {single}")
+        missed.append(
+            f"group commits: {group_commits['durable_per_s']} durable operations a second, must be at least the"
+            f" {single['durable_per_s']} with one operation per transaction"
+        )
     rows = [[figures[key] for key in ours] for figures in (ours, behind)]
     text = table([key.replace("_", " ") for key in ours], rows)
     text += "\n\n" + table(
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -1,7 +1,8 @@
 """Load balancing with few and delayed load reports, against plain policies and an oracle, simulated and on sockets.
 
-All policies of a case see the same arrivals. On sockets the fronts and processes are `serve` processes of the program
-with lightweight stand-in interpreters; the baseline there is the same program without probes (``a_choice = 0``).
+Fronts are the servers that balance load, processes are the endpoints among which they choose. All policies of a case
+see the same arrivals. On sockets both are ``serve`` processes of the program with lightweight stand-in interpreters;
+the baseline there is the same program without probes (``a_choice = 0``).
 """
 
 from __future__ import annotations
@@ -34,9 +35,10 @@
 TIERS = ((3, 7, 4), (33, 67, 4), (100, 200, 2))
 MAX_P99_RATIO_TO_SIMULATED = 1.35
 LOADS = ("0.7 of capacity", "0.9 of capacity", "1.0 of capacity")
-SHORT_SIZE, LONG_SIZE = (20, 40), (50, 100)
+SHORT_SIZE, LONG_SIZE = (20, 40), (50, 100)  # fronts and processes of the simulated cases
 PREVIOUS_POLICY = "two choices"
-# The client library with real servers of which some are stopped: a large fleet, and a small one for ``--short``.
+# The client library with real servers of which some are stopped: a large fleet, and a small one for ``--short``. The
+# keys are the fields of ``lapishaven.lab.field.silent.Spec``.
 STOPPED_SERVERS: dict[str, Any] = {"servers": 24, "clients": 200, "rate": 100.0, "stopped": 5}
 SHORT_STOPPED_SERVERS: dict[str, Any] = {
     "servers": 6,
@@ -47,6 +49,7 @@
     "span": 3.0,
     "after": 0.5,
 }
+# Columns of this trial's table, by the keys of its results.
 STOPPED_COLUMNS = (
     "servers",
     "clients",
@@ -63,21 +66,21 @@
     "herd",
     "asks_a_call",
 )
-WITHOUT_PROBES = "[probes]\na_choice = 0\nkept = 0\n"
+WITHOUT_PROBES = "[probes]\na_choice = 0\nkept = 0\n"  # settings of the fronts: no probes and no cached reports
 
 
 # ---- Simulated
 def cold_join_peak(fronts: int, processes: int, seed: int, runs: int) -> float:
-    """Return the peak load of processes that join cold, over their fair share when warm.
+    """Return the peak load of processes that join cold, as a multiple of their fair share when warm.
 
-    Takes the number of requests in each 100 ms of their first 3 s as a mean over all that join in ``runs`` runs, and
-    of these the largest.
+    Each of the first 30 intervals of 100 ms after a start has a mean number of requests, over all processes that join
+    in ``runs`` runs. The peak is the largest of these means.
     """
-    bins = [0.0] * 30
+    bins = [0.0] * 30  # requests by interval of 100 ms since the start of their process
     fair_share = 0.0
     for run_number in range(runs):
         sim = build(CASES["a fifth killed, back cold"], "ours", fronts, processes, seed * 100 + run_number)
-        sim.run(AT + 4.2)
+        sim.run(AT + 4.2)  # killed at AT, started again 1 s later, and then observed for 3 s
         for process in sim.listed:
             if process.cold:
                 fair_share += 0.1 * sim.rate * process.slots * process.speed / sim.capacity
@@ -107,7 +110,7 @@
 
 
 class Tree:
-    """Binary tree of partial sums."""
+    """Binary tree of partial sums: a sample and a change of a weight each take a logarithmic number of steps."""
 
     def __init__(self, weights: Sequence[float]) -> None:
         self.size = 1 << max(0, len(weights) - 1).bit_length()
@@ -133,7 +136,7 @@
 
 
 class Alias:
-    """Walker's alias method: a sample takes two lookups, a change of a weight rebuilds the table."""
+    """Walker's alias method: a sample takes two lookups; a change of a weight rebuilds the table."""
 
     def __init__(self, weights: Sequence[float]) -> None:
         self.weights = list(weights)
@@ -176,7 +179,7 @@
 
 
 def _mean_us(function: Callable[[], object], span_s: float = 0.05) -> float:
-    """Return the mean microseconds of a call, over repeated calls for ``span_s`` seconds."""
+    """Return the mean duration of a call in microseconds, over repeated calls for ``span_s`` seconds."""
     count, start = 0, time.perf_counter()
     while (now := time.perf_counter()) - start < span_s:
         function()
@@ -185,7 +188,11 @@
 
 
 def sampling_costs(size: int, seed: int) -> dict[str, float]:
-    """Measure the microseconds for a change of weight and a sample, and for a whole choice, with ``size`` processes."""
+    """Return a row of the table of sampling costs: the number of processes, ``size``, and durations in microseconds.
+
+    Measured are a change of weight followed by a sample, for the balancer's sampler ("ours") and for each structure
+    above, and a whole choice.
+    """
     random = Random(seed)
     weights = [random.choice(SPEEDS) for _ in range(size)]
     sampler = WeightedSampler()
@@ -235,8 +242,10 @@
 ) -> dict[str, Any]:
     """Run one trial on ``fronts + processes`` real processes of the program.
 
-    With many processes, work takes ``scale`` times as long, so that the machine's cores can carry the calls. The
-    reported times are divided by ``scale``.
+    ``load`` is a fraction of the capacity. ``policy``: further lines of the fronts' settings file, or nothing.
+    ``fault``: "stop" to stop a fifth of the processes for up to 8 s, or nothing. With many processes, work takes
+    ``scale`` times as long, so that the machine's cores can carry the calls. The reported times are divided by
+    ``scale``.
     """
     random = Random(seed)
     speeds = [random.choice(SPEEDS) for _ in range(processes)]
@@ -257,12 +266,13 @@
                 for name in names:
                     field.wake(name)
 
-        async def send_and_break() -> list[Any]:
+        async def send_and_inject_fault() -> list[Any]:
             calls, _ = await asyncio.gather(tier.load(load * tier.capacity(), seconds), inject_fault())
             return calls
 
         times_before = os.times()
-        calls = asyncio.run(send_and_break())
+        calls = asyncio.run(send_and_inject_fault())
+        # With a fault, only the calls during the fault count.
         call_figures = figures(
             [call for call in calls if not fault_times or fault_times[0] <= call.at <= fault_times[1]], scale
         )
@@ -270,10 +280,12 @@
         times_after = os.times()
         started_at = min(call.at for call in calls)
         span = max(call.at for call in calls) - started_at
-        counts: dict[int, dict[int, int]] = {}
+        counts: dict[int, dict[int, int]] = {}  # runs begun, by window of ``scale`` seconds and number of the process
         for began_at, number in report["began"]:
             window_counts = counts.setdefault(int((began_at - started_at) / scale), {})
             window_counts[number] = window_counts.get(number, 0) + 1
+        # The largest number of runs of a process in a window, over its fair share. The first and the last window, which
+        # may be incomplete, and windows with fewer than two runs per process are left out.
         peaks = []
         for _, window_counts in sorted(counts.items())[1:-1]:
             total_count = sum(window_counts.values())
@@ -299,7 +311,7 @@
 
 
 def run_trial(spec: dict[str, Any]) -> dict[str, Any]:
-    """Run what a spec describes, in this process: a simulated case, the cold joiners, or a trial on sockets."""
+    """Run the trial that a spec describes, in this process: a simulated case, processes that join cold, or sockets."""
     kind = spec.pop("kind")
     if kind == "case":
         began_at = time.perf_counter()
@@ -335,8 +347,8 @@
         "runs": 6 if args.short else 40,
     }
     twin_specs: list[dict[str, Any]] = []  # simulations of the sizes of the real tiers, to compare with them
-    # The largest simulation takes 11 minutes. It cannot be shorter: with less than 2 s of measurement, only its short
-    # calls would have ended.
+    # The largest simulation takes 11 minutes. It cannot be shorter: its 5 simulated seconds contain 2 s of measurement,
+    # which starts at ``load_balancing_cases.FROM``, and with less of it only short calls would have ended.
     largest_specs: list[dict[str, Any]] = []
     if not args.short:
         specs += [
@@ -419,14 +431,18 @@
         ours, oracle, previous = rows["ours"], rows["oracle"], rows[PREVIOUS_POLICY]
         name = f"{case}, {size} processes"
         if ours["on_time"] < previous["on_time"]:
-            missed.append(f"{name}: share on time is {ours['on_time']}, {previous['on_time']} with {PREVIOUS_POLICY}")
+            missed.append(
+                f"{name}: share on time is {ours['on_time']}, must be at least the {previous['on_time']} of"
+                f" {PREVIOUS_POLICY}"
+            )
         if ours["tries"] > 1.1:
             missed.append(f"{name}: {ours['tries']} attempts a call, at most 1.1 allowed")
         if case not in LOADS:
             continue
         if ours["busiest"] > 1.15 * oracle["busiest"]:
             missed.append(
-                f"{name}: busiest process has {ours['busiest']} of a fair share, {oracle['busiest']} with the oracle"
+                f"{name}: busiest process has {ours['busiest']} times its fair share, {oracle['busiest']} times with"
+                " the oracle; at most 1.15 times the oracle's allowed"
             )
         if ours["idle"] > 0.01:
             missed.append(
@@ -435,28 +451,43 @@
         if ours["p99"] > 1.2 * oracle["p99"] or any(rows[p]["p99"] <= ours["p99"] for p in rows if p in PLAIN_POLICIES):
             missed.append(
                 f"{name}: p99 is {ours['p99']} s, {oracle['p99']} s with the oracle,"
-                f" {previous['p99']} s with {PREVIOUS_POLICY}"
+                f" {previous['p99']} s with {PREVIOUS_POLICY}; must be at most 1.2 times the oracle's, and less than"
+                f" with each of: {', '.join(PLAIN_POLICIES)}"
             )
         if ours["on_time"] < oracle["on_time"] - 0.01:
-            missed.append(f"{name}: share on time is {ours['on_time']}, {oracle['on_time']} with the oracle")
+            missed.append(
+                f"{name}: share on time is {ours['on_time']}, {oracle['on_time']} with the oracle;"
+                " at most 0.01 less allowed"
+            )
         if ours["probes"] > 3.0:
             missed.append(f"{name}: {ours['probes']} probes a call, at most 3 allowed")
     if peak > 1.2:
         missed.append(f"a process that joins cold gets {peak} times its fair share in 100 ms, at most 1.2 allowed")
     for row in on_sockets:
         if row["twice"]:
-            missed.append(f"on sockets, {row['processes']} processes: {row['twice']} commits ran twice: {row}")
+            missed.append(
+                f"on sockets, {row['processes']} processes: {row['twice']} commits ran twice, must be 0: {row}"
+            )
         if row["policy"] == "ours" and (row["on_time"] < (0.97 if row["fault"] else 0.99) or row["idle"] > 0.01):
-            missed.append(f"on sockets: too few calls on time, or processes idle for more than 0.01 of the time: {row}")
+            missed.append(
+                "on sockets: share on time is less than 0.99 (0.97 with a fault), or processes idle while others queue"
+                f" for more than 0.01 of the time: {row}"
+            )
     for twin in twins:
         for row in on_sockets:
             same = all(row[key] == twin[key] for key in ("fronts", "processes", "slots"))
             if same and row["policy"] == "ours" and row["p99"] > MAX_P99_RATIO_TO_SIMULATED * twin["p99"]:
-                missed.append(f"p99 is {row['p99']} s on sockets, {twin['p99']} s simulated: {row}")
+                missed.append(
+                    f"p99 is {row['p99']} s on sockets, {twin['p99']} s simulated;"
+                    f" at most {MAX_P99_RATIO_TO_SIMULATED} times the simulated one allowed: {row}"
+                )
     if largest and (
         largest[0]["p99"] > 1.1 * figures_by_case[LOAD_90_PERCENT, 1000]["ours"]["p99"] or largest[0]["idle"] > 0.01
     ):
-        missed.append(f"largest simulation: p99 grows with size, or processes are idle: {largest[0]}")
+        missed.append(
+            "largest simulation: p99 is more than 1.1 times that with 1000 processes, or processes idle while others"
+            f" queue for more than 0.01 of the time: {largest[0]}"
+        )
     for row in stopped_figures:
         if row["asks"] and (
             row["late"] > 0.03
@@ -466,7 +497,11 @@
             or not args.short
             and row["share_back"] < 0.8
         ):
-            missed.append(f"client library with stopped servers: {row}")
+            missed.append(
+                "client library with stopped servers: late is more than 0.03, share_back is less than 0.8 (not checked"
+                " with --short), or to_silent_after_1_s, ran_given_up or commits_twice is not 0:"
+                f" {row}"
+            )
     figures = {
         "seed": args.seed,
         "word_bytes": ENCODED_SIZE,
--- a/lapishaven/load_balancing/balancer.py
+++ b/lapishaven/load_balancing/balancer.py
@@ -3,8 +3,9 @@
     choice = balancer.begin_choice(now)
     # send choice.probes, and pass each answer to receive_probe_answer
     endpoint = balancer.finish_choice(now, choice)  # when all probes are answered, or at choice.deadline
-    balancer.attempt_started(now, endpoint)
-    balancer.attempt_ended(now, endpoint, sent_at, AttemptOutcome.SERVED)
+    sent_at = now
+    balancer.attempt_started(sent_at, endpoint)
+    balancer.attempt_ended(now, endpoint, sent_at, AttemptOutcome.SERVED)  # when the attempt has ended
 
 The balancer performs no I/O, and the time, in seconds, is an argument. See ``docs/design/spread.md`` for the design.
 """
@@ -30,14 +31,21 @@
 from lapishaven.load_balancing.retry_budget import RetryBudget
 from lapishaven.load_balancing.rules import BalancingRules
 
-PROBES_BETWEEN_CLEANUPS = 64  # expired probes are discarded once per this many choice probes
+# A choice probe discards the expired probes if the number of probes sent so far is a multiple of this. Health-check
+# probes also count, so that a multiple may be skipped.
+PROBES_BETWEEN_CLEANUPS = 64
 
 
 class LoadBalancer:
     """Tracks the state of all endpoints and chooses among them.
 
     Attributes:
-        counts: number of events by name; exported as metrics.
+        counts: number of events by name; exported as metrics:
+            "probes": probes sent, of which "watches" are health checks;
+            "answers": probe answers matched to a probe; "strays": answers that match no probe or no current endpoint;
+            "chosen": choices among endpoints with a load report; "blind": choices without any usable load report;
+            "suspects": endpoints that became suspected; "back": suspected endpoints that responded again;
+            "cast out": ejections.
         retry_budget: the caller withdraws from it before each retry.
     """
 
@@ -93,6 +101,7 @@
         return probes
 
     def _record_probe(self, now: float, probe: Probe) -> None:
+        """Record a choice probe. The failure detector records its health-check probes itself."""
         self.counts["probes"] += 1
         endpoint = self.endpoints.state_of(probe.endpoint)
         if endpoint is not None:
@@ -101,7 +110,10 @@
             self._probes.discard_expired(now)
 
     def finish_choice(self, now: float, choice: Choice) -> str | None:
-        """Return the endpoint to send the request to; ``None`` if none is usable."""
+        """Return the endpoint to send the request to; ``None`` if none is usable.
+
+        The candidates are the endpoints that answered their probe and the cached endpoint with the lowest cost.
+        """
         choice.decided = True
         candidates = self.selector.filter_usable(now, list(choice.reports))
         cached = self._cache.least_cost(now, choice.excluded, self.selector.is_usable)
@@ -152,7 +164,7 @@
 
     # ---- Attempts
     def attempt_started(self, now: float, name: str) -> None:
-        """Record that a request was sent to an endpoint."""
+        """Record that a request was sent to an endpoint. ``now`` identifies the attempt in ``attempt_ended``."""
         endpoint = self.endpoints.state_of(name)
         if endpoint is None:
             return
@@ -162,10 +174,11 @@
     def attempt_ended(
         self, now: float, name: str, sent_at: float, outcome: AttemptOutcome, retry_after_s: float = 0.0
     ) -> None:
-        """Record the end of the attempt that was sent at ``sent_at``.
+        """Record the end of an attempt.
 
-        ``retry_after_s``: how long the endpoint asked not to be sent requests (its Retry-After). A report in the
-        response is recorded separately, by ``receive_response_report``.
+        ``sent_at``: the time that was passed to ``attempt_started``. ``retry_after_s``: how long the endpoint asked not
+        to be sent requests (its Retry-After). Rejected and abandoned attempts count neither for nor against an
+        ejection. A report in the response is recorded separately, by ``receive_response_report``.
         """
         endpoint = self.endpoints.state_of(name)
         if endpoint is None:
@@ -197,7 +210,7 @@
         return probes, [endpoint.name for endpoint in newly_suspected]
 
     def suspected_since(self, name: str) -> float | None:
-        """Since when the endpoint has been suspected of being unresponsive; ``None`` if it is not suspected."""
+        """When the probe was sent whose missing answer made the endpoint suspected; ``None`` if it is not suspected."""
         endpoint = self.endpoints.state_of(name)
         if endpoint is None or endpoint not in self.failure_detector.suspects:
             return None
--- a/lapishaven/load_balancing/endpoint_selector.py
+++ b/lapishaven/load_balancing/endpoint_selector.py
@@ -17,14 +17,14 @@
 from lapishaven.load_balancing.fleet_averages import FleetAverages
 from lapishaven.load_balancing.rules import BalancingRules
 
-MAX_SAMPLES = 8  # random samples that may hit an unusable endpoint before all endpoints are scanned
-RECENT_CHOICES = 32  # number kept for operators
+MAX_SAMPLES = 8  # random samples that are tried for a usable endpoint before all endpoints are scanned
+RECENT_CHOICES = 32  # number of choices kept for operators
 
 
 class EndpointSelector:
     """Samples candidates and selects among them.
 
-    ``recent``: the latest choices made by cost, for operators.
+    ``recent``: the latest choices that were made by comparing costs, for operators.
     """
 
     def __init__(
@@ -83,10 +83,12 @@
     def limit_slow_start(self, candidates: list[EndpointState], probe_count: int) -> list[EndpointState]:
         """Drop candidates in slow start at random, so that each gets at most about its desired share of the requests.
 
-        An endpoint in slow start looks idle to all balancers at the same time and would often have the lowest cost. If
-        each balancer keeps it with a probability of its desired share divided by ``probe_count``, it gets at most this
-        share from all balancers together even if it always wins. Shares are relative to the largest one among the
-        candidates, so that a fleet whose endpoints all start at the same time still serves.
+        An endpoint in slow start looks idle to all balancers at the same time and would often have the lowest cost. It
+        is probed for about ``probe_count`` times its fair share of the choices. If each balancer keeps it with a
+        probability of its desired share divided by ``probe_count``, it gets at most its desired share from all
+        balancers together even if it always has the lowest cost. Shares are relative to the largest one among the
+        candidates, so that a fleet whose endpoints all start at the same time still serves. An endpoint whose desired
+        share is reduced because its runs fail is treated in the same way.
         """
         largest = max(state.desired_share() for state in candidates)
         admitted = []
@@ -97,7 +99,10 @@
         return admitted or candidates
 
     def choose_without_reports(self, now: float, choice: Choice) -> EndpointState | None:
-        """Choose when no probe was answered in time: the probed endpoint of lowest cost, or else a random one."""
+        """Choose when there is no candidate with a load report, from a probe answer in time or from the cache.
+
+        Returns the usable probed endpoint with the lowest estimated cost, or else a random usable one, if any.
+        """
         probed = self.filter_usable(now, [probe.endpoint for probe in choice.probes])
         if not probed:
             return self.sample(now, choice.excluded, set())
--- a/lapishaven/load_balancing/endpoint_state.py
+++ b/lapishaven/load_balancing/endpoint_state.py
@@ -15,8 +15,8 @@
 # A slowdown up to this is attributed to chance; a higher one to load that the endpoint does not report.
 TOLERATED_SLOWDOWN = 1.5
 SLOWDOWN_SMOOTHING = 0.15  # weight of a new sample
-MAX_SLOWDOWN_SAMPLE = 8.0
-MIN_DECAY_S = 1e-3
+MAX_SLOWDOWN_SAMPLE = 8.0  # larger samples are clamped to this
+MIN_DECAY_S = 1e-3  # lower bound of the time constant of a report's decay; it is a divisor, and must not be 0
 
 
 @dataclass(slots=True, eq=False)
@@ -32,7 +32,8 @@
         last_heard_at: when anything was last received from the endpoint.
         unreported_sends: the times at which requests were sent that count as not included in ``report``.
         in_flight: number of requests in flight.
-        report_uses_left: number of requests that may still be sent because of the cached report.
+        report_uses_left: number of requests that may still be sent because of the cached report. Every request reduces
+            it, also without a cached report, so that it can be negative.
         retry_after_until: no request may be sent before this (the endpoint's Retry-After).
         consecutive_failures: number of failed attempts since the last served one or the last ejection.
         ejections: number of ejections since the last served request.
@@ -40,10 +41,11 @@
         on_trial: whether the endpoint gets only one attempt at a time, after an ejection.
         penalty_ends: for each attempt that was rejected, failed or could not connect, until when it still counts as in
             flight.
-        outstanding_probe: the probe that has not been answered yet.
-        suspected_since: since when the endpoint has been suspected of being unresponsive.
+        outstanding_probe: the unanswered probe whose timeout is running (``FailureDetector``).
+        suspected_since: when the probe was sent whose missing answer made the endpoint suspected; ``None`` if it is not
+            suspected.
         expected_durations: the expected duration of each request in flight, in durations of a typical request, by the
-            time at which it was sent.
+            time at which it was sent. Requests sent at exactly the same time share an entry.
         slowdown: running mean of the actual over the expected duration of requests.
     """
 
@@ -112,9 +114,11 @@
     def estimated_load(self, now: float, load_per_slot: float, request_s: float, rules: BalancingRules) -> float:
         """Return the estimated number of requests in flight at the endpoint, from all balancers.
 
-        With its age, the last report decays towards the fleet's mean ``load_per_slot``. Added to it are the requests
-        sent since the report, the penalties for unsuccessful attempts, and the unreported load that a high
-        ``slowdown`` indicates.
+        With its age, the last report decays towards the fleet's mean load, or this balancer's requests in flight if
+        those are more. Added to it are the requests sent since the report, the penalties for unsuccessful attempts, and
+        the unreported load that a high ``slowdown`` indicates.
+
+        ``load_per_slot``, ``request_s``: the fleet's means (``FleetAverages``).
         """
         slots = self.slots()
         if self.report is None:
@@ -126,8 +130,8 @@
             reported = report_weight * self.report.weighted_load + (1 - report_weight) * load_without_report
         if self.penalty_ends:
             self.penalty_ends = [until for until in self.penalty_ends if until > now]
-        unreported = max(0.0, self.slowdown - TOLERATED_SLOWDOWN) * slots
-        return reported + len(self.unreported_sends) + len(self.penalty_ends) + unreported
+        unreported_load = max(0.0, self.slowdown - TOLERATED_SLOWDOWN) * slots
+        return reported + len(self.unreported_sends) + len(self.penalty_ends) + unreported_load
 
     def cost(
         self, now: float, load_per_slot: float, mean_speed: float, request_s: float, rules: BalancingRules
@@ -148,7 +152,7 @@
     def attempt_ended(
         self, now: float, sent_at: float, outcome: AttemptOutcome, request_s: float, mean_speed: float
     ) -> None:
-        """Record the end of the attempt that was sent at ``sent_at``."""
+        """Record the end of the attempt for which ``attempt_started`` was called with the time ``sent_at``."""
         self.in_flight = max(0, self.in_flight - 1)
         expected = self.expected_durations.pop(sent_at, 1.0)
         if sent_at in self.unreported_sends:
@@ -156,10 +160,16 @@
         if outcome is AttemptOutcome.SERVED:
             self._update_slowdown(now - sent_at, expected, request_s, mean_speed)
         elif outcome is not AttemptOutcome.ABANDONED:
-            # Without a penalty, an endpoint that rejects or fails requests at once would look idle and attract more.
+            # Without a penalty, an endpoint that rejects or fails requests immediately would look idle and attract
+            # more. The penalty lasts for the rest of a typical request's duration, plus one further such duration.
             self.penalty_ends.append(now + max(request_s - (now - sent_at), 0.0) + request_s)
 
     def _update_slowdown(self, duration_s: float, expected: float, request_s: float, mean_speed: float) -> None:
+        """Add a sample: the duration of a served request over ``expected``, in durations of a typical request.
+
+        A typical request is taken to last longer on an endpoint that is slower than the mean. While ``request_s`` is 0,
+        the duration counts as typical.
+        """
         relative_duration = 1.0
         if request_s:
             own_speed = self.report.speed if self.report is not None else 0.0
--- a/lapishaven/load_balancing/failure_detector.py
+++ b/lapishaven/load_balancing/failure_detector.py
@@ -17,25 +17,27 @@
 
 from lapishaven.load_balancing.rules import BalancingRules
 
-RECENT_PROBES = 32  # number of latest probe results that decide on panic mode
+RECENT_PROBES = 32  # panic mode depends on this many of the latest probe results
 MIN_RECENT_PROBES = RECENT_PROBES // 4  # with fewer results there is no panic mode
 MAX_PROBE_INTERVAL_S = 2.0  # upper bound of the interval between probes of a suspected endpoint, before jitter
 PROBE_BACKOFF = 1.5  # factor by which this interval grows with each unanswered probe
 TIMEOUT_IN_ONE_WAY_DELAYS = 6.0  # lower bound of the probe timeout, in one-way network delays
 # Lower bound of the probe interval of an endpoint with requests in flight, in durations of a typical request.
-INTERVAL_IN_REQUESTS = 0.75
-CHECK_JITTER = (0.9, 1.1)  # range of random factors applied to the probe interval
-PROBE_JITTER = (0.8, 1.2)  # the same for the interval to the next probe of a suspected endpoint
-INTERVAL_TOLERANCE = 0.89  # below the minimum of CHECK_JITTER, so that a check made early by jitter sends its probe
+INTERVAL_IN_REQUEST_DURATIONS = 0.75
+CHECK_JITTER = (0.9, 1.1)  # range of the random factor of the interval until a check of an endpoint
+PROBE_JITTER = (0.8, 1.2)  # the same for the interval until the next probe after an unanswered one
+# A check sends a probe if nothing was received for this fraction of the probe interval. It is below the minimum of
+# CHECK_JITTER, so that a check made early by jitter sends its probe too.
+MIN_SILENT_FRACTION = 0.89
 CLOCK_TOLERANCE_S = 1e-9  # allows for rounding errors in sums and differences of times
 
 
 @dataclass(slots=True, eq=False)
 class OutstandingProbe:
-    """A probe that has not been answered yet.
+    """The unanswered probe of an endpoint whose timeout is running; an endpoint has at most one.
 
-    ``sent_at``: in seconds.
-    ``unanswered_before``: the number of consecutive unanswered probes before it.
+    ``sent_at``: when it was sent, in seconds.
+    ``unanswered_before``: the number of consecutive probes before it that timed out.
     """
 
     sent_at: float
@@ -46,8 +48,10 @@
     """An endpoint as the failure detector uses it. Times are in seconds.
 
     ``last_heard_at``: when anything was last received from the endpoint.
-    ``in_flight``: the number of this side's requests in flight at the endpoint.
-    ``suspected_since``: since when it has been suspected; ``None`` if it is not.
+    ``in_flight``: the number of the balancer's requests in flight at the endpoint.
+    ``outstanding_probe``: the probe whose timeout is running; ``None`` if there is none.
+    ``suspected_since``: when the probe was sent whose missing answer made the endpoint suspected; ``None`` if it is not
+        suspected.
     """
 
     last_heard_at: float
@@ -60,13 +64,13 @@
 
 
 class FailureDetector(Generic[Endpoint]):
-    """Is notified of probes, responses and requests; ``check`` returns which endpoints to probe and to suspect.
+    """Is notified of probes, responses and requests; ``check`` returns the endpoints to probe and the new suspects.
 
     Attributes:
         suspects: endpoints suspected of being unresponsive.
         panics: number of probe timeouts that did not make their endpoint suspected because of panic mode.
         probe_interval_s: an endpoint with requests in flight is probed after this time without any response from it.
-        probe_timeout_s: an endpoint whose probe is unanswered for this long becomes suspected.
+        probe_timeout_s: an endpoint whose probe is unanswered for this long becomes suspected, except in panic mode.
     """
 
     def __init__(self, rules: BalancingRules, random: Random) -> None:
@@ -81,8 +85,8 @@
         self.probe_timeout_s = rules.probe_timeout_s
 
     def set_request_duration(self, duration_s: float) -> None:
-        """Adapt the probe interval to the mean duration of a request, so that there is about one probe per request."""
-        self.probe_interval_s = max(self._rules.watch_interval_s, INTERVAL_IN_REQUESTS * duration_s)
+        """Adapt the probe interval to the mean duration of a request: a typical request causes about one probe."""
+        self.probe_interval_s = max(self._rules.watch_interval_s, INTERVAL_IN_REQUEST_DURATIONS * duration_s)
 
     def set_one_way_delay(self, delay_s: float) -> None:
         """Adapt the probe timeout to the one-way network delay, so that a slow network is not taken for a failure."""
@@ -94,12 +98,12 @@
 
     @property
     def panic(self) -> bool:
-        """Whether so many recent probes are unanswered that the fault is probably on this side."""
+        """Whether so many recent probes are unanswered that the fault is probably on the balancer's side."""
         recent = self._recent_unanswered
         return len(recent) >= MIN_RECENT_PROBES and sum(recent) > self._rules.panic_fraction * len(recent)
 
     def probe_sent(self, now: float, endpoint: Endpoint) -> None:
-        """Record that a probe is sent to the endpoint."""
+        """Record that a probe is sent to the endpoint. If one is outstanding already, its timeout keeps running."""
         if endpoint.outstanding_probe is None:
             endpoint.outstanding_probe = OutstandingProbe(now)
             self._schedule_check(now + self.probe_timeout_s, endpoint)
@@ -119,7 +123,7 @@
         return was_suspected
 
     def forget(self, endpoint: Endpoint) -> None:
-        """Discard the state of a removed endpoint."""
+        """Discard the state of a removed endpoint. ``check`` drops its scheduled checks."""
         self.suspects.discard(endpoint)
         endpoint.outstanding_probe = None
         endpoint.suspected_since = None
@@ -131,6 +135,10 @@
     def check(self, now: float, is_current: Callable[[Endpoint], bool]) -> tuple[list[Endpoint], list[Endpoint]]:
         """Return the endpoints to probe now, and those that are newly suspected.
 
+        An endpoint whose check is due is probed again if its outstanding probe has timed out; if the probe has not
+        timed out, nothing is done. Without an outstanding probe, an endpoint with requests in flight is probed if
+        nothing was received from it for about the probe interval, or else checked again later.
+
         ``is_current``: returns whether an endpoint still exists.
         """
         to_probe: list[Endpoint] = []
@@ -146,7 +154,7 @@
                         newly_suspected.append(endpoint)
                     self._probe_again(now, endpoint, probe)
                     to_probe.append(endpoint)
-            elif endpoint.in_flight and now - endpoint.last_heard_at >= self.probe_interval_s * INTERVAL_TOLERANCE:
+            elif endpoint.in_flight and now - endpoint.last_heard_at >= self.probe_interval_s * MIN_SILENT_FRACTION:
                 self.probe_sent(now, endpoint)
                 to_probe.append(endpoint)
             elif endpoint.in_flight:
@@ -155,7 +163,7 @@
         return to_probe, newly_suspected
 
     def _probe_timed_out(self, endpoint: Endpoint, probe: OutstandingProbe) -> bool:
-        """Record an unanswered probe; return whether the endpoint is newly suspected."""
+        """Record a probe that timed out; return whether the endpoint is newly suspected."""
         self._recent_unanswered.append(True)
         if endpoint in self.suspects:
             return False
@@ -167,6 +175,7 @@
         return True
 
     def _probe_again(self, now: float, endpoint: Endpoint, probe: OutstandingProbe) -> None:
+        """Record that the next probe is sent after ``probe`` timed out, and schedule the one after it."""
         unanswered = probe.unanswered_before + 1
         endpoint.outstanding_probe = OutstandingProbe(now, unanswered)
         interval_s = min(MAX_PROBE_INTERVAL_S, self.probe_timeout_s * PROBE_BACKOFF**unanswered)
--- a/lapishaven/load_balancing/load_reporter.py
+++ b/lapishaven/load_balancing/load_reporter.py
@@ -7,12 +7,15 @@
 
 from lapishaven.load_balancing.load_report import MAX_U8, LoadReport
 
-SPEED_WINDOW_S = 10.0  # time constant of the speed measurement
+# Time constant of the speed measurement. An update multiplies the earlier values by ``1 - elapsed / SPEED_WINDOW_S``;
+# they are dropped if there was no update for this long.
+SPEED_WINDOW_S = 10.0
 MIN_BUSY_SLOT_S = 1.0  # busy slot seconds needed before a speed is reported
-DURATION_SMOOTHING = 0.05  # weight of a new run in the mean durations
+DURATION_SMOOTHING = 0.05  # weight of a new served run in the mean durations
 FAILURE_SMOOTHING = 0.1  # weight of a new run in the failure rate
 FAILURE_DECAY_S = 5.0  # time constant of the exponential decay of the failure rate with time
-# Desired share even if every run fails, since without requests the process could never show that it has recovered.
+# Desired share even if every run fails, since without requests the process could never show that it has recovered. The
+# smallest share above 0 that a report can encode; 0 means that the process drains.
 MIN_SHARE = 1.0 / MAX_U8
 
 
@@ -40,13 +43,14 @@
         # Busy slot seconds, and the number of typical requests served in them; both decay at the same rate.
         self._busy_slot_s = 0.0
         self._served_requests = 0.0
-        self._running: dict[str, tuple[int, float]] = {}  # class and start time by run
-        self._class_duration_s: dict[int, float] = {}
-        self._typical_duration_s = 0.0  # 0 until a request was served
-        self._failure_rate = 0.0  # fraction of the recent runs that failed
+        self._running: dict[str, tuple[int, float]] = {}  # class index and start time by run id
+        self._class_duration_s: dict[int, float] = {}  # mean duration by class index
+        self._typical_duration_s = 0.0  # mean duration over all classes; 0 until a request was served
+        self._failure_rate = 0.0  # running mean of failed runs, 0 to 1, that also decays with time
         self.draining = False
 
-    def _decay(self, now: float) -> None:
+    def _advance(self, now: float) -> None:
+        """Decay the measurements to ``now``, and add the busy slot time since the last update."""
         elapsed_s = now - self._updated_at
         if elapsed_s <= 0:
             return
@@ -57,19 +61,22 @@
         self._updated_at = now
 
     def relative_cost(self, class_index: int) -> float:
-        """Return the mean duration of the class relative to that of a typical request."""
+        """Return the mean duration of the class relative to that of a typical request; 1 if either is unknown."""
         if not self._typical_duration_s:
             return 1.0
         return self._class_duration_s.get(class_index, self._typical_duration_s) / self._typical_duration_s
 
     def run_started(self, now: float, run_id: str, class_index: int) -> None:
         """Record the start of a run."""
-        self._decay(now)
+        self._advance(now)
         self._running[run_id] = class_index, now
 
     def run_ended(self, now: float, run_id: str, served: bool, failed: bool) -> None:
-        """Record the end of a run. A cancelled run is neither served nor failed."""
-        self._decay(now)
+        """Record the end of a run.
+
+        A cancelled run is neither served nor failed. In the failure rate it counts as a run that did not fail.
+        """
+        self._advance(now)
         run = self._running.pop(run_id, None)
         if run is None:
             return
@@ -89,7 +96,7 @@
 
     def report(self, now: float, in_flight: Mapping[int, int]) -> LoadReport:
         """Produce the next report. ``in_flight``: the number of requests queued or running, by class."""
-        self._decay(now)
+        self._advance(now)
         self._sequence += 1
         weighted_load = sum(count * self.relative_cost(class_index) for class_index, count in in_flight.items())
         speed = self._served_requests / self._busy_slot_s if self._busy_slot_s >= MIN_BUSY_SLOT_S else 0.0
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -99,9 +99,8 @@
             decode_datagram(data)  # type: ignore[operator]
     with suppress(LoadReportError):
         load_report.decode_text(data.decode("latin-1"))
-    assert len(load_protocol.encode_answer(1, encode(new_report(1, 1)))) <= len(
-        load_protocol.encode_probe(1)
-    )  # so that spoofed probes cannot be amplified
+    # An answer is not longer than its probe, so that probes with a forged sender address cannot be amplified.
+    assert len(load_protocol.encode_answer(1, encode(new_report(1, 1)))) <= len(load_protocol.encode_probe(1))
 
 
 def test_older_reports_are_ignored_even_across_a_restart_and_a_wrap_of_the_sequence_number() -> None:
@@ -167,7 +166,10 @@
 
 # ---- Choices
 def test_the_less_loaded_probed_endpoint_is_chosen_and_balancers_differ_in_their_first_choice() -> None:
-    """Guards the choice itself, and against balancers that all probe the endpoints in the same order."""
+    """Guards the choice itself, and against balancers that all probe the endpoints in the same order.
+
+    An endpoint with a higher number reports less load.
+    """
     loads = {f"p{n}": new_report(1, 8 - n) for n in range(8)}
     balancer = new_balancer(8, cached_reports=0)
     for n in range(40):
@@ -180,7 +182,7 @@
         other = LoadBalancer(BalancingRules(), Random(seed))
         other.set_endpoints(loads)
         first_choices[choose(other, 0.0, {name: new_report(1, 0) for name in loads})] += 1
-    assert max(first_choices.values()) < 1.6 * 400 / 8
+    assert max(first_choices.values()) < 1.6 * 400 / 8  # times the fair share of 400 choices among 8 endpoints
 
 
 def test_without_probe_answers_the_choice_is_made_from_the_known_state() -> None:
@@ -202,7 +204,7 @@
         loads = {f"p{n}": new_report(1, 3) for n in range(3)} | {"p3": new_report(1, 0, desired_share=0.5)}
         chosen += choose(balancer, 0.0, loads) == "p3"
         total += 1
-    assert 0.7 * 0.5 / 4 < chosen / total < 1.2 * 0.5 / 4
+    assert 0.7 * 0.5 / 4 < chosen / total < 1.2 * 0.5 / 4  # it asks for 0.5 of the fair share of 1/4
 
 
 def test_a_fleet_in_which_all_endpoints_are_in_slow_start_serves() -> None:
@@ -234,7 +236,7 @@
         else:
             in_flight[name] += 1
             in_service.append((now + 0.5, name, now))
-    assert sent["p0"] < 0.4 * 2000
+    assert sent["p0"] < 0.4 * 2000  # a fair share is 0.25 of the 2000 requests
 
 
 def test_consecutive_failures_eject_at_most_the_maximum_fraction_of_endpoints() -> None:
@@ -280,11 +282,11 @@
         health_checks += probes
     assert [probe.endpoint for probe in health_checks][:1] == ["p0"] and newly_suspected == ["p0"] and now < 0.6
     assert balancer.suspected_since("p0") is not None and not balancer.is_usable(now, balancer.endpoints.states["p0"])
-    count = 0
-    while now < 10.0:  # at increasing intervals
+    probe_count = 0
+    while now < 10.0:
         now = balancer.next_check_at()
-        count += len(balancer.check_responsiveness(now)[0])
-    assert 4 < count < 12
+        probe_count += len(balancer.check_responsiveness(now)[0])
+    assert 4 < probe_count < 12  # at increasing intervals of up to about 2 s
     balancer.receive_report(now, "p0", now, None)
     assert balancer.suspected_since("p0") is None and balancer.is_usable(now, balancer.endpoints.states["p0"])
 
@@ -301,8 +303,8 @@
 
 def test_late_answers_on_a_slow_network_are_not_taken_for_failures() -> None:
     """Guards against permanent suspicion on a slow network: the probe timeout adapts to the measured delay."""
-    balancer, suspects = new_balancer(10), 0
-    pending: list[tuple[float, Choice]] = []
+    balancer, suspicions = new_balancer(10), 0
+    pending: list[tuple[float, Choice]] = []  # choices whose probes are answered 1 s after they were sent
     for n in range(400):
         now = n * 0.05
         choice = balancer.begin_choice(now)
@@ -311,8 +313,8 @@
             pending.remove((answered_at, answered))
             for probe in answered.probes:
                 balancer.receive_probe_answer(now, probe.probe_id, new_report(n + 1, 1))
-        suspects += len(balancer.check_responsiveness(now)[1]) if n > 200 else 0
-    assert suspects == 0 and 0.3 < balancer.averages.one_way_s < 0.8
+        suspicions += len(balancer.check_responsiveness(now)[1]) if n > 200 else 0  # once the timeout has adapted
+    assert suspicions == 0 and 0.3 < balancer.averages.one_way_s < 0.8  # half of the round trip of 1 s
 
 
 def test_retries_are_a_fraction_of_first_attempts_which_is_raised_temporarily_after_several_suspicions() -> None:
@@ -380,9 +382,8 @@
     """Guards the balancer as a whole; ``benchmarks/spread.py`` also compares it with an oracle."""
     ours, baseline = (play(case, policy, 10, 20, 5) for policy in ("ours", "two choices"))
     assert ours["on_time"] > max(0.93, baseline["on_time"]) and ours["tries"] <= 1.1
-    assert (
-        ours["p99"] < baseline["p99"] or case == "one says it is empty"
-    )  # a false report attracts requests until the slowdown reveals it
+    # A process that falsely reports no load attracts requests until its slowdown reveals it.
+    assert ours["p99"] < baseline["p99"] or case == "one says it is empty"
     assert play(case, "ours", 10, 20, 5) == ours  # deterministic for a seed
     assert case in CASES
 
@@ -430,15 +431,15 @@
 
 
 def test_in_simulation_an_abandoned_request_does_not_arrive_as_its_retry() -> None:
-    """Guards the simulator: a request abandoned in transit arrived at a dead process under the number of its retry. It
-    was released twice, which ended the run (case "a fifth killed, back cold", seed 6111)."""
+    """Guards the simulator against a request that is abandoned in transit and then arrives at a dead process under the
+    number of its retry: it was released twice, and the error ended the run (this case, with seed 6111)."""
     sim = build(CASES["a fifth killed, back cold"], "ours", 50, 100, 6111)
     sim.run(AT + 0.6)
     assert sim.now == AT + 0.6
 
 
 def test_the_numeric_keys_set_every_field_of_the_rules_but_the_initial_duration() -> None:
-    """Guards against a field of the rules that is added or renamed without its key."""
+    """Guards against a field of ``BalancingRules`` that no key of the settings file sets, or that two keys set."""
     set_by_file = [key.rule for keys in NUMERIC_KEYS.values() for key in keys.values()]
     assert len(set_by_file) == len(set(set_by_file))
     assert {rule.name for rule in fields(BalancingRules)} - set(set_by_file) == {"initial_request_s"}
--- a/tests/test_load_balancing_tier.py
+++ b/tests/test_load_balancing_tier.py
@@ -1,4 +1,7 @@
-"""Load balancing with real processes: frontends that balance over match servers, with faults injected."""
+"""Load balancing with real processes: frontends that balance over match servers, with faults injected.
+
+Frontends are named f0, f1, ..., match servers b0, b1, ...; "hands" is the process of their stand-in interpreters.
+"""
 
 from __future__ import annotations
 
@@ -65,8 +68,8 @@
         async def inject_faults() -> None:
             await asyncio.sleep(0.6)
             field.kill("b1")
-            field.say("hands", cold=1)
-            field.say("hands", fail=[2, True])
+            field.say("hands", cold=1)  # the interpreter of b1 loses its runs and restarts cold
+            field.say("hands", fail=[2, True])  # from now on every run at b2 fails immediately
             await asyncio.sleep(0.8)
             field.serve("b1")
             field.procs["b3"].popen.terminate()  # drains: runs in flight are completed
@@ -79,13 +82,13 @@
         report = tier.report()
         assert report["twice"] == 0
         failed = [call for call in calls if call.status != 200]
-        assert len(failed) < 0.06 * len(calls)  # runs of the killed process, and failed runs
+        assert len(failed) < 0.06 * len(calls)  # runs of the killed process, and failed runs at b2
         assert all(call.status in (502, 503, 504) for call in failed)
         assert len([call for call in calls if call.status == 200 and call.span > 1.5]) < 0.01 * len(calls)
         last_start = max(at for at, _ in report["began"])
         recent_runs = Counter(process for at, process in report["began"] if at > last_start - 0.8)
-        assert not recent_runs[3] and not recent_runs[4]  # the drained one and the removed one
-        assert recent_runs[2]  # the one that failed is used again
+        assert not recent_runs[3] and not recent_runs[4]  # b3 is drained, b4 is removed
+        assert recent_runs[2]  # b2 no longer fails, and is used again
 
 
 def test_a_commit_at_a_stopped_process_fails_early_as_uncertain_and_does_not_run_when_it_resumes() -> None:
@@ -107,7 +110,7 @@
             calls = await call_commits(12, b"b")
             uncertain = [call for call in calls if call.status != 200]
             assert uncertain and {call.status for call in uncertain} == {502}
-            assert max(call.span for call in uncertain) < 1.5 < 3.8  # the deadline
+            assert max(call.span for call in uncertain) < 1.5 < 3.8  # 3.8 s is the deadline of a commit
             assert all(call.status == 200 for call in await call_commits(4, b"c"))  # none is sent to b0
             before = tier.report()
             field.wake("b0")
@@ -115,6 +118,7 @@
             assert {call.status for call in await call_commits(6, b"d")} == {200}
             after = tier.report()
             assert before["twice"] == after["twice"] == 0
+            # Every commit of the four batches ran once, except the uncertain ones, which never ran.
             assert len(before["began"]) + len(after["began"]) == 8 + 12 - len(uncertain) + 4 + 6
 
         asyncio.run(scenario())
@@ -132,6 +136,7 @@
         assert not missed_objective(calls)
         starts = tier.report()["began"]
         first_runs = Counter(process for at, process in starts if at < starts[0][0] + 1.0)
+        # In the first second each of the 12 processes is chosen, and none more than twice as often as the mean.
         assert max(first_runs.values()) < 2.0 * sum(first_runs.values()) / 12 and len(first_runs) == 12
 
 
@@ -156,7 +161,7 @@
             BalancingSettingsError,
             match="GET /v1/spread from 127.0.0.1:.*: status 404; only a server started with --spread has this page",
         ):
-            command.status(f"127.0.0.1:{tier.controls['b0']}", False)
+            command.status(f"127.0.0.1:{tier.controls['b0']}", False)  # a match server runs without --spread
         with pytest.raises(
             BalancingSettingsError,
             match="GET /v1/spread from the admin server at 127.0.0.1:1 failed: .*Connection refused",
