--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -173,7 +173,7 @@
         unlocked_at: list[float] = []
         safe, commits, _ = asyncio.run(send_requests())
         ran_twice = tier.report()["twice"]
-    # The end of the first served commit of those that were due after the lock was released.
+    # The earliest end of a served commit that was due after the lock was released; 0 if there is none.
     served_again_at = min(
         (call.at + call.span for call in commits if unlocked_at and call.status == 200 and call.at > unlocked_at[0]),
         default=0.0,
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -36,6 +36,7 @@
 MAX_P99_RATIO_TO_SIMULATED = 1.35
 LOADS = ("0.7 of capacity", "0.9 of capacity", "1.0 of capacity")
 SHORT_SIZE, LONG_SIZE = (20, 40), (50, 100)  # fronts and processes of the simulated cases
+# The balancer is compared with this policy and the oracle in every case, with the other plain ones only in LOADS.
 PREVIOUS_POLICY = "two choices"
 # The client library with real servers of which some are stopped: a large fleet, and a small one for ``--short``. The
 # keys are the fields of ``lapishaven.lab.field.silent.Spec``.
@@ -164,7 +165,10 @@
 
 
 class Sorted:
-    """Cumulative sums with a binary search for each sample; a change of a weight rebuilds the sums."""
+    """Cumulative sums with a binary search for each sample; a change of a weight rebuilds the sums.
+
+    The weights are not sorted, the sums are. The class name is the key of the figures.
+    """
 
     def __init__(self, weights: Sequence[float]) -> None:
         self.weights = list(weights)
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -280,6 +280,7 @@
         now = balancer.next_check_at()
         probes, newly_suspected = balancer.check_responsiveness(now)
         health_checks += probes
+    # At most 0.33 s until the probe (the watch interval with jitter), and a probe timeout of 0.15 s.
     assert [probe.endpoint for probe in health_checks][:1] == ["p0"] and newly_suspected == ["p0"] and now < 0.6
     assert balancer.suspected_since("p0") is not None and not balancer.is_usable(now, balancer.endpoints.states["p0"])
     probe_count = 0
