--- a/benchmarks/request_path_cpu.py
+++ b/benchmarks/request_path_cpu.py
@@ -17,8 +17,8 @@
 
 from benchmarks.common import ROOT, finish
 from lapishaven.lab.fleet import Fleet
+from lapishaven.lab.handover.book import RequestLog
 from lapishaven.lab.handover.caller import Caller, Load, arrivals
-from lapishaven.lab.handover.request_log import RequestLog
 from lapishaven.lab.interpreter import Box
 
 RATE = 250.0  # requests a second: under a tenth of what the stand-in's cores can do, so that next to nothing waits
--- a/lapishaven/lab/handover/caller.py
+++ b/lapishaven/lab/handover/caller.py
@@ -16,7 +16,7 @@
 from random import Random
 
 from lapishaven.lab import site
-from lapishaven.lab.handover.request_log import RequestLog, RequestOutcome
+from lapishaven.lab.handover.book import RequestLog, RequestOutcome
 from lapishaven.proto import ProtocolError, jsonrpc
 
 DIAL_TIMEOUT_S = 1.0  # after which a connection attempt counts as refused
--- a/lapishaven/lab/handover/scrape.py
+++ b/lapishaven/lab/handover/scrape.py
@@ -13,8 +13,8 @@
 
 from prometheus_client.parser import text_string_to_metric_families
 
+from lapishaven.lab.handover.book import Verdict
 from lapishaven.lab.handover.platform import CONTROL_CALL_TIMEOUT_S, Platform
-from lapishaven.lab.handover.request_log import Verdict
 
 SCRAPE_INTERVAL_S = 0.1
 METRIC_FAMILIES = ("server_fulfilled", "server_throttled", "server_faulted", "server_relayed", "server_open_requests")
@@ -46,7 +46,7 @@
 async def scrape(
     platform: Platform, scrapes: list[Scrape], interval_s: float = SCRAPE_INTERVAL_S, rounds: int | None = None
 ) -> None:
-    """Scrape each running process every ``every`` seconds, ``rounds`` times or until cancelled."""
+    """Scrape each running process every ``interval_s`` seconds, ``rounds`` times or until cancelled."""
     loop = asyncio.get_running_loop()
     while rounds is None or rounds > 0:
         rounds = None if rounds is None else rounds - 1
@@ -71,20 +71,20 @@
     before a process listens and after it has stopped. The ``_off`` values compare the caller's counts with the last
     metrics of each process, summed over all processes.
     """
-    duration_s = sorted(scrape_result.duration_s for scrape_result in scrapes if scrape_result.figures is not None)
+    durations = sorted(scrape_result.duration_s for scrape_result in scrapes if scrape_result.figures is not None)
     unanswered = [scrape_result for scrape_result in scrapes if scrape_result.figures is None]
     last_figures: dict[str, dict[str, float]] = {}
     for scrape_result in scrapes:
         if scrape_result.figures is not None:
             last_figures[scrape_result.process] = scrape_result.figures
     total = {name: sum(figures.get(name, 0.0) for figures in last_figures.values()) for name in METRIC_FAMILIES}
-    if not duration_s:
+    if not durations:
         return {"calls": 0}
     return {
         "calls": len(scrapes),
-        "p50_ms": round(duration_s[len(duration_s) // 2] * 1000, 2),
-        "p99_ms": round(duration_s[min(len(duration_s) - 1, int(len(duration_s) * 0.99))] * 1000, 2),
-        "over_1s": sum(duration >= CONTROL_CALL_TIMEOUT_S for duration in duration_s)
+        "p50_ms": round(durations[len(durations) // 2] * 1000, 2),
+        "p99_ms": round(durations[min(len(durations) - 1, int(len(durations) * 0.99))] * 1000, 2),
+        "over_1s": sum(duration >= CONTROL_CALL_TIMEOUT_S for duration in durations)
         + sum(scrape_result.duration_s >= CONTROL_CALL_TIMEOUT_S * 0.99 for scrape_result in unanswered),
         "unreachable": sum(scrape_result.duration_s < CONTROL_CALL_TIMEOUT_S * 0.99 for scrape_result in unanswered),
         "fulfilled_off": abs(total["server_fulfilled"] - verdict.served),
--- a/lapishaven/lab/handover/trial.py
+++ b/lapishaven/lab/handover/trial.py
@@ -16,9 +16,9 @@
 
 from lapishaven.lab import site
 from lapishaven.lab.catalog import Catalog
+from lapishaven.lab.handover.book import RequestLog, Verdict
 from lapishaven.lab.handover.caller import Caller, Load, arrivals
 from lapishaven.lab.handover.platform import Handover, Platform, PlatformError
-from lapishaven.lab.handover.request_log import RequestLog, Verdict
 from lapishaven.lab.handover.scrape import Scrape, scrape, summarize
 from lapishaven.lab.interpreter import Box, Interpreter
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,8 +16,8 @@
 
 from lapishaven.cli import app
 from lapishaven.lab.handover import RequestLog, RequestOutcome, Spec, run
+from lapishaven.lab.handover.book import GRACE_S
 from lapishaven.lab.handover.platform import kill_after
-from lapishaven.lab.handover.request_log import GRACE_S
 from lapishaven.lab.handover.scrape import parse, within_slack
 from lapishaven.lab.ports import Ports
 
--- a/tests/test_ownership_serve.py
+++ b/tests/test_ownership_serve.py
@@ -21,9 +21,9 @@
 from lapishaven.lab import site
 from lapishaven.lab.catalog import Catalog
 from lapishaven.lab.fleet import Fleet
+from lapishaven.lab.handover.book import RequestLog as HandoverLog
 from lapishaven.lab.handover.caller import Caller, Load, arrivals
 from lapishaven.lab.handover.platform import Platform, Process
-from lapishaven.lab.handover.request_log import RequestLog as HandoverLog
 from lapishaven.lab.interpreter import Box, Interpreter
 from lapishaven.ownership.command import find_store_violation
 from lapishaven.ownership.fenced_store import FencedStore
