--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -21,7 +21,7 @@
 import numpy as np
 
 from benchmarks.common import arguments, finish, table, trials, write_into
-from lapishaven.lab.field.trial import TTL
+from lapishaven.lab.field.trial import TTL_S
 from lapishaven.lab.ownership_simulation import SimFleet
 from lapishaven.ownership.duties import budgets
 from lapishaven.ownership.fence import EffectRequest
@@ -188,7 +188,7 @@
     spans = sorted(span for f in ours for span in f["after_kill_s"])
     leaves = sorted(span for f in ours for span in f["after_leave_s"])
     p99 = spans[int(0.99 * (len(spans) - 1))] if spans else float("inf")
-    if p99 > TTL + 1.0:
+    if p99 > TTL_S + 1.0:
         missed.append(f"{p99} s without an owner after a kill")
     most_leave = leaves[-1] if leaves else float("inf")
     if most_leave > 0.2:
@@ -243,7 +243,7 @@
         head = ("members", "used", "most in 5 s", "needs shift every 20 s: used", "most", "fixed parts: used", "most")
         text += "\n\n" + table(head, rows)
         text += (
-            f"\n\nWithout an owner after a kill, real processes, lease {TTL:g} s: p99 {p99:.2f} s of {len(spans)};"
+            f"\n\nWithout an owner after a kill, real processes, lease {TTL_S:g} s: p99 {p99:.2f} s of {len(spans)};"
             f" simulated, lease 3 s: p99 {dead99:.2f} s. After a hand-over: at most {most_leave:.3f} s."
             f" False losses in an hour: {losses}."
         )
--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -23,7 +23,7 @@
 import numpy as np
 
 from benchmarks.common import arguments, finish, table, trials, write_into
-from lapishaven.lab.field import Field
+from lapishaven.lab.field import ProcessHarness
 from lapishaven.lab.field.tier import Call, Tier
 from lapishaven.ledger.command import audit
 from lapishaven.ledger.database import LedgerDatabase, Operation, OperationOutcome
@@ -42,7 +42,7 @@
 
 async def _commit(tier: Tier, server: str, key: str, at: float) -> Call:
     more = {"HTTP_X_REQUEST_ID": key, "HTTP_X_CALLER": "7"}
-    return await tier.call(server, "approve-commit", b"once " + key.encode(), at, more=more)
+    return await tier.call(server, "approve-commit", b"once " + key.encode(), at, extra_variables=more)
 
 
 def killed(mode: str, servers: int, commits: int, rate: float, seed: int) -> dict[str, Any]:
@@ -52,8 +52,8 @@
     folder = Path(tempfile.mkdtemp(prefix="lapishaven-record-"))
     words = _settings(folder) if mode == "record" else str(folder / "record.db")
     with (
-        Field() as field,
-        Tier(field, 0, [1.0] * servers, seed=seed, slots=16, scale=0.05, words=["--record", words]) as tier,
+        ProcessHarness() as field,
+        Tier(field, 0, [1.0] * servers, seed=seed, slots=16, scale=0.05, serve_arguments=["--record", words]) as tier,
     ):
         acked: set[str] = set()
         spans: list[float] = []
@@ -65,17 +65,17 @@
                 statuses[call.status] += 1
                 if call.status == 200:
                     acked.add(key)
-                    spans.append(call.span)
+                    spans.append(call.duration_s)
 
         async def strike(over: asyncio.Event) -> None:
             nonlocal kills
             while not over.is_set():
                 await asyncio.sleep(random.uniform(0.5, 1.5))
-                name = random.choice(tier.backs)
+                name = random.choice(tier.backends)
                 field.kill(name)
                 kills += 1
                 await asyncio.sleep(random.uniform(0.0, 0.3))
-                field.serve(name)
+                field.start_server(name)
 
         async def work() -> float:
             loop, over, tasks = asyncio.get_running_loop(), asyncio.Event(), []
@@ -84,7 +84,7 @@
             for n in range(commits):
                 due += random.expovariate(rate)
                 await asyncio.sleep(max(0.0, due - loop.time()))
-                to = random.sample(tier.backs, 2 if random.random() < 0.2 else 1)
+                to = random.sample(tier.backends, 2 if random.random() < 0.2 else 1)
                 tasks.append(asyncio.create_task(one(f"k{n}", to, due)))
             over.set()
             await asyncio.gather(*tasks)
@@ -92,7 +92,7 @@
             return loop.time() - start
 
         took = asyncio.run(work())
-        tier.ready(tier.backs)
+        tier.ready(tier.backends)
         twice = tier.report()["twice"]
     with closing(sqlite3.connect(folder / "record.db")) as base:
         if mode == "record":
@@ -128,8 +128,10 @@
     random = Random(seed)
     folder = Path(tempfile.mkdtemp(prefix="lapishaven-record-"))
     with (
-        Field() as field,
-        Tier(field, 0, [1.0] * 2, seed=seed, slots=4, scale=0.2, words=["--record", _settings(folder)]) as tier,
+        ProcessHarness() as field,
+        Tier(
+            field, 0, [1.0] * 2, seed=seed, slots=4, scale=0.2, serve_arguments=["--record", _settings(folder)]
+        ) as tier,
     ):
 
         async def work() -> tuple[list[Call], list[Call], float]:
@@ -150,7 +152,7 @@
                     held.close()
                     held, span_over = None, loop.time()
                     ends.append(span_over)
-                name = random.choice(tier.backs)
+                name = random.choice(tier.backends)
                 if random.random() < 0.84:
                     safe.append(asyncio.create_task(tier.call(name, "fuzzy-match", b"safe", due)))
                 else:
@@ -160,14 +162,14 @@
         ends: list[float] = []
         safe, commits, _ = asyncio.run(work())
         twice = tier.report()["twice"]
-    back = min((c.at + c.span for c in commits if ends and c.status == 200 and c.at > ends[0]), default=0.0)
+    back = min((c.at + c.duration_s for c in commits if ends and c.status == 200 and c.at > ends[0]), default=0.0)
     return {
         "stall_s": span,
         "safe": len(safe),
-        "safe_on_time": round(sum(c.status == 200 and c.span <= SAFE_AIM for c in safe) / len(safe), 4),
+        "safe_on_time": round(sum(c.status == 200 and c.duration_s <= SAFE_AIM for c in safe) / len(safe), 4),
         "commits": len(commits),
         "commits_served": sum(c.status == 200 for c in commits),
-        "most_s": round(max(c.span for c in commits), 2),
+        "most_s": round(max(c.duration_s for c in commits), 2),
         "back_after_s": round(back - ends[0], 2) if ends else 0.0,
         "ran_twice": twice,
         "audit": audit(str(folder / "record.toml")),
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from benchmarks.common import arguments, finish, table, trials, write_into
-from lapishaven.lab.field import Field
+from lapishaven.lab.field import ProcessHarness
 from lapishaven.lab.field.tier import Tier, figures
 from lapishaven.lab.load_balancing_cases import AT, CASES, SPEEDS, build, play
 from lapishaven.lab.load_balancing_simulation import COLD_SPAN
@@ -233,13 +233,16 @@
     random = Random(seed)
     speeds = [random.choice(SPEEDS) for _ in range(processes)]
     scale = max(1.0, processes / 60)
-    with Field() as field, Tier(field, fronts, speeds, seed=seed, slots=slots, scale=scale, policy=policy) as tier:
+    with (
+        ProcessHarness() as field,
+        Tier(field, fronts, speeds, seed=seed, slots=slots, scale=scale, policy=policy) as tier,
+    ):
         struck: list[float] = []
 
         async def faults() -> None:
             loop = asyncio.get_running_loop()
             if fault == "stop":
-                names = tier.backs[: max(1, processes // 5)]
+                names = tier.backends[: max(1, processes // 5)]
                 await asyncio.sleep(1.5)
                 struck.append(loop.time())
                 for name in names:
@@ -247,7 +250,7 @@
                 await asyncio.sleep(min(8.0, seconds - 2.5))
                 struck.append(loop.time())
                 for name in names:
-                    field.wake(name)
+                    field.resume(name)
 
         async def both() -> list[Any]:
             calls, _ = await asyncio.gather(tier.load(load * tier.capacity(), seconds), faults())
--- a/benchmarks/spread_path.py
+++ b/benchmarks/spread_path.py
@@ -13,7 +13,7 @@
 import numpy as np
 
 from benchmarks.common import arguments, finish
-from lapishaven.lab.field import Field
+from lapishaven.lab.field import ProcessHarness
 from lapishaven.lab.field.tier import Tier
 
 APART = 0.002  # s
@@ -24,7 +24,10 @@
     args = arguments(__doc__ or "")
     turns, span = (8, 2.0) if args.short else (40, 5.0)
     spans: dict[str, list[float]] = {"f0": [], "p0": []}
-    with Field() as field, Tier(field, 1, [1.0], seed=args.seed, slots=16, scale=SCALE, plain=1) as tier:
+    with (
+        ProcessHarness() as field,
+        Tier(field, 1, [1.0], seed=args.seed, slots=16, scale=SCALE, direct_fronts=1) as tier,
+    ):
 
         async def one(front: str, seed: int) -> list[float]:
             random, loop = Random(seed), asyncio.get_running_loop()
@@ -36,7 +39,7 @@
                 due += random.expovariate(RATE)
             found = await asyncio.gather(*calls)
             assert all(call.status == 200 for call in found)
-            return [call.span for call in found]
+            return [call.duration_s for call in found]
 
         for turn in range(turns):
             for front in ("f0", "p0") if turn % 2 else ("p0", "f0"):
--- a/lapishaven/lab/field/__init__.py
+++ b/lapishaven/lab/field/__init__.py
@@ -1,9 +1,10 @@
-"""The process field: many real processes of the program on loopback, faults between them by plan, and a checker.
+"""A harness for tests with many real processes on loopback, planned faults, and a checker of the results.
 
-``field`` starts and ends them, ``process`` is what it starts, ``plan`` draws faults, ``relay`` stands between two
-parties, ``checker`` reads all histories and the receivers' rows and names the first broken property.
+``field`` starts and ends the processes, ``process`` is the member process that it starts, ``plan`` draws faults,
+``relay`` injects network faults between two processes, and ``checker`` searches the processes' event histories and the
+receivers' rows for a violated property.
 """
 
-from lapishaven.lab.field.field import Field, FieldError
+from lapishaven.lab.field.field import HarnessError, ProcessHarness
 
-__all__ = ["Field", "FieldError"]
+__all__ = ["HarnessError", "ProcessHarness"]
--- a/lapishaven/lab/field/field.py
+++ b/lapishaven/lab/field/field.py
@@ -1,7 +1,7 @@
-"""Starts many processes, reads their histories as they come, and ends every one of them by its id.
+"""Starts many processes, reads their event histories as they are written, and ends each process by its id.
 
-Each process is told by the kernel to die when the field's process does (``PR_SET_PDEATHSIG``), so a field that is
-killed leaves none behind, not even stopped ones.
+The kernel kills each process when the harness's process ends (``PR_SET_PDEATHSIG``), so a harness that is killed leaves
+no process behind, not even a stopped one.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent.parent.parent
-Line = dict[str, Any]
+Event = dict[str, Any]
 _PDEATHSIG = 1
 _libc = ctypes.CDLL(None)
 
 
-STOPPED = "T"
+STOPPED_STATE = "T"
 STATE_POLL_S = 0.001
 
 
-class FieldError(RuntimeError):
-    """Something did not come in time, or a process ended that should not have."""
+class HarnessError(RuntimeError):
+    """An event or a process state was not reached in time, or a process that is to be started still runs."""
 
 
 def _die_with_parent() -> None:
@@ -41,60 +41,62 @@
 
 
 @dataclass(slots=True)
-class Proc:
-    """A process of the field."""
+class ManagedProcess:
+    """A process of the harness. ``exit_codes``: of all starts under its name, the earlier ones first."""
 
     name: str
     spec: dict[str, Any]
     popen: subprocess.Popen[bytes]
     module: str
-    ended: list[int] = field(default_factory=list)
+    exit_codes: list[int] = field(default_factory=list)
 
     @property
     def pid(self) -> int:
+        """The process id."""
         return self.popen.pid
 
     @property
     def alive(self) -> bool:
+        """Whether the process has not ended."""
         return self.popen.poll() is None
 
 
 def process_state(pid: int) -> str:
-    """The kernel's state letter of a process (proc(5)); empty if there is no such process."""
+    """The kernel's state letter of a process (see proc(5)); empty if there is no such process."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0]
     except OSError:
         return ""
 
 
-class Field:
-    """``with Field() as field``: files are kept in ``field.folder`` until the end."""
+class ProcessHarness:
+    """``with ProcessHarness() as harness``: files are kept in ``harness.folder`` until the end of the block."""
 
     def __init__(self, module: str = "lapishaven.lab.field.process") -> None:
         self._module = module
         self._temp = tempfile.TemporaryDirectory(prefix="lapishaven-field-")
         self.folder = Path(self._temp.name)
-        self.procs: dict[str, Proc] = {}
-        self.lines: list[Line] = []  # of all processes, in the order in which they were read
-        self._come = threading.Condition()
+        self.processes: dict[str, ManagedProcess] = {}
+        self.events: list[Event] = []  # of all processes, in the order in which they were read
+        self._events_changed = threading.Condition()
         self._selector = selectors.DefaultSelector()
         self._closing = False
-        self._rest: dict[int, bytes] = {}
+        self._partial_lines: dict[int, bytes] = {}
         self._reader = threading.Thread(target=self._read, daemon=True)
 
-    def __enter__(self) -> Field:
+    def __enter__(self) -> ProcessHarness:
         self._reader.start()
         return self
 
     def __exit__(self, *_: object) -> None:
-        for proc in self.procs.values():
+        for proc in self.processes.values():
             if proc.alive:
-                proc.popen.kill()  # SIGKILL ends stopped ones too
-        for proc in self.procs.values():
+                proc.popen.kill()  # SIGKILL ends stopped processes too
+        for proc in self.processes.values():
             proc.popen.wait()
         self._closing = True
         self._reader.join(5.0)
-        for proc in self.procs.values():
+        for proc in self.processes.values():
             for stream in (proc.popen.stdin, proc.popen.stdout):
                 if stream is not None:
                     with suppress(OSError):
@@ -102,15 +104,15 @@
         self._temp.cleanup()
 
     # ---- Processes
-    def serve(self, name: str, *words: str) -> Proc:
-        """Start a match server of the program, or start it again with the words that it had. It logs to a file."""
-        old = self.procs.get(name)
-        if old is not None and old.alive:
-            raise FieldError(f"{name} is still there")
-        words = words or tuple(old.spec["words"] if old is not None else ())
+    def start_server(self, name: str, *arguments: str) -> ManagedProcess:
+        """Start a match server, or restart it with its earlier arguments if none are given. It logs to ``NAME.log``."""
+        previous = self.processes.get(name)
+        if previous is not None and previous.alive:
+            raise HarnessError(f"cannot start server {name}: process {previous.pid} is still running")
+        arguments = arguments or tuple(previous.spec["arguments"] if previous is not None else ())
         with open(self.folder / f"{name}.log", "ab") as log:
             popen = subprocess.Popen(
-                [sys.executable, "-m", "lapishaven", "serve", *words],
+                [sys.executable, "-m", "lapishaven", "serve", *arguments],
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
@@ -119,16 +121,18 @@
                 env={**os.environ, "PYTHONPATH": str(ROOT)},
                 preexec_fn=_die_with_parent,
             )
-        proc = self.procs[name] = Proc(name, {"words": words}, popen, "", ended=old.ended if old else [])
+        proc = self.processes[name] = ManagedProcess(
+            name, {"arguments": arguments}, popen, "", exit_codes=previous.exit_codes if previous else []
+        )
         return proc
 
-    def start(self, name: str, module: str = "", **spec: Any) -> Proc:
-        """Start a process, or start it again with what it had, changed by ``spec``."""
-        old = self.procs.get(name)
-        if old is not None:
-            if old.alive:
-                raise FieldError(f"{name} is still there")
-            module, spec = module or old.module, {**old.spec, **spec}
+    def start(self, name: str, module: str = "", **spec: Any) -> ManagedProcess:
+        """Start a process, or restart it with its earlier specification, updated by ``spec``."""
+        previous = self.processes.get(name)
+        if previous is not None:
+            if previous.alive:
+                raise HarnessError(f"cannot start {name}: process {previous.pid} is still running")
+            module, spec = module or previous.module, {**previous.spec, **spec}
         module = module or self._module
         popen = subprocess.Popen(
             [sys.executable, "-m", module, json.dumps({"name": name, **spec})],
@@ -140,100 +144,111 @@
             env={**os.environ, "PYTHONPATH": str(ROOT)},
             preexec_fn=_die_with_parent,
         )
-        proc = Proc(name, spec, popen, module, ended=old.ended if old else [])
-        self.procs[name] = proc
+        proc = ManagedProcess(name, spec, popen, module, exit_codes=previous.exit_codes if previous else [])
+        self.processes[name] = proc
         assert popen.stdout is not None
         os.set_blocking(popen.stdout.fileno(), False)
         self._selector.register(popen.stdout, selectors.EVENT_READ, name)
         return proc
 
-    def say(self, name: str, **words: Any) -> None:
-        stdin = self.procs[name].popen.stdin
+    def send_command(self, name: str, **command: Any) -> None:
+        """Write a command to a process's standard input, as one line of JSON."""
+        stdin = self.processes[name].popen.stdin
         assert stdin is not None
-        with suppress(OSError):  # it may be gone
-            stdin.write(json.dumps(words).encode() + b"\n")
+        with suppress(OSError):  # the process may have ended
+            stdin.write(json.dumps(command).encode() + b"\n")
 
-    def note(self, what: str, **facts: Any) -> None:
-        """A line of the field's own, at the time of its clock."""
-        with self._come:
-            self.lines.append({"at": time.clock_gettime(time.CLOCK_BOOTTIME), "who": "field", "what": what, **facts})
-            self._come.notify_all()
+    def record_event(self, what: str, **facts: Any) -> None:
+        """Add an event of the harness itself to the history."""
+        with self._events_changed:
+            self.events.append({"at": time.clock_gettime(time.CLOCK_BOOTTIME), "who": "field", "what": what, **facts})
+            self._events_changed.notify_all()
 
     def stop(self, name: str) -> None:
-        self.procs[name].popen.send_signal(signal.SIGSTOP)
+        """Stop a process with SIGSTOP."""
+        self.processes[name].popen.send_signal(signal.SIGSTOP)
 
-    def wake(self, name: str, timeout: float = 10.0) -> None:
+    def resume(self, name: str, timeout: float = 10.0) -> None:
         """Resume a stopped process.
 
         Waits until the stop has taken effect: a SIGCONT that comes before it is lost, and the process stays stopped.
-        Raises ``FieldError`` if it does not stop within ``timeout`` seconds.
+        Raises ``HarnessError`` if it does not stop within ``timeout`` seconds.
         """
-        process = self.procs[name].popen
-        until = time.monotonic() + timeout
-        while process_state(process.pid) != STOPPED:
-            if time.monotonic() > until:
-                raise FieldError(f"{name} did not stop within {timeout:g} s")
+        process = self.processes[name].popen
+        deadline = time.monotonic() + timeout
+        while process_state(process.pid) != STOPPED_STATE:
+            if time.monotonic() > deadline:
+                raise HarnessError(f"cannot resume {name}: process {process.pid} did not stop within {timeout:g} s")
             time.sleep(STATE_POLL_S)
         process.send_signal(signal.SIGCONT)
 
     def kill(self, name: str) -> None:
-        proc = self.procs[name]
+        """Kill a process with SIGKILL, and wait for its end."""
+        proc = self.processes[name]
         proc.popen.kill()
-        proc.ended.append(proc.popen.wait())
+        proc.exit_codes.append(proc.popen.wait())
 
-    def ended(self, name: str, timeout: float = 20.0) -> int:
-        """Wait for a process to end by itself; gives its code."""
+    def wait_for_exit(self, name: str, timeout: float = 20.0) -> int:
+        """Wait for a process to end by itself, and return its exit code."""
         try:
-            code = self.procs[name].popen.wait(timeout)
+            code = self.processes[name].popen.wait(timeout)
         except subprocess.TimeoutExpired:
-            raise FieldError(f"{name} did not end within {timeout:g} s") from None
-        self.procs[name].ended.append(code)
+            raise HarnessError(
+                f"process {self.processes[name].pid} ({name}) did not end by itself within {timeout:g} s"
+            ) from None
+        self.processes[name].exit_codes.append(code)
         return code
 
     # ---- Histories
     def _read(self) -> None:
         while True:
-            ready = self._selector.select(0.1)
-            if not ready and self._closing:
+            ready_keys = self._selector.select(0.1)
+            if not ready_keys and self._closing:
                 return
-            for key, _ in ready:
-                self._take(key.fileobj, key.fd)
+            for key, _ in ready_keys:
+                self._read_available(key.fileobj, key.fd)
 
-    def _take(self, stream: Any, number: int) -> None:
+    def _read_available(self, stream: Any, descriptor: int) -> None:
         try:
-            data = os.read(number, 1 << 16)
+            data = os.read(descriptor, 1 << 16)
         except BlockingIOError:
             return
         except OSError:
             data = b""
         if not data:
             self._selector.unregister(stream)
-            self._rest.pop(number, None)
+            self._partial_lines.pop(descriptor, None)
             return
-        *whole, rest = (self._rest.get(number, b"") + data).split(b"\n")
-        self._rest[number] = rest
-        with self._come:
-            self.lines += [json.loads(line) for line in whole if line]
-            self._come.notify_all()
-
-    def wait(self, what: str, found: Callable[[Sequence[Line]], Any], timeout: float = 30.0) -> Any:
-        """Wait until ``found(lines)`` is true, looking at each line that comes; ``FieldError`` after ``timeout``."""
-        until = time.monotonic() + timeout
-        with self._come:
-            while not (result := found(self.lines)):
-                left = until - time.monotonic()
-                if left <= 0 or not self._come.wait(left):
-                    raise FieldError(f"no {what} within {timeout:g} s; the last lines: {self.lines[-5:]}")
+        *complete_lines, partial_line = (self._partial_lines.get(descriptor, b"") + data).split(b"\n")
+        self._partial_lines[descriptor] = partial_line
+        with self._events_changed:
+            self.events += [json.loads(line) for line in complete_lines if line]
+            self._events_changed.notify_all()
+
+    def wait_until(self, what: str, condition: Callable[[Sequence[Event]], Any], timeout: float = 30.0) -> Any:
+        """Wait until ``found(events)`` is true, and return its value.
+
+        It is called again after each new event. Raises ``HarnessError`` after ``timeout`` seconds; ``what`` names the
+        expected state in the message.
+        """
+        deadline = time.monotonic() + timeout
+        with self._events_changed:
+            while not (result := condition(self.events)):
+                remaining_s = deadline - time.monotonic()
+                if remaining_s <= 0 or not self._events_changed.wait(remaining_s):
+                    raise HarnessError(
+                        f"timed out after {timeout:g} s waiting for {what}; last events: {self.events[-5:]}"
+                    )
         return result
 
-    def first(self, what: str, timeout: float = 30.0, since: int = 0, **facts: Any) -> Line:
-        """The first line after number ``since`` that says ``what`` with these facts."""
+    def wait_for_event(self, what: str, timeout: float = 30.0, since: int = 0, **facts: Any) -> Event:
+        """Wait for the first event from index ``since`` on with this ``what`` and these facts."""
 
-        def found(lines: Sequence[Line]) -> Line | None:
-            for line in lines[since:]:
-                if line["what"] == what and all(line.get(key) == value for key, value in facts.items()):
-                    return line
+        def condition(events: Sequence[Event]) -> Event | None:
+            for event in events[since:]:
+                if event["what"] == what and all(event.get(key) == value for key, value in facts.items()):
+                    return event
             return None
 
-        line: Line = self.wait(f"{what} {facts}", found, timeout)
-        return line
+        event: Event = self.wait_until(f"event {what!r} with {facts}", condition, timeout)
+        return event
--- a/lapishaven/lab/field/long.py
+++ b/lapishaven/lab/field/long.py
@@ -1,10 +1,11 @@
-"""The hard cases of ownership at their full length, on real processes, each with what the checker makes of it.
+"""Long-running failure cases of shard ownership, on real processes, each checked for violated properties.
 
-``python -m lapishaven.lab.field.long SPEC`` prints one JSON object. ``held``: an owner is stopped with its write on
-the wire, which a relay lets through ``span`` seconds later, and then it wakes. ``away``: the coordinator is away for
-``span`` seconds with owners in mid-work, and is back with every lease aged out. ``half``: ``members`` start in the same
-second, half are killed at once and come back after ``span`` seconds. ``flap``: one of them is killed and started again
-each second for ``span`` seconds while the others work.
+``python -m lapishaven.lab.field.long SPEC`` prints one JSON object. The cases are:
+
+- ``held``: an owner is stopped after it sent a write, which a relay holds for ``span`` seconds; then it is resumed;
+- ``away``: the coordinator is unavailable for ``span`` seconds under load, after which all leases have expired;
+- ``half``: ``members`` start in the same second, half are killed at once and restarted after ``span`` seconds;
+- ``flap``: one of eight members is killed and restarted each second for ``span`` seconds.
 """
 
 from __future__ import annotations
@@ -17,18 +18,18 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lapishaven.lab.field.field import Field, Line
-from lapishaven.lab.field.member_process import FAST, Team, evenly
-from lapishaven.lab.field.relay import Mode, Relays
+from lapishaven.lab.field.field import Event, ProcessHarness
+from lapishaven.lab.field.member_process import FAST_RULES, MemberGroup, is_evenly_owned
+from lapishaven.lab.field.relay import RelayMode, Relays
 from lapishaven.ownership.verify import find_interleaved
 
-WIDE = {**FAST, "ttl": 3.0, "margin": 0.3, "poll_interval": 0.3, "rejoin_spread": 0.5}
-WAIT = 90.0  # s
+LARGE_GROUP_RULES = {**FAST_RULES, "ttl": 3.0, "margin": 0.3, "poll_interval": 0.3, "rejoin_spread": 0.5}
+WAIT_TIMEOUT_S = 90.0
 
 
 @dataclass
-class Long:
-    """``fenced`` false is the baseline: a receiver that takes what comes."""
+class LongCase:
+    """One case. With ``fenced`` false, the baseline, the receiver accepts every effect."""
 
     case: str
     coordinator: str
@@ -38,13 +39,13 @@
     fenced: bool = True
 
     def run(self) -> dict[str, Any]:
-        """Run it; gives its figures."""
-        with Field() as field:
-            self._field, self._team = field, Team(field, self.coordinator, self.fenced)
-            began = time.monotonic()
+        """Run the case, and return its results."""
+        with ProcessHarness() as harness:
+            self._harness, self._group = harness, MemberGroup(harness, self.coordinator, self.fenced)
+            began_at = time.monotonic()
             cases = {"held": self._held, "away": self._away, "half": self._half, "flap": self._flap}
-            found = cases[self.case]()
-            lines, rows = list(field.lines), self._team.effects()
+            results = cases[self.case]()
+            events, rows = list(harness.events), self._group.effects()
             return {
                 "case": self.case,
                 "coordinator": self.coordinator,
@@ -52,120 +53,152 @@
                 "fenced": self.fenced,
                 "effects": len(rows),
                 "older_accepted": int(find_interleaved(rows) is not None),
-                "broken": self._team.broken(),
-                "stale_refused": sum(line["what"] == "stale" for line in lines),
-                "real_s": round(time.monotonic() - began, 1),
-                **found,
+                "broken": self._group.find_violation(),
+                "stale_refused": sum(event["what"] == "stale" for event in events),
+                "real_s": round(time.monotonic() - began_at, 1),
+                **results,
             }
 
-    def _pass(self, span: float) -> None:
-        """Seconds by the clock that the histories have; members write all the time."""
-        until = time.clock_gettime(time.CLOCK_BOOTTIME) + span
-        self._field.wait("time", lambda lines: lines[-1]["at"] >= until, span + WAIT)
+    def _let_time_pass(self, span: float) -> None:
+        """Wait for events until ``span`` seconds have passed on the events' clock. The members write all the time."""
+        deadline = time.clock_gettime(time.CLOCK_BOOTTIME) + span
+        self._harness.wait_until("the time to pass", lambda events: events[-1]["at"] >= deadline, span + WAIT_TIMEOUT_S)
 
     def _held(self) -> dict[str, Any]:
-        field, team = self._field, self._team
+        harness, group = self._harness, self._group
         with Relays() as relays:
-            relay = relays.open(team.receiver)
-            a, b, token = team.pair(receiver=relay.port, act_timeout=self.span + 30.0)
-            relays.change(relay, Mode(hold_up=True))
-            relays.held(relay)
-            field.stop("a")
-            stopped = time.clock_gettime(time.CLOCK_BOOTTIME)
-            newer = field.first("acked", who=b)
-            self._pass(self.span)
-            relays.change(relay, Mode())
-            self._pass(1.0)  # it reaches the receiver while its sender still sleeps
-            since = len(field.lines)
-            field.wake("a")
-            field.first("joined", since=since, who=a, timeout=WAIT)
-            field.first("acked", since=since, who=b)
-        return {"without_owner_s": round(newer["at"] - stopped, 2)}
-
-    def _eight(self) -> None:
-        """Eight members at work on 16 shards."""
+            relay = relays.open(group.receiver)
+            owner, second, token = group.start_pair(receiver=relay.port, act_timeout=self.span + 30.0)
+            relays.set_mode(relay, RelayMode(hold_upstream=True))
+            relays.wait_until_held(relay)
+            harness.stop("a")
+            stopped_at = time.clock_gettime(time.CLOCK_BOOTTIME)
+            next_acked = harness.wait_for_event("acked", who=second)
+            self._let_time_pass(self.span)
+            relays.set_mode(relay, RelayMode())
+            self._let_time_pass(1.0)  # the write reaches the receiver while its sender is still stopped
+            since = len(harness.events)
+            harness.resume("a")
+            harness.wait_for_event("joined", since=since, who=owner, timeout=WAIT_TIMEOUT_S)
+            harness.wait_for_event("acked", since=since, who=second)
+        return {"without_owner_s": round(next_acked["at"] - stopped_at, 2)}
+
+    def _start_eight_members(self) -> None:
+        """Start eight members, and wait until they share 16 shards evenly."""
         names = [f"m{n}" for n in range(8)]
         for name in names:
-            self._team.start(name, shards=16)
-        self._field.wait("all at work", lambda lines: evenly(lines, names, 16), WAIT)
+            self._group.start(name, shards=16)
+        self._harness.wait_until(
+            "an even distribution of 16 shards over 8 members",
+            lambda events: is_evenly_owned(events, names, 16),
+            WAIT_TIMEOUT_S,
+        )
 
     def _away(self) -> dict[str, Any]:
-        field = self._field
-        self._eight()
-        since = len(field.lines)
-        holder = None
+        harness = self._harness
+        self._start_eight_members()
+        since = len(harness.events)
+        lock_holder = None
         if self.coordinator == "sqlite":
-            # The file locked by somebody for long is what an outage is there.
-            holder = sqlite3.connect(field.folder / "lease.db", isolation_level=None, timeout=30.0)
-            holder.execute("begin immediate")
+            # A lock held on the file is what an outage of this coordinator amounts to.
+            lock_holder = sqlite3.connect(harness.folder / "lease.db", isolation_level=None, timeout=30.0)
+            lock_holder.execute("begin immediate")
         else:
-            field.say("etcd", restart="aged", refuse=self.span)
-        began = time.clock_gettime(time.CLOCK_BOOTTIME)
-        field.wait("all to have stopped", lambda lines: sum(x["what"] == "lost" for x in lines[since:]) >= 16, WAIT)
-        # An act that was under way at the loss ends within the margin, while the lease still stands.
-        mark = max(x["at"] for x in field.lines[since:] if x["what"] == "lost") + FAST["margin"]
-        time.sleep(max(0.0, began + self.span - time.clock_gettime(time.CLOCK_BOOTTIME) - 0.2))
-        during = [x for x in field.lines[since:] if x["what"] in ("gained", "acked") and x["at"] > mark]
-        if holder is not None:
-            holder.execute("rollback")
-            holder.close()
-        back = time.clock_gettime(time.CLOCK_BOOTTIME)
-        lines = field.wait("all at work again", lambda lines: lines if self._all(lines, back, 16) else None, WAIT)
-        firsts: dict[int, float] = {}
-        for line in lines:
-            if line["what"] == "acked" and line["at"] > back:
-                firsts.setdefault(line["shard"], line["at"])
-        joins = [x["at"] for x in lines if x["what"] == "joined" and x["at"] > back - 0.5]
+            harness.send_command("etcd", restart="aged", refuse=self.span)
+        began_at = time.clock_gettime(time.CLOCK_BOOTTIME)
+        harness.wait_until(
+            "all owners to stop",
+            lambda events: sum(event["what"] == "lost" for event in events[since:]) >= 16,
+            WAIT_TIMEOUT_S,
+        )
+        # An act in progress when its owner stops ends within the margin, while the lease is still valid.
+        stopped_at = (
+            max(event["at"] for event in harness.events[since:] if event["what"] == "lost") + FAST_RULES["margin"]
+        )
+        time.sleep(max(0.0, began_at + self.span - time.clock_gettime(time.CLOCK_BOOTTIME) - 0.2))
+        acts_during = [
+            event
+            for event in harness.events[since:]
+            if event["what"] in ("gained", "acked") and event["at"] > stopped_at
+        ]
+        if lock_holder is not None:
+            lock_holder.execute("rollback")
+            lock_holder.close()
+        back_at = time.clock_gettime(time.CLOCK_BOOTTIME)
+        events = harness.wait_until(
+            "an effect on every shard after the outage",
+            lambda events: events if self._all_shards_acted(events, back_at, 16) else None,
+            WAIT_TIMEOUT_S,
+        )
+        first_acked_at: dict[int, float] = {}
+        for event in events:
+            if event["what"] == "acked" and event["at"] > back_at:
+                first_acked_at.setdefault(event["shard"], event["at"])
+        joined_at = [event["at"] for event in events if event["what"] == "joined" and event["at"] > back_at - 0.5]
         return {
-            "acts_while_away": len(during),
-            "without_owner_s": round(max(firsts.values()) - back, 2),
-            "joins_spread_s": round(max(joins) - min(joins), 2) if joins else None,
+            "acts_while_away": len(acts_during),
+            "without_owner_s": round(max(first_acked_at.values()) - back_at, 2),
+            "joins_spread_s": round(max(joined_at) - min(joined_at), 2) if joined_at else None,
         }
 
     @staticmethod
-    def _all(lines: Sequence[Line], since: float, shards: int) -> bool:
-        return len({x["shard"] for x in lines if x["what"] == "acked" and x["at"] > since}) == shards
+    def _all_shards_acted(events: Sequence[Event], since: float, shards: int) -> bool:
+        return len({event["shard"] for event in events if event["what"] == "acked" and event["at"] > since}) == shards
 
     def _half(self) -> dict[str, Any]:
-        field, team = self._field, self._team
+        harness, group = self._harness, self._group
         names, shards = [f"m{n}" for n in range(self.members)], 2 * self.members
-        began = time.clock_gettime(time.CLOCK_BOOTTIME)
+        began_at = time.clock_gettime(time.CLOCK_BOOTTIME)
         for name in names:
-            team.start(name, shards=shards, every=0.5, rules=WIDE)
-        field.wait("all at work", lambda lines: evenly(lines, names, shards), WAIT)
-        started = field.lines[-1]["at"] - began
-        killed = time.clock_gettime(time.CLOCK_BOOTTIME)
-        half = names[: self.members // 2]
-        for name in half:
-            field.kill(name)
-        field.wait("the survivors", lambda lines: evenly(lines, names[len(half) :], shards), WAIT)
-        followed = field.lines[-1]["at"] - killed
-        self._pass(self.span)
-        for name in half:
-            field.start(name)
-        field.wait("all again", lambda lines: evenly(lines, names, shards), WAIT)
-        return {"all_at_work_s": round(started, 2), "without_owner_s": round(followed, 2)}
+            group.start(name, shards=shards, every=0.5, rules=LARGE_GROUP_RULES)
+        harness.wait_until(
+            "an even distribution over all members",
+            lambda events: is_evenly_owned(events, names, shards),
+            WAIT_TIMEOUT_S,
+        )
+        started_s = harness.events[-1]["at"] - began_at
+        killed_at = time.clock_gettime(time.CLOCK_BOOTTIME)
+        killed_names = names[: self.members // 2]
+        for name in killed_names:
+            harness.kill(name)
+        harness.wait_until(
+            "an even distribution over the surviving members",
+            lambda events: is_evenly_owned(events, names[len(killed_names) :], shards),
+            WAIT_TIMEOUT_S,
+        )
+        taken_over_s = harness.events[-1]["at"] - killed_at
+        self._let_time_pass(self.span)
+        for name in killed_names:
+            harness.start(name)
+        harness.wait_until(
+            "an even distribution after the restart",
+            lambda events: is_evenly_owned(events, names, shards),
+            WAIT_TIMEOUT_S,
+        )
+        return {"all_at_work_s": round(started_s, 2), "without_owner_s": round(taken_over_s, 2)}
 
     def _flap(self) -> dict[str, Any]:
-        field = self._field
-        self._eight()
-        since = len(field.lines)
+        harness = self._harness
+        self._start_eight_members()
+        since = len(harness.events)
         starts = 0
-        until = time.monotonic() + self.span
-        while time.monotonic() < until:
-            if field.procs["m0"].alive:
-                field.kill("m0")
-            field.start("m0")
+        deadline = time.monotonic() + self.span
+        while time.monotonic() < deadline:
+            if harness.processes["m0"].alive:
+                harness.kill("m0")
+            harness.start("m0")
             starts += 1
-            self._pass(1.0)
-        gained = sum(x["what"] == "gained" and x["who"].startswith("m0:") for x in field.lines[since:])
-        others = sum(x["what"] == "lost" and not x["who"].startswith("m0:") for x in field.lines[since:])
-        return {"starts": starts, "gained_by_it": gained, "lost_by_others": others}
+            self._let_time_pass(1.0)
+        gained = sum(event["what"] == "gained" and event["who"].startswith("m0:") for event in harness.events[since:])
+        lost_by_others = sum(
+            event["what"] == "lost" and not event["who"].startswith("m0:") for event in harness.events[since:]
+        )
+        return {"starts": starts, "gained_by_it": gained, "lost_by_others": lost_by_others}
 
 
 def main() -> None:
     """Run one case and print its figures as JSON."""
-    print(json.dumps(Long(**json.loads(sys.argv[1])).run()))
+    print(json.dumps(LongCase(**json.loads(sys.argv[1])).run()))
 
 
 if __name__ == "__main__":
--- a/lapishaven/lab/field/member_process.py
+++ b/lapishaven/lab/field/member_process.py
@@ -1,4 +1,4 @@
-"""A few members of the field that share work: their coordinator, their receiver, and the check of what took effect."""
+"""A group of member processes that share work, with their coordinator, their receiver and a check of the effects."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from contextlib import closing
 from typing import Any
 
-from lapishaven.lab.field.checker import broken
-from lapishaven.lab.field.field import Field, Line
+from lapishaven.lab.field.checker import find_violation
+from lapishaven.lab.field.field import Event, ProcessHarness
 from lapishaven.ownership.verify import EffectRow
 
-FAST = {
+FAST_RULES = {
     "ttl": 0.9,
     "margin": 0.1,
     "settling_time": 0.1,
@@ -20,62 +20,69 @@
     "rejoin_spread": 0.1,
     "transfer_delay": 0.3,
 }
-ETCD = {**FAST, "ttl": 1.0}
+ETCD_RULES = {**FAST_RULES, "ttl": 1.0}
 
 
-def evenly(lines: Sequence[Line], among: Iterable[str], shards: int) -> bool:
-    """Whether members of these names, and no others, were the last to gain each shard, none over 1.25 of the mean."""
+def is_evenly_owned(events: Sequence[Event], members: Iterable[str], shards: int) -> bool:
+    """Whether all shards were last gained by members with these names, none with over 1.25 times the mean."""
     owner: dict[int, str] = {}
-    for line in lines:
-        if line["what"] == "gained":
-            owner[line["shard"]] = line["who"].partition(":")[0]
-    loads, names = Counter(owner.values()), set(among)
+    for event in events:
+        if event["what"] == "gained":
+            owner[event["shard"]] = event["who"].partition(":")[0]
+    loads, names = Counter(owner.values()), set(members)
     return len(owner) == shards and set(loads) <= names and max(loads.values()) <= shards / len(names) * 1.25
 
 
-class Team:
-    """A field with a coordinator and a receiver's process; members reach both as their options say."""
+class MemberGroup:
+    """Members with one coordinator and one receiver process."""
 
-    def __init__(self, field: Field, kind: str, fenced: bool = True) -> None:
-        """``kind``: of coordinator, ``sqlite`` or ``etcd``. Not ``fenced``: the receiver takes what comes."""
-        self.field, self.kind = field, kind
-        self.book = field.folder / "book.db"
+    def __init__(self, harness: ProcessHarness, coordinator_kind: str, fenced: bool = True) -> None:
+        """``coordinator_kind`` is ``sqlite`` or ``etcd``. Without ``fenced`` the receiver accepts every effect."""
+        self.harness, self.coordinator_kind = harness, coordinator_kind
+        self.store_path = harness.folder / "book.db"
         self.etcd = self.receiver = 0
-        if kind == "etcd":
-            field.start("etcd", "lapishaven.lab.etcd", min_ttl=1)
-            self.etcd = field.first("start", who="etcd")["port"]
-        field.start("book", "lapishaven.lab.field.receiver_process", book=str(self.book), fenced=fenced)
-        self.receiver = field.first("start", who="book")["port"]
+        if coordinator_kind == "etcd":
+            harness.start("etcd", "lapishaven.lab.etcd", min_ttl=1)
+            self.etcd = harness.wait_for_event("start", who="etcd")["port"]
+        harness.start("book", "lapishaven.lab.field.receiver_process", book=str(self.store_path), fenced=fenced)
+        self.receiver = harness.wait_for_event("start", who="book")["port"]
 
     def start(self, name: str, **spec: Any) -> str:
-        """Start a member; gives how it calls itself in its history."""
+        """Start a member, and return its incarnation, by which the event history names it."""
         seed = sum(map(ord, name))
-        file = str(self.field.folder / "lease.db")
-        place: dict[str, Any] = {"etcd": self.etcd} if self.kind == "etcd" else {"coordinator": file}
-        base = {"shards": 1, "every": 0.02, "receiver": self.receiver, "rules": ETCD if self.etcd else FAST}
-        self.field.start(name, **{"seed": seed, **place, **base, **spec})
-        return f"{name}:{self.field.procs[name].pid}"
+        lease_path = str(self.harness.folder / "lease.db")
+        coordinator_spec: dict[str, Any] = (
+            {"etcd": self.etcd} if self.coordinator_kind == "etcd" else {"coordinator": lease_path}
+        )
+        defaults = {
+            "shards": 1,
+            "every": 0.02,
+            "receiver": self.receiver,
+            "rules": ETCD_RULES if self.etcd else FAST_RULES,
+        }
+        self.harness.start(name, **{"seed": seed, **coordinator_spec, **defaults, **spec})
+        return f"{name}:{self.harness.processes[name].pid}"
 
     def effects(self) -> list[EffectRow]:
-        """What took effect, in its order."""
-        with closing(sqlite3.connect(self.book)) as base:
-            found = base.execute("select duty, shard, token, number from fence_log order by position").fetchall()
-        return [EffectRow((duty, shard), token, number) for duty, shard, token, number in found]
+        """The effects that the receiver applied, in order."""
+        with closing(sqlite3.connect(self.store_path)) as connection:
+            rows = connection.execute("select duty, shard, token, number from fence_log order by position").fetchall()
+        return [EffectRow((duty, shard), token, number) for duty, shard, token, number in rows]
 
-    def broken(self) -> str | None:
-        """The first broken property; none if all hold."""
-        lines = list(self.field.lines)  # before the rows, so that what is acknowledged in between is not missed
+    def find_violation(self) -> str | None:
+        """A description of the first violated property; None if all hold."""
+        events = list(self.harness.events)  # before the rows: an effect acknowledged in between is not lost
         rows = self.effects()
-        return broken(rows, lines) if rows else "nothing took effect"
+        return find_violation(rows, events) if rows else "no effect was applied"
 
-    def check(self) -> None:
+    def assert_no_violation(self) -> None:
         """Assert that all properties hold."""
-        assert self.broken() is None, self.broken()
+        assert self.find_violation() is None, self.find_violation()
 
-    def pair(self, **spec: Any) -> tuple[str, str, int]:
-        """An owner and a second member that has settled; who they are, and the owner's token."""
-        a = self.start("a", **spec)
-        first = self.field.first("acked", who=a)
-        b = self.start("b", **{key: value for key, value in spec.items() if key not in ("etcd", "receiver")})
-        self.field.first("joined", who=b)
-        return a, b, first["token"]
+    def start_pair(self, **spec: Any) -> tuple[str, str, int]:
+        """Start an owner and then a second member; return their incarnations and the owner's token."""
+        owner = self.start("a", **spec)
+        first = self.harness.wait_for_event("acked", who=owner)
+        second = self.start("b", **{key: value for key, value in spec.items() if key not in ("etcd", "receiver")})
+        self.harness.wait_for_event("joined", who=second)
+        return owner, second, first["token"]
--- a/lapishaven/lab/field/process.py
+++ b/lapishaven/lab/field/process.py
@@ -1,8 +1,9 @@
-"""A process of the field: the program's agent, with points at which it stops or dies, and a history on its output.
+"""A member process for the harness: an ownership agent with fault points that prints its event history.
 
-It reads words from standard input, one JSON object a line: ``{"arm": [POINT, "stop" or "kill", COUNT]}`` has it stop
-or kill itself when it comes to a point for the COUNTth time from then, ``{"step": S}`` steps its wall clock,
-``{"leave": true}`` has it hand over and end, ``{"shed": [DUTY, SHARD]}`` give a shard back.
+It reads commands from standard input, one JSON object a line. ``{"arm": [POINT, "stop" or "kill", COUNT]}`` makes it
+stop or kill itself when it next reaches the fault point for the COUNTth time, ``{"step": S}`` steps its wall clock by
+S seconds, ``{"leave": true}`` makes it hand over its shards and end, and ``{"shed": [DUTY, SHARD]}`` makes it give a
+shard back.
 """
 
 from __future__ import annotations
@@ -28,53 +29,52 @@
 from lapishaven.ownership.receiver import RemoteReceiver
 from lapishaven.ownership.rules import MembershipRules
 
-SHARDS, LENGTH = 2, 0.3  # of the periods that the field closes: shards, and s
+SHARDS, PERIOD_S = 2, 0.3
 
 
-def _tick(base: sqlite3.Connection, detail: Any) -> Any:
-    base.execute("insert into tick (shard, who) values (?, ?)", (detail["shard"], detail["who"]))
-    return base.execute("select count(*) from tick where shard = ?", (detail["shard"],)).fetchone()[0]
+def _insert_tick(connection: sqlite3.Connection, detail: Any) -> Any:
+    connection.execute("insert into tick (shard, who) values (?, ?)", (detail["shard"], detail["who"]))
+    return connection.execute("select count(*) from tick where shard = ?", (detail["shard"],)).fetchone()[0]
 
 
-TICK = DutySchema(
-    "create table if not exists tick (shard integer not null, who text not null)", ("tick",), {"tick": _tick}
+TICK_SCHEMA = DutySchema(
+    "create table if not exists tick (shard integer not null, who text not null)", ("tick",), {"tick": _insert_tick}
 )
 
 
-class Ticking:
-    """The field's own duty: a row for each effect, every so many seconds."""
+class TickDuty:
+    """A duty that inserts one row into the table ``tick`` every ``interval_s`` seconds."""
 
     name = "tick"
 
-    def __init__(self, who: str, shards: int, every: float) -> None:
-        self.shards, self._who, self._every = shards, who, every
+    def __init__(self, incarnation: str, shards: int, interval_s: float) -> None:
+        self.shards, self._incarnation, self._interval_s = shards, incarnation, interval_s
 
     def step(self, shard_number: int, apply_effect: ApplyEffect, now: float) -> float:
         """Insert one row."""
-        apply_effect("tick", {"shard": shard_number, "who": self._who})
-        return self._every
+        apply_effect("tick", {"shard": shard_number, "who": self._incarnation})
+        return self._interval_s
 
 
-class Serving(threading.Thread):
-    """What a server does beside its duties: it serves, and stores what it served. Each row that is known to be stored
-    is reported, with its count."""
+class ConsumptionWriter(threading.Thread):
+    """Records and stores consumption, as a server does beside its duties, and reports the rows known to be stored."""
 
     def __init__(
-        self, store: FencedStore, name: str, start: str, report: Callable[[str, Mapping[str, Any]], None]
+        self, store: FencedStore, name: str, incarnation: str, report: Callable[[str, Mapping[str, Any]], None]
     ) -> None:
         super().__init__(daemon=True)
         self._store = store
         self._report = report
-        self._collector = periods.ConsumptionCollector(name, start, SHARDS, LENGTH)
+        self._collector = periods.ConsumptionCollector(name, incarnation, SHARDS, PERIOD_S)
 
     def run(self) -> None:
-        """Serve three teams for ever."""
+        """Record one request for each of three teams, store the rows, and repeat without end."""
         while True:
             for team in ("red", "green", "blue"):
                 self._collector.record(time.time(), team, "c", 1.0)
             rows = self._collector.pending_rows()
             try:
-                self._store.write(lambda base, rows=rows: periods.insert_rows(base, rows))  # type: ignore[misc]
+                self._store.write(lambda connection, rows=rows: periods.insert_rows(connection, rows))  # type: ignore[misc]
             except FencedStoreError:
                 continue
             self._collector.confirm(rows)
@@ -84,20 +84,20 @@
             time.sleep(0.03)
 
 
-def closing(path: str, points: Callable[[str], None]) -> tuple[FencedStore, periods.PeriodClosing]:
-    """The duty of closing periods, with points within the receiver's transaction."""
+def period_closing(path: str, fault_point: Callable[[str], None]) -> tuple[FencedStore, periods.PeriodClosing]:
+    """The period-closing duty and its store, with fault points at both ends of the receiver's transaction."""
 
-    def close(base: sqlite3.Connection, detail: Any) -> Any:
-        points("in-act")
-        answer = periods.close_period(base, detail)
-        points("end-act")
-        return answer
+    def close(connection: sqlite3.Connection, detail: Any) -> Any:
+        fault_point("in-act")
+        result = periods.close_period(connection, detail)
+        fault_point("end-act")
+        return result
 
     schema = DutySchema(periods.SCHEMA, periods.DUTY_SCHEMA.guarded_tables, {"close": close})
     store = FencedStore(path, {"periods": schema})
     return store, periods.PeriodClosing(
         SHARDS,
-        LENGTH,
+        PERIOD_S,
         0.1,
         time.time,
         lambda shard: store.read("select max(period) from period_closed where shard = ?", (shard,))[0][0],
@@ -105,42 +105,42 @@
     )
 
 
-class Points:
-    """The fault points: at an armed one the process stops or kills itself."""
+class FaultPoints:
+    """The fault points of a process: at an armed one it stops or kills itself."""
 
     def __init__(self, report: Callable[[str, Mapping[str, Any]], None]) -> None:
         self._armed: dict[str, tuple[str, int]] = {}
         self._report = report
 
-    def arm(self, point: str, what: str, count: int) -> None:
-        """Have the process ``stop`` or ``kill`` itself when it comes to ``point`` for the ``count``th time."""
-        self._armed[point] = what, count
+    def arm(self, point: str, action: str, count: int) -> None:
+        """Make the process ``stop`` or ``kill`` itself when it reaches ``point`` for the ``count``th time from now."""
+        self._armed[point] = action, count
 
     def __call__(self, point: str) -> None:
-        """The process has come to ``point``."""
+        """The process has reached ``point``."""
         armed = self._armed.get(point)
         if armed is None:
             return
-        what, count = armed
+        action, count = armed
         if count > 1:
-            self._armed[point] = what, count - 1
+            self._armed[point] = action, count - 1
             return
         del self._armed[point]
-        self._report("fault", {"point": point, "how": what})
-        # To this very thread, so that it goes no step further before the signal takes hold.
-        signal.pthread_kill(threading.get_ident(), signal.SIGSTOP if what == "stop" else signal.SIGKILL)
+        self._report("fault", {"point": point, "how": action})
+        # Sent to this thread, so that it executes nothing more before the signal takes effect.
+        signal.pthread_kill(threading.get_ident(), signal.SIGSTOP if action == "stop" else signal.SIGKILL)
 
 
-class Process:
-    """The process that ``spec`` describes: a member with one duty, its coordinator and its receiver."""
+class MemberProcess:
+    """A member with one duty, a coordinator and a receiver, as ``spec`` describes them."""
 
     def __init__(self, spec: Mapping[str, Any]) -> None:
         self._spec = spec
         self._clock = FaultyClock(spec.get("drift", 0.0), spec.get("offset", 0.0))
         self._incarnation = f"{spec['name']}:{os.getpid()}"
-        self._points = Points(self._report)
+        self._fault_points = FaultPoints(self._report)
         for point in spec.get("arm", []):
-            self._points.arm(*point)
+            self._fault_points.arm(*point)
         receiver, duty = self._receiver_and_duty()
         record = MemberRecord(spec.get("alias", spec["name"]), self._incarnation)
         shards = [(duty.name, number) for number in range(duty.shards)]
@@ -153,21 +153,21 @@
             [duty],
             self._clock,
             self._report,
-            self._points,
+            self._fault_points,
             self._coordinator(),
         )
 
     def run(self) -> None:
-        """Work until the member has left."""
-        threading.Thread(target=self._listen, daemon=True).start()
+        """Run until the member has deregistered."""
+        threading.Thread(target=self._read_commands, daemon=True).start()
         self._report("start", {"pid": os.getpid()})
         self._agent.start()
         self._agent.join()
         self._report("end", {"calls": self._agent.driver.call_count})
 
-    def _report(self, what: str, facts: Mapping[str, Any]) -> None:
-        line = json.dumps({"at": self._clock.true(), "who": self._incarnation, "what": what, **facts}) + "\n"
-        os.write(1, line.encode())  # one write, so that a kill leaves no half of it behind
+    def _report(self, event: str, facts: Mapping[str, Any]) -> None:
+        line = json.dumps({"at": self._clock.true_now(), "who": self._incarnation, "what": event, **facts}) + "\n"
+        os.write(1, line.encode())  # a single write, so that a kill leaves no partial line
 
     def _coordinator(self) -> Coordinator:
         if "etcd" in self._spec:
@@ -179,35 +179,35 @@
     def _receiver_and_duty(self) -> tuple[Receiver, Duty]:
         spec = self._spec
         if spec.get("duty") == "periods":
-            store, closing_duty = closing(spec["book"], self._points)
+            store, closing_duty = period_closing(spec["book"], self._fault_points)
             flushed_store = FencedStore(spec["book"], {"periods": periods.DUTY_SCHEMA})
-            Serving(flushed_store, spec["name"], self._incarnation, self._report).start()
+            ConsumptionWriter(flushed_store, spec["name"], self._incarnation, self._report).start()
             return store, closing_duty
-        duty = Ticking(self._incarnation, spec["shards"], spec.get("every", 0.05))
+        duty = TickDuty(self._incarnation, spec["shards"], spec.get("every", 0.05))
         if "receiver" in spec:
             return RemoteReceiver("127.0.0.1", spec["receiver"], spec.get("act_timeout", 1.0)), duty
-        return FencedStore(spec["book"], {"tick": TICK}), duty
+        return FencedStore(spec["book"], {"tick": TICK_SCHEMA}), duty
 
-    def _listen(self) -> None:
-        """Obey the words on standard input until it ends."""
+    def _read_commands(self) -> None:
+        """Execute the commands on standard input until it ends."""
         for line in sys.stdin:
-            words = json.loads(line)
-            if "arm" in words:
-                self._points.arm(*words["arm"])
-            if "step" in words:
-                self._clock.offset += words["step"]
-            if words.get("leave"):
+            command = json.loads(line)
+            if "arm" in command:
+                self._fault_points.arm(*command["arm"])
+            if "step" in command:
+                self._clock.offset += command["step"]
+            if command.get("leave"):
                 self._agent.drain()
-            if "shed" in words:
+            if "shed" in command:
                 with self._agent.driver.lock:
-                    self._member.shed(self._clock.now(), tuple(words["shed"]), 5.0)
+                    self._member.shed(self._clock.now(), tuple(command["shed"]), 5.0)
                 self._agent.driver.wake()
-        self._agent.stop()  # the field has ended
+        self._agent.stop()  # the harness has ended
 
 
 def main() -> None:
     """Run the process that the first argument describes."""
-    Process(json.loads(sys.argv[1])).run()
+    MemberProcess(json.loads(sys.argv[1])).run()
 
 
 if __name__ == "__main__":
--- a/lapishaven/lab/field/receiver_process.py
+++ b/lapishaven/lab/field/receiver_process.py
@@ -1,7 +1,7 @@
-"""A receiver as a process of the field: a ``FencedStore`` behind its address, with faults on request.
+"""A receiver process for the harness: a ``FencedStore`` that listens on a port, with faults on command.
 
-``{"full": true}`` leaves the file no more room (and false gives it back), ``{"copy": PATH}`` copies it as it is now,
-``{"restore": PATH}`` puts such a copy back in its place, as after a restore from an older backup.
+Commands on standard input, one JSON object a line: ``{"full": true}`` makes the disk full and ``{"full": false}``
+undoes it, ``{"copy": PATH}`` copies the file, and ``{"restore": PATH}`` restores such a copy, as from an older backup.
 """
 
 from __future__ import annotations
@@ -13,45 +13,48 @@
 from contextlib import closing
 from typing import Any
 
-from lapishaven.lab.field.process import TICK
+from lapishaven.lab.field.process import TICK_SCHEMA
 from lapishaven.ownership.fenced_store import FencedStore
 from lapishaven.ownership.receiver import serve_receiver
 
 
 class FaultyStore(FencedStore):
-    """A store whose disk fills on request."""
+    """A store whose disk can be made full, and whose file can be copied and restored."""
 
-    def full(self, yes: bool) -> None:
-        """Leave the file no more room, or give it back."""
-        # No page more than there are: SQLite then says that the disk is full, as it would.
-        self._connection.execute(f"pragma max_page_count = {1 if yes else 1 << 30}")
+    def set_full(self, is_full: bool) -> None:
+        """Make the disk full, or undo it."""
+        # With no more pages allowed than there are, SQLite reports a full disk.
+        self._connection.execute(f"pragma max_page_count = {1 if is_full else 1 << 30}")
 
-    def swap(self, source: str, target: str) -> None:
-        """Copy one file over another."""
-        with closing(sqlite3.connect(source)) as old, closing(sqlite3.connect(target)) as new:
-            old.backup(new)
+    def copy_database(self, source: str, target: str) -> None:
+        """Copy one database file over another."""
+        with (
+            closing(sqlite3.connect(source)) as source_connection,
+            closing(sqlite3.connect(target)) as target_connection,
+        ):
+            source_connection.backup(target_connection)
 
 
 def main() -> None:
-    """Serve the receiver that the first argument describes, until standard input ends."""
+    """Run the receiver that the first argument describes until standard input ends."""
     spec = json.loads(sys.argv[1])
-    book = FaultyStore(spec["book"], {"tick": TICK}, fenced=spec.get("fenced", True))
-    _, port = serve_receiver("127.0.0.1", spec.get("port", 0), book)
+    store = FaultyStore(spec["book"], {"tick": TICK_SCHEMA}, fenced=spec.get("fenced", True))
+    _, port = serve_receiver("127.0.0.1", spec.get("port", 0), store)
 
-    def say(what: str, **facts: Any) -> None:
-        line = {"at": time.clock_gettime(time.CLOCK_BOOTTIME), "who": spec["name"], "what": what, **facts}
-        print(json.dumps(line), flush=True)
+    def report_event(what: str, **facts: Any) -> None:
+        event = {"at": time.clock_gettime(time.CLOCK_BOOTTIME), "who": spec["name"], "what": what, **facts}
+        print(json.dumps(event), flush=True)
 
-    say("start", port=port)
+    report_event("start", port=port)
     for line in sys.stdin:
-        words = json.loads(line)
-        if "full" in words:
-            book.full(words["full"])
-        if "copy" in words:
-            book.swap(spec["book"], words["copy"])
-        if "restore" in words:
-            book.swap(words["restore"], spec["book"])
-        say("done", word=next(iter(words)))
+        command = json.loads(line)
+        if "full" in command:
+            store.set_full(command["full"])
+        if "copy" in command:
+            store.copy_database(spec["book"], command["copy"])
+        if "restore" in command:
+            store.copy_database(command["restore"], spec["book"])
+        report_event("done", word=next(iter(command)))
 
 
 if __name__ == "__main__":
--- a/lapishaven/lab/field/relay.py
+++ b/lapishaven/lab/field/relay.py
@@ -1,6 +1,6 @@
-"""A relay between two parties: it delays, holds, cuts one way or both, and drops answers to what went through.
+"""TCP relays that delay or hold data, drop answers, or refuse and reset connections.
 
-All relays of a field live on one thread. ``mode`` may be changed while connections are open.
+All relays of a ``Relays`` run on one thread. The mode of a relay may be changed while connections are open.
 """
 
 from __future__ import annotations
@@ -12,40 +12,46 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-PIECE = 1 << 16
+CHUNK_BYTES = 1 << 16
 T = TypeVar("T")
 
 
 @dataclass(slots=True)
-class Mode:
-    """``delay`` in s each way. ``hold_up`` and ``hold_down`` keep what is sent there until they are taken back;
-    ``drop_down`` swallows answers; ``cut`` refuses and resets."""
-
-    delay: float = 0.0
-    hold_up: bool = False
-    hold_down: bool = False
-    drop_down: bool = False
+class RelayMode:
+    """The faults of a relay.
+
+    ``delay_s`` applies each way. ``hold_upstream`` and ``hold_downstream`` keep data back in that direction until the
+    mode changes, ``drop_downstream`` discards the target's data, and ``cut`` refuses new connections and resets
+    open ones.
+    """
+
+    delay_s: float = 0.0
+    hold_upstream: bool = False
+    hold_downstream: bool = False
+    drop_downstream: bool = False
     cut: bool = False
 
 
 class Relay:
-    """One listening address before one target."""
+    """A listening port on loopback whose connections go to ``target``."""
 
     def __init__(self, target: tuple[str, int]) -> None:
-        self.target, self.mode, self.port = target, Mode(), 0
-        self.passed = 0  # bytes that went up
+        self.target, self.mode, self.port = target, RelayMode(), 0
+        self.upstream_bytes = 0  # bytes that were sent to the target
         self._writers: set[asyncio.StreamWriter] = set()
-        self._changed, self.held = asyncio.Event(), asyncio.Event()
+        self._mode_changed, self.holding = asyncio.Event(), asyncio.Event()
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
+        """Listen on a free port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
-    async def change(self, mode: Mode) -> None:
+    async def set_mode(self, mode: RelayMode) -> None:
+        """Set the mode, also for open connections."""
         self.mode = mode
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._mode_changed.set()
+        self._mode_changed = asyncio.Event()
         if mode.cut:
             for writer in list(self._writers):
                 writer.transport.abort()
@@ -55,42 +61,44 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
         except OSError:
             writer.transport.abort()
             return
-        ends = {writer, far_writer}
-        self._writers |= ends
+        writers = {writer, target_writer}
+        self._writers |= writers
         try:
-            await asyncio.gather(self._pass(reader, far_writer, True), self._pass(far_reader, writer, False))
+            await asyncio.gather(
+                self._forward(reader, target_writer, True), self._forward(target_reader, writer, False)
+            )
         except OSError:
             pass
         finally:
-            self._writers -= ends
-            for each in ends:
-                each.transport.abort()
-
-    async def _pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, up: bool) -> None:
-        while data := await reader.read(PIECE):
-            while self.mode.hold_up if up else self.mode.hold_down:
-                self.held.set()
-                await self._changed.wait()
-            if self.mode.delay:
-                await asyncio.sleep(self.mode.delay)
-            if self.mode.drop_down and not up:
+            self._writers -= writers
+            for open_writer in writers:
+                open_writer.transport.abort()
+
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, upstream: bool) -> None:
+        while data := await reader.read(CHUNK_BYTES):
+            while self.mode.hold_upstream if upstream else self.mode.hold_downstream:
+                self.holding.set()
+                await self._mode_changed.wait()
+            if self.mode.delay_s:
+                await asyncio.sleep(self.mode.delay_s)
+            if self.mode.drop_downstream and not upstream:
                 continue
-            if up:
-                self.passed += len(data)
+            if upstream:
+                self.upstream_bytes += len(data)
             writer.write(data)
             await writer.drain()
-        # What was sent before its end goes through; the sender may be gone.
+        # Forward the end of the stream after the data; the other side may have closed already.
         with suppress(OSError):
             if writer.can_write_eof():
                 writer.write_eof()
 
 
 class Relays:
-    """``with Relays() as relays``: opens relays and changes them, from any thread."""
+    """``with Relays() as relays``: opens relays and sets their modes, from any thread."""
 
     def __enter__(self) -> Relays:
         self._loop = asyncio.new_event_loop()
@@ -98,31 +106,32 @@
         self._thread.start()
         return self
 
-    def _do(self, work: Callable[[], T]) -> T:
+    def _call_on_loop(self, work: Callable[[], T]) -> T:
         async def run() -> T:
             return work()
 
         return asyncio.run_coroutine_threadsafe(run(), self._loop).result(10.0)
 
     def open(self, port: int) -> Relay:
-        """A relay before a port on loopback."""
-        relay = self._do(lambda: Relay(("127.0.0.1", port)))
+        """Open a relay to a port on loopback."""
+        relay = self._call_on_loop(lambda: Relay(("127.0.0.1", port)))
         asyncio.run_coroutine_threadsafe(relay.open(), self._loop).result(10.0)
         return relay
 
-    def change(self, relay: Relay, mode: Mode) -> None:
-        asyncio.run_coroutine_threadsafe(relay.change(mode), self._loop).result(10.0)
+    def set_mode(self, relay: Relay, mode: RelayMode) -> None:
+        """Set a relay's mode, also for its open connections."""
+        asyncio.run_coroutine_threadsafe(relay.set_mode(mode), self._loop).result(10.0)
 
-    def held(self, relay: Relay, timeout: float = 10.0) -> None:
-        """Wait until the relay holds something back."""
-        asyncio.run_coroutine_threadsafe(relay.held.wait(), self._loop).result(timeout)
+    def wait_until_held(self, relay: Relay, timeout: float = 10.0) -> None:
+        """Wait until the relay holds data back."""
+        asyncio.run_coroutine_threadsafe(relay.holding.wait(), self._loop).result(timeout)
 
     def __exit__(self, *_: object) -> None:
         async def close() -> None:
-            rest = asyncio.all_tasks() - {asyncio.current_task()}
-            for task in rest:
+            remaining = asyncio.all_tasks() - {asyncio.current_task()}
+            for task in remaining:
                 task.cancel()
-            await asyncio.gather(*rest, return_exceptions=True)
+            await asyncio.gather(*remaining, return_exceptions=True)
 
         asyncio.run_coroutine_threadsafe(close(), self._loop).result(10.0)
         self._loop.call_soon_threadsafe(self._loop.stop)
--- a/lapishaven/lab/field/silent.py
+++ b/lapishaven/lab/field/silent.py
@@ -1,4 +1,4 @@
-"""Clients of the library before match servers of which some are stopped: what their calls met.
+"""Calls of the client library while some match servers are stopped (SIGSTOP), and after they resume.
 
 ``python -m lapishaven.lab.field.silent SPEC`` prints one JSON object.
 """
@@ -22,14 +22,16 @@
 from lapishaven.lab.fleet import Fleet
 from lapishaven.lab.interpreter import Box
 
-BIN = 0.5  # s, in which a herd on those that wake is looked for
+HERD_BIN_S = 0.5  # width of the bins in which a burst of attempts at resumed servers is searched for
 
 
 @dataclass(frozen=True, slots=True)
 class Spec:
-    """``rate``: calls a second of all clients together. After ``settle`` seconds of load, in which clients connect,
-    ``stopped`` servers are stopped for ``span`` seconds; the load goes on for ``after`` seconds more. ``asks``: whether
-    clients ask servers that say nothing (``health.watch_s``)."""
+    """A trial with ``rate`` calls a second over all clients.
+
+    After ``settle`` seconds of load, in which clients connect, ``stopped`` servers are stopped for ``span`` seconds;
+    the load continues for ``after`` seconds more. ``asks``: whether clients probe silent servers (``health.watch_s``).
+    """
 
     servers: int = 24
     clients: int = 200
@@ -43,25 +45,26 @@
 
 
 @dataclass(slots=True)
-class Sent:
-    """A try as a client began it."""
+class Attempt:
+    """An attempt that a client began, on the loop's clock."""
 
     at: float
     server: str
 
 
 async def run(spec: Spec) -> dict[str, Any]:
+    """Run the trial, and return its results."""
     random, loop = Random(spec.seed), asyncio.get_running_loop()
     stack = AsyncExitStack()
     async with stack:
         boxes = [Box()] * spec.servers
         fleet = await stack.enter_async_context(Fleet(spec.servers, spec.seed, callers=spec.clients, boxes=boxes))
         await fleet.ready()
-        tries: list[Sent] = []
+        attempts: list[Attempt] = []
 
         def hook(now: float, event: str, fields: dict[str, Any]) -> None:
             if event == "try":
-                tries.append(Sent(now, fields["server"]))
+                attempts.append(Attempt(now, fields["server"]))
 
         settings = Settings(site.rules(), catalog="{}:{}".format(*fleet.catalog.address), callers=spec.clients)
         if spec.asks:
@@ -74,76 +77,84 @@
         ]
         names = fleet.names[: spec.stopped]
         pids = [process.pid for name in names if (process := fleet.nodes[name].process) is not None]
-        runs: list[tuple[float, bytes]] = []  # begun at those that are stopped, on the loop's clock
+        runs: list[tuple[float, bytes]] = []  # runs begun at the servers to be stopped, on the loop's clock
         for name in names:
             fleet.nodes[name].interpreter.began = lambda body: runs.append((loop.time(), body))
-        found: list[tuple[float, site.Kind, bytes, float, Outcome]] = []
+        calls: list[tuple[float, site.Kind, bytes, float, Outcome]] = []
 
-        async def call(at: float, n: int) -> None:
-            kind = random.choices(site.KINDS, [each.share for each in site.KINDS])[0]
+        async def send_call(at: float, n: int) -> None:
+            request_class = random.choices(site.KINDS, [offered.share for offered in site.KINDS])[0]
             body = b"%d" % n
-            outcome = await random.choice(clients).outcome(kind.name, body)
-            found.append((at, kind, body, loop.time() - at, outcome))
+            outcome = await random.choice(clients).outcome(request_class.name, body)
+            calls.append((at, request_class, body, loop.time() - at, outcome))
 
         tasks: list[asyncio.Task[None]] = []
-        due = start = loop.time() + 0.1
-        stop, wake = start + spec.settle, start + spec.settle + spec.span
+        due_at = start = loop.time() + 0.1
+        stop_at, resume_at = start + spec.settle, start + spec.settle + spec.span
 
-        async def strike() -> None:
-            await asyncio.sleep(stop - loop.time())
+        async def stop_and_resume() -> None:
+            await asyncio.sleep(stop_at - loop.time())
             for pid in pids:
                 os.kill(pid, signal.SIGSTOP)
-            await asyncio.sleep(wake - loop.time())
+            await asyncio.sleep(resume_at - loop.time())
             for pid in pids:
                 os.kill(pid, signal.SIGCONT)
 
-        striking = asyncio.create_task(strike())
-        while due < wake + spec.after:
-            await asyncio.sleep(max(0.0, due - loop.time()))
-            tasks.append(asyncio.create_task(call(due, len(tasks))))
-            due += random.expovariate(spec.rate)
-        await striking
+        stop_task = asyncio.create_task(stop_and_resume())
+        while due_at < resume_at + spec.after:
+            await asyncio.sleep(max(0.0, due_at - loop.time()))
+            tasks.append(asyncio.create_task(send_call(due_at, len(tasks))))
+            due_at += random.expovariate(spec.rate)
+        await stop_task
         await asyncio.gather(*tasks)
         starts = fleet.starts()
         counts: Counter[str] = sum((Counter(client.policy.counts) for client in clients), Counter())
 
-    def past_aim(calls: list[tuple[float, site.Kind, bytes, float, Outcome]]) -> list[Any]:
-        return [each for each in calls if each[3] > each[1].aim or not isinstance(each[4], Served | Uncertain)]
-
-    inside = [each for each in found if stop <= each[0] < wake]
-    calm = [each for each in found if start + spec.settle / 2 <= each[0] < stop]
-    late = past_aim(inside)
-    woken = [each.at - wake for each in tries if each.server in names and each.at >= wake]
-    sent = [each.at - wake for each in tries if each.at >= wake]
-    fair = spec.stopped / spec.servers
-    back = [sum(at >= spec.after / 2 for at in ats) for ats in (woken, sent)]
-    over = {body: at + span for at, _, body, span, _ in found}  # when its caller had an answer, or had given up
-    bins = Counter(int(at / BIN) for at in woken)
-    to_silent = [each for each in tries if each.server in names and stop + 1.0 < each.at < wake]
+    def late_calls(calls: list[tuple[float, site.Kind, bytes, float, Outcome]]) -> list[Any]:
+        return [call for call in calls if call[3] > call[1].aim or not isinstance(call[4], Served | Uncertain)]
+
+    during_stop = [call for call in calls if stop_at <= call[0] < resume_at]
+    before_stop = [call for call in calls if start + spec.settle / 2 <= call[0] < stop_at]
+    late_during = late_calls(during_stop)
+    attempts_at_resumed = [
+        attempt.at - resume_at for attempt in attempts if attempt.server in names and attempt.at >= resume_at
+    ]
+    all_attempts = [attempt.at - resume_at for attempt in attempts if attempt.at >= resume_at]
+    even_share = spec.stopped / spec.servers
+    second_half_counts = [sum(at >= spec.after / 2 for at in times) for times in (attempts_at_resumed, all_attempts)]
+    ended_at = {body: at + span for at, _, body, span, _ in calls}  # when the call had its outcome
+    attempts_by_bin = Counter(int(at / HERD_BIN_S) for at in attempts_at_resumed)
+    attempts_at_silent = [
+        attempt for attempt in attempts if attempt.server in names and stop_at + 1.0 < attempt.at < resume_at
+    ]
     return {
         "asks": spec.asks,
         "servers": spec.servers,
         "clients": spec.clients,
         "rate": spec.rate,
-        "calls": len(inside),
-        "late": round(len(late) / len(inside), 4),
-        "late_before": round(len(past_aim(calm)) / len(calm), 4),
-        "to_silent_after_1_s": len(to_silent),
-        "uncertain": sum(isinstance(each[4], Uncertain) for each in inside),
-        "not_served": round(sum(not isinstance(each[4], Served) for each in inside) / len(inside), 4),
-        "commits_twice": sum(starts[body] > 1 for _, kind, body, _, _ in found if not kind.safe),
-        "tries_a_call": round(len(tries) / len(found), 3),
-        "asks_a_call": round(counts["ask"] / len(found), 2),
+        "calls": len(during_stop),
+        "late": round(len(late_during) / len(during_stop), 4),
+        "late_before": round(len(late_calls(before_stop)) / len(before_stop), 4),
+        "to_silent_after_1_s": len(attempts_at_silent),
+        "uncertain": sum(isinstance(call[4], Uncertain) for call in during_stop),
+        "not_served": round(sum(not isinstance(call[4], Served) for call in during_stop) / len(during_stop), 4),
+        "commits_twice": sum(starts[body] > 1 for _, request_class, body, _, _ in calls if not request_class.safe),
+        "tries_a_call": round(len(attempts) / len(calls), 3),
+        "asks_a_call": round(counts["ask"] / len(calls), 2),
         "given_up": counts["given up"],
-        # Of the second half after the wake, over their fair part; the busiest span there over a fair one's mean.
-        "share_back": round(back[0] / max(1, back[1]) / fair, 3),
-        "herd": round(max(bins.values(), default=0) / (fair * len(sent) / spec.after * BIN), 2),
-        "ran_given_up": sum(at >= wake > over.get(body, wake) for at, body in runs),
-        "why": dict(Counter(f"{type(e[4]).__name__}: {e[4].reason}" for e in late).most_common(6)),
+        # The resumed servers' share of the attempts in the second half after they resumed, relative to an even share;
+        # their busiest bin after they resumed, relative to the mean bin of an even share.
+        "share_back": round(second_half_counts[0] / max(1, second_half_counts[1]) / even_share, 3),
+        "herd": round(
+            max(attempts_by_bin.values(), default=0) / (even_share * len(all_attempts) / spec.after * HERD_BIN_S), 2
+        ),
+        "ran_given_up": sum(at >= resume_at > ended_at.get(body, resume_at) for at, body in runs),
+        "why": dict(Counter(f"{type(call[4]).__name__}: {call[4].reason}" for call in late_during).most_common(6)),
     }
 
 
 def main() -> None:
+    """Run the trial that the first argument describes, and print its results as JSON."""
     print(json.dumps(asyncio.run(run(Spec(**json.loads(sys.argv[1]))))))
 
 
--- a/lapishaven/lab/field/stand_in_interpreters.py
+++ b/lapishaven/lab/field/stand_in_interpreters.py
@@ -1,9 +1,11 @@
-"""Stand-in interpreters for a whole tier in one process, as light as the machine needs: work is time and no processor.
-
-Each has ``slots`` at which runs are worked at in their order, each for its work over the speed. The process also has a
-catalog for its servers. ``{"slow": [N, FACTOR]}``, ``{"fail": [N, true]}`` (every run fails at once) and
-``{"cold": N}`` (it died and is back cold) change one; ``{"report": true}`` has it say what was begun when, which bodies
-were begun twice, and how long an empty one stood beside one whose runs waited, since the last report.
+"""Stand-in interpreters for a whole tier in one process, whose runs take time but no processor.
+
+Each interpreter executes up to ``slots`` runs at a time, in order, each for its work over the speed. The process also
+has a catalog for the tier's servers. Commands on standard input, one JSON object a line: ``{"slow": [N, FACTOR]}``
+slows interpreter N down, ``{"fail": [N, true]}`` makes its runs fail at once, ``{"cold": N}`` restarts it cold without
+its runs, and ``{"report": true}`` prints what happened since the last report: which runs began when, how many bodies
+that must run at most once began twice, and the interpreter seconds for which one was empty while runs waited at
+another.
 """
 
 from __future__ import annotations
@@ -24,8 +26,8 @@
 from lapishaven.lab.interpreter import Box, Interpreter, result
 
 
-class Hall:
-    """What is known of all at once: who is empty and who has runs that wait."""
+class TierStatistics:
+    """Statistics over all interpreters: how many are empty, how many have waiting runs, and which runs began."""
 
     def __init__(self) -> None:
         self.empty = self.waiting = 0
@@ -33,73 +35,74 @@
         self.began: list[tuple[float, int]] = []
         self.bodies: Counter[bytes] = Counter()
 
-    def flow(self) -> None:
+    def accumulate_idle(self) -> None:
+        """Add the time since the last change to ``idle``, if runs waited."""
         now = time.monotonic()
         if self.waiting:
             self.idle += self.empty * (now - self._since)
         self._since = now
 
 
-class Light(Interpreter):
-    """An interpreter whose runs end by a timer each."""
+class TimedInterpreter(Interpreter):
+    """An interpreter that ends each run by a timer."""
 
-    def __init__(self, number: int, hall: Hall, box: Box, scale: float, random: Random) -> None:
+    def __init__(self, number: int, statistics: TierStatistics, box: Box, scale: float, random: Random) -> None:
         works = {
             name: replace(work, least=work.least * scale, most=work.most * scale) for name, work in site.WORKS.items()
         }
         super().__init__(box, works, random, site.GAUGES)
-        self._at, self._hall = number, hall
+        self._interpreter_number, self._statistics = number, statistics
         self._queue: deque[str] = deque()
         self._timers: dict[str, asyncio.TimerHandle] = {}
         self.fails = False
-        hall.empty += 1
+        statistics.empty += 1
 
     async def _work(self) -> None:
-        """No steps: each run has a timer."""
+        """Does nothing: the base class steps through runs here, but these have timers."""
 
-    def _mark(self, sign: int) -> None:
-        self._hall.empty += sign * (not self._timers)
-        self._hall.waiting += sign * bool(self._queue)
+    def _count_state(self, sign: int) -> None:
+        self._statistics.empty += sign * (not self._timers)
+        self._statistics.waiting += sign * bool(self._queue)
 
     def _apply(self, writer: asyncio.StreamWriter, handle: str, cls: str, body: bytes) -> None:
-        before = len(self.cores.runs)
+        run_count = len(self.cores.runs)
         super()._apply(writer, handle, cls, body)
-        if len(self.cores.runs) == before:
+        if len(self.cores.runs) == run_count:
             return
-        self._hall.began.append((time.monotonic(), self._at))
-        self._hall.bodies[body] += 1
+        self._statistics.began.append((time.monotonic(), self._interpreter_number))
+        self._statistics.bodies[body] += 1
         if self.fails:
             del self.cores.runs[handle]
             self._over(handle)
             return self._notice(f"{handle} ERROR 0.000", b"")
-        self._hall.flow()
-        self._mark(-1)
+        self._statistics.accumulate_idle()
+        self._count_state(-1)
         self._queue.append(handle)
-        self._begin()
-        self._mark(1)
+        self._start_runs()
+        self._count_state(1)
 
-    def _begin(self) -> None:
+    def _start_runs(self) -> None:
         loop = asyncio.get_running_loop()
         while self._queue and len(self._timers) < self.box.cores:
             handle = self._queue.popleft()
-            span = self.cores.runs[handle].left / self.cores.speed(loop.time())
-            self._timers[handle] = loop.call_later(span, self._done, handle)
+            duration_s = self.cores.runs[handle].left / self.cores.speed(loop.time())
+            self._timers[handle] = loop.call_later(duration_s, self._done, handle)
 
-    def _free(self, handle: str) -> None:
-        """Its slot, or its place among those that wait, is free."""
-        self._hall.flow()
-        self._mark(-1)
+    def _release(self, handle: str) -> None:
+        """Free a run's slot, or its place in the queue."""
+        self._statistics.accumulate_idle()
+        self._count_state(-1)
         timer = self._timers.pop(handle, None)
         if timer is not None:
             timer.cancel()
         elif handle in self._queue:
             self._queue.remove(handle)
-        self._begin()
-        self._mark(1)
+        self._start_runs()
+        self._count_state(1)
 
     def _done(self, handle: str) -> None:
         run = self.cores.runs.pop(handle, None)
-        self._free(handle)
+        self._release(handle)
         if run is not None:
             self._over(handle)
             spent = asyncio.get_running_loop().time() - run.began
@@ -108,76 +111,79 @@
     def _command(self, writer: asyncio.StreamWriter, words: list[str]) -> None:
         super()._command(writer, words)
         if words[0] == "BREAK" and words[1] in self.cores.runs:
-            self._free(words[1])
+            self._release(words[1])
         elif words[0] == "CONTINUE" and words[1] in self.cores.runs and words[1] not in self._timers:
-            self._mark(-1)
+            self._count_state(-1)
             self._queue.append(words[1])
-            self._begin()
-            self._mark(1)
+            self._start_runs()
+            self._count_state(1)
 
-    def lost(self) -> None:
-        """It dies with all that it had, and is back cold."""
-        self._hall.flow()
-        self._mark(-1)
+    def restart_cold(self) -> None:
+        """Lose all runs and restart cold."""
+        self._statistics.accumulate_idle()
+        self._count_state(-1)
         for timer in self._timers.values():
             timer.cancel()
         self._timers.clear()
         self._queue.clear()
-        self._mark(1)
+        self._count_state(1)
         self.down()
         self.reset(cold=True)
 
 
 async def run(spec: dict[str, Any]) -> None:
-    loop, hall, random = asyncio.get_running_loop(), Hall(), Random(spec["seed"])
-    lights = [
-        Light(
+    """Run the interpreters and the catalog that ``spec`` describes until standard input ends."""
+    loop, statistics, random = asyncio.get_running_loop(), TierStatistics(), Random(spec["seed"])
+    interpreters = [
+        TimedInterpreter(
             n,
-            hall,
+            statistics,
             Box(cores=spec["slots"], speed=speed, cold_span=spec.get("cold_span", 4.0)),
             spec["scale"],
             Random(random.getrandbits(64)),
         )
         for n, speed in enumerate(spec["speeds"])
     ]
-    for light in lights:
-        await light.open("127.0.0.1")
+    for interpreter in interpreters:
+        await interpreter.open("127.0.0.1")
     catalog = Catalog(0.1)
     catalog.addresses.update({name: ("127.0.0.1", 1) for name in spec["names"]})
     await catalog.open("127.0.0.1", 0)
-    over = asyncio.Event()
+    input_ended = asyncio.Event()
 
-    def say(what: str, **facts: Any) -> None:
-        line = {"at": time.clock_gettime(time.CLOCK_BOOTTIME), "who": spec["name"], "what": what, **facts}
-        data = json.dumps(line).encode() + b"\n"
+    def report_event(what: str, **facts: Any) -> None:
+        event = {"at": time.clock_gettime(time.CLOCK_BOOTTIME), "who": spec["name"], "what": what, **facts}
+        data = json.dumps(event).encode() + b"\n"
         while data:
             data = data[os.write(1, data) :]
 
-    def word(words: dict[str, Any]) -> None:
-        if "slow" in words:
-            number, factor = words["slow"]
-            lights[number].slow(factor)
-        if "fail" in words:
-            lights[words["fail"][0]].fails = words["fail"][1]
-        if "cold" in words:
-            lights[words["cold"]].lost()
-        if "report" in words:
-            hall.flow()
-            twice = sum(count > 1 for body, count in hall.bodies.items() if body.startswith(b"once"))
-            say("report", began=[(round(at, 4), n) for at, n in hall.began], twice=twice, idle=hall.idle)
-            hall.idle = 0.0
-            hall.began.clear()
+    def execute(command: dict[str, Any]) -> None:
+        if "slow" in command:
+            number, factor = command["slow"]
+            interpreters[number].slow(factor)
+        if "fail" in command:
+            interpreters[command["fail"][0]].fails = command["fail"][1]
+        if "cold" in command:
+            interpreters[command["cold"]].restart_cold()
+        if "report" in command:
+            statistics.accumulate_idle()
+            twice = sum(count > 1 for body, count in statistics.bodies.items() if body.startswith(b"once"))
+            report_event(
+                "report", began=[(round(at, 4), n) for at, n in statistics.began], twice=twice, idle=statistics.idle
+            )
+            statistics.idle = 0.0
+            statistics.began.clear()
         else:
-            say("done", word=next(iter(words)))
+            report_event("done", word=next(iter(command)))
 
-    def listen() -> None:
+    def read_commands() -> None:
         for line in sys.stdin:
-            loop.call_soon_threadsafe(word, json.loads(line))
-        loop.call_soon_threadsafe(over.set)
+            loop.call_soon_threadsafe(execute, json.loads(line))
+        loop.call_soon_threadsafe(input_ended.set)
 
-    say("start", ports=[light.address[1] for light in lights], catalog=catalog.address[1])
-    threading.Thread(target=listen, daemon=True).start()
-    await over.wait()
+    report_event("start", ports=[interpreter.address[1] for interpreter in interpreters], catalog=catalog.address[1])
+    threading.Thread(target=read_commands, daemon=True).start()
+    await input_ended.wait()
 
 
 if __name__ == "__main__":
--- a/lapishaven/lab/field/trial.py
+++ b/lapishaven/lab/field/trial.py
@@ -1,7 +1,7 @@
-"""One trial on real processes: a fleet of members, a plan of faults, and what the checker makes of it.
+"""A trial of shard ownership on real processes with a random plan of faults, checked for violated properties.
 
-``python -m lapishaven.lab.field.trial SPEC`` prints one JSON object. ``mode``: ``ours``; ``unfenced``, leases alone;
-``alone``, each process on its own.
+``python -m lapishaven.lab.field.trial SPEC`` prints one JSON object. ``mode`` is ``ours``, or one of the baselines:
+``unfenced``, with leases but no fencing, and ``alone``, in which the processes do not coordinate.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lapishaven.lab.field.checker import broken, followed, handed_over, lost, returns
-from lapishaven.lab.field.field import Field
-from lapishaven.lab.field.plan import Fault, draw
+from lapishaven.lab.field.checker import count_returns, find_lost_effect, find_violation, handover_times, takeover_times
+from lapishaven.lab.field.field import ProcessHarness
+from lapishaven.lab.field.plan import Fault, draw_faults
 from lapishaven.ownership.verify import EffectRow, find_duplicate, find_interleaved
 
-TTL = 1.0
+TTL_S = 1.0
 RULES = {
-    "ttl": TTL,
+    "ttl": TTL_S,
     "margin": 0.1,
     "settling_time": 0.1,
     "poll_interval": 0.1,
@@ -33,7 +33,7 @@
 
 @dataclass
 class Trial:
-    """``seconds`` of faults, with ``quiet`` kills and leaves beside them that nothing else disturbs."""
+    """``faults`` faults over ``seconds``, then ``quiet`` kills and as many leaves without other faults near them."""
 
     coordinator: str
     mode: str
@@ -43,84 +43,87 @@
     faults: int = 30
     seconds: float = 14.0
     quiet: int = 1
-    _wakes: list[tuple[float, str, str]] = field(default_factory=list)
+    _due_recoveries: list[tuple[float, str, str]] = field(default_factory=list)
 
     def run(self) -> dict[str, Any]:
-        """Run it; gives its figures."""
+        """Run the trial, and return its results."""
         names = [f"m{n}" for n in range(self.members)]
-        with Field() as there:
-            self._field = there
+        with ProcessHarness() as harness:
+            self._harness = harness
             self._setup(names)
-            self._field.wait(
-                "every shard",
-                lambda lines: len({(x["duty"], x["shard"]) for x in lines if x["what"] == "acked"}) == self.shards,
+            self._harness.wait_until(
+                "an effect on every shard",
+                lambda events: len({(event["duty"], event["shard"]) for event in events if event["what"] == "acked"})
+                == self.shards,
                 60.0,
             )
-            plan = draw(names, self.faults, self.seconds, TTL, self.seed, self.coordinator == "etcd")
-            self._play(plan)
+            plan = draw_faults(names, self.faults, self.seconds, TTL_S, self.seed, self.coordinator == "etcd")
+            self._run_plan(plan)
             if self.mode == "ours":
-                self._calm()
+                self._wait_until_settled()
                 for n in range(self.quiet):
-                    for what in ("kill", "leave"):
-                        self._clean(names[n % len(names)], what)
-            self._end(names)
-            return self._figures(len(plan) + (2 * self.quiet if self.mode == "ours" else 0))
+                    for action in ("kill", "leave"):
+                        self._undisturbed_fault(names[n % len(names)], action)
+            self._kill_all(names)
+            return self._results(len(plan) + (2 * self.quiet if self.mode == "ours" else 0))
 
     def _setup(self, names: list[str]) -> None:
-        there = self._field
+        harness = self._harness
         spec: dict[str, Any] = {"shards": self.shards, "every": 0.03, "rules": RULES, "timeout": 0.3}
-        there.start(
+        harness.start(
             "book",
             "lapishaven.lab.field.receiver_process",
-            book=str(there.folder / "book.db"),
+            book=str(harness.folder / "book.db"),
             fenced=self.mode == "ours",
         )
-        spec["receiver"] = there.first("start", who="book")["port"]
+        spec["receiver"] = harness.wait_for_event("start", who="book")["port"]
         if self.coordinator == "etcd":
-            there.start("etcd", "lapishaven.lab.etcd", min_ttl=1)
-            spec["etcd"] = there.first("start", who="etcd")["port"]
+            harness.start("etcd", "lapishaven.lab.etcd", min_ttl=1)
+            spec["etcd"] = harness.wait_for_event("start", who="etcd")["port"]
         for n, name in enumerate(names):
-            file = f"lease{n}.db" if self.mode == "alone" else "lease.db"
+            lease_file = f"lease{n}.db" if self.mode == "alone" else "lease.db"
             drift = (0.001, -0.001, 0.0)[n % 3]
-            there.start(name, seed=self.seed * 1000 + n, coordinator=str(there.folder / file), drift=drift, **spec)
+            harness.start(
+                name, seed=self.seed * 1000 + n, coordinator=str(harness.folder / lease_file), drift=drift, **spec
+            )
 
-    def _play(self, plan: list[Fault]) -> None:
+    def _run_plan(self, plan: list[Fault]) -> None:
         start = time.monotonic()
-        todo = sorted(plan, key=lambda fault: fault.at)
-        while todo or self._wakes:
+        pending = sorted(plan, key=lambda fault: fault.at)
+        while pending or self._due_recoveries:
             now = time.monotonic() - start
-            self._wakes.sort()
-            if self._wakes and self._wakes[0][0] <= now:
-                _, what, name = self._wakes.pop(0)
-                self._back(what, name)
-            elif todo and todo[0].at <= now:
-                self._strike(todo.pop(0), now)
+            self._due_recoveries.sort()
+            if self._due_recoveries and self._due_recoveries[0][0] <= now:
+                _, action, name = self._due_recoveries.pop(0)
+                self._recover(action, name)
+            elif pending and pending[0].at <= now:
+                self._inject(pending.pop(0), now)
             else:
-                ahead = [fault.at for fault in todo[:1]] + [wake[0] for wake in self._wakes[:1]]
-                time.sleep(max(0.0, min(ahead) - now))
+                next_at = [fault.at for fault in pending[:1]] + [recovery[0] for recovery in self._due_recoveries[:1]]
+                time.sleep(max(0.0, min(next_at) - now))
 
-    def _strike(self, fault: Fault, now: float) -> None:
-        there, kind, name = self._field, fault.kind, fault.process
-        there.note(kind, process=self._who(name) if name else "")
+    def _inject(self, fault: Fault, now: float) -> None:
+        harness, kind, name = self._harness, fault.kind, fault.process
+        harness.record_event(kind, process=self._incarnation(name) if name else "")
         if kind == "stop":
-            there.stop(name)
-            self._wakes.append((now + fault.span, "wake", name))
+            harness.stop(name)
+            self._due_recoveries.append((now + fault.span, "wake", name))
         elif kind == "stop before act":
-            there.say(name, arm=["before-act", "stop", 1])
-            self._wakes.append((now + fault.span, "wake", name))
+            harness.send_command(name, arm=["before-act", "stop", 1])
+            self._due_recoveries.append((now + fault.span, "wake", name))
         elif kind == "kill":
-            there.kill(name)
-            self._wakes.append((now + fault.span, "start", name))
+            harness.kill(name)
+            self._due_recoveries.append((now + fault.span, "start", name))
         elif kind == "kill after act":
-            there.say(name, arm=["after-act", "kill", 1])
-            self._wakes.append((now + fault.span + 0.3, "start", name))
+            harness.send_command(name, arm=["after-act", "kill", 1])
+            self._due_recoveries.append((now + fault.span + 0.3, "start", name))
         elif kind == "leave":
-            there.say(name, leave=True)
-            self._wakes.append((now + fault.span + 1.0, "start", name))
+            harness.send_command(name, leave=True)
+            self._due_recoveries.append((now + fault.span + 1.0, "start", name))
         elif kind == "step clock":
-            there.say(name, step=fault.span)
+            harness.send_command(name, step=fault.span)
         else:
-            words: dict[str, dict[str, Any]] = {
+            commands: dict[str, dict[str, Any]] = {
                 "stall": {"stall": fault.span},
                 "refuse": {"refuse": fault.span},
                 "lose": {"lose": 2},
@@ -129,75 +132,79 @@
                 "restart kept": {"restart": "kept"},
                 "restart aged": {"restart": "aged"},
             }
-            there.say("etcd", **words[kind])
+            harness.send_command("etcd", **commands[kind])
 
-    def _back(self, what: str, name: str) -> None:
-        proc = self._field.procs[name]
-        if what == "wake":
-            self._field.wake(name)
+    def _recover(self, action: str, name: str) -> None:
+        proc = self._harness.processes[name]
+        if action == "wake":
+            self._harness.resume(name)
             return
         if proc.alive:
-            self._field.kill(name)  # an armed kill that had nothing to do, or a leave that takes long
-        self._field.start(name)
-
-    def _who(self, name: str) -> str:
-        return f"{name}:{self._field.procs[name].pid}"
+            self._harness.kill(name)  # an armed kill that did not trigger, or a slow leave
+        self._harness.start(name)
+
+    def _incarnation(self, name: str) -> str:
+        return f"{name}:{self._harness.processes[name].pid}"
+
+    def _wait_until_settled(self) -> None:
+        """Wait until every shard has had a new effect, and then for 2.2 s more."""
+        since = len(self._harness.events)
+        self._harness.wait_until(
+            "an effect on every shard after the faults",
+            lambda events: len({event["shard"] for event in events[since:] if event["what"] == "acked"}) == self.shards,
+            60.0,
+        )
+        self._let_time_pass(2.2)
 
-    def _calm(self) -> None:
-        """Wait until every shard has had an act by its newest owner for a while."""
-        since = len(self._field.lines)
-        self._field.wait(
-            "calm", lambda lines: len({x["shard"] for x in lines[since:] if x["what"] == "acked"}) == self.shards, 60.0
+    def _let_time_pass(self, span: float) -> None:
+        deadline = time.clock_gettime(time.CLOCK_BOOTTIME) + span
+        self._harness.wait_until(
+            "the time to pass", lambda events: events[-1]["at"] >= deadline and events[-1]["who"] != "etcd", 60.0
         )
-        self._quiet(2.2)
-
-    def _quiet(self, span: float) -> None:
-        until = time.clock_gettime(time.CLOCK_BOOTTIME) + span
-        self._field.wait("time", lambda lines: lines[-1]["at"] >= until and lines[-1]["who"] != "etcd", 60.0)
-
-    def _clean(self, name: str, what: str) -> None:
-        """A kill or a leave with nothing beside it."""
-        there, who = self._field, self._who(name)
-        there.note(f"quiet {what}", process=who)
-        if what == "kill":
-            there.kill(name)
+
+    def _undisturbed_fault(self, name: str, action: str) -> None:
+        """Kill a member or make it leave, with no other fault near it, and restart it."""
+        harness, incarnation = self._harness, self._incarnation(name)
+        harness.record_event(f"quiet {action}", process=incarnation)
+        if action == "kill":
+            harness.kill(name)
         else:
-            there.say(name, leave=True)
-            there.ended(name)
-        self._quiet(4.1)
-        since = len(there.lines)
-        there.start(name)
-        there.first("gained", since=since, who=self._who(name))
-        self._quiet(2.2)
-
-    def _end(self, names: list[str]) -> None:
+            harness.send_command(name, leave=True)
+            harness.wait_for_exit(name)
+        self._let_time_pass(4.1)
+        since = len(harness.events)
+        harness.start(name)
+        harness.wait_for_event("gained", since=since, who=self._incarnation(name))
+        self._let_time_pass(2.2)
+
+    def _kill_all(self, names: list[str]) -> None:
         for name in names:
-            if self._field.procs[name].alive:
-                self._field.kill(name)
+            if self._harness.processes[name].alive:
+                self._harness.kill(name)
 
-    def _figures(self, faults: int) -> dict[str, Any]:
-        lines = list(self._field.lines)
-        with closing(sqlite3.connect(self._field.folder / "book.db")) as base:
+    def _results(self, faults: int) -> dict[str, Any]:
+        events = list(self._harness.events)
+        with closing(sqlite3.connect(self._harness.folder / "book.db")) as connection:
             query = "select duty, shard, token, number, detail from fence_log order by position"
-            found = base.execute(query).fetchall()
-        rows = [EffectRow((duty, shard), token, number) for duty, shard, token, number, _ in found]
-        acts = [((duty, shard), f"{json.loads(detail)['who']}/{token}") for duty, shard, token, _, detail in found]
-        kills, leaves = followed(lines, "quiet kill"), handed_over(lines)
+            rows = connection.execute(query).fetchall()
+        effects = [EffectRow((duty, shard), token, number) for duty, shard, token, number, _ in rows]
+        owners = [((duty, shard), f"{json.loads(detail)['who']}/{token}") for duty, shard, token, _, detail in rows]
+        takeovers, handovers = takeover_times(events, "quiet kill"), handover_times(events)
         return {
             "coordinator": self.coordinator,
             "mode": self.mode,
             "seed": self.seed,
             "faults": faults,
-            "effects": len(rows),
-            "interleaved": returns(acts),
-            "broken": broken(rows, lines),
-            "older_accepted": int(find_interleaved(rows) is not None),
-            "doubled": int(find_duplicate(rows) is not None),
-            "acts_lost": int(lost(rows, lines) is not None),
-            "stale_refused": sum(line["what"] == "stale" for line in lines),
-            "after_kill_s": sorted(round(span, 3) for span in kills),
-            "after_leave_s": sorted(round(span, 3) for span in leaves)[-3:],
-            "leaves": len(leaves),
+            "effects": len(effects),
+            "interleaved": count_returns(owners),
+            "broken": find_violation(effects, events),
+            "older_accepted": int(find_interleaved(effects) is not None),
+            "doubled": int(find_duplicate(effects) is not None),
+            "acts_lost": int(find_lost_effect(effects, events) is not None),
+            "stale_refused": sum(event["what"] == "stale" for event in events),
+            "after_kill_s": sorted(round(span, 3) for span in takeovers),
+            "after_leave_s": sorted(round(span, 3) for span in handovers)[-3:],
+            "leaves": len(handovers),
         }
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 
 from lapishaven.lab import modelcheck
-from lapishaven.lab.field import Field
+from lapishaven.lab.field import ProcessHarness
 from lapishaven.lab.field.tier import Call, Tier
 from lapishaven.lab.ledger_model import RECORD
 from lapishaven.ledger import file_copies
@@ -267,17 +267,19 @@
 class LedgerServers:
     """Servers that share one ledger, and clients that send commits to them."""
 
-    def __init__(self, field: Field, folder: Path, servers: int) -> None:
+    def __init__(self, field: ProcessHarness, folder: Path, servers: int) -> None:
         self.settings = folder / "record.toml"
         self.settings.write_text(f'file = "{folder}/record.db"\n[meter]\nusual = "result"\n')
         self.field = field
-        self.tier = Tier(field, 0, [1.0] * servers, slots=8, scale=0.05, words=["--record", str(self.settings)])
+        self.tier = Tier(
+            field, 0, [1.0] * servers, slots=8, scale=0.05, serve_arguments=["--record", str(self.settings)]
+        )
 
     async def commit(self, server: str, key: str) -> Call:
         """Send a commit; the status is 0 if no answer came."""
         headers = {"HTTP_X_REQUEST_ID": key, "HTTP_X_CALLER": "7"}
         now = asyncio.get_running_loop().time()
-        return await self.tier.call(server, "approve-commit", b"once " + key.encode(), now, more=headers)
+        return await self.tier.call(server, "approve-commit", b"once " + key.encode(), now, extra_variables=headers)
 
     def command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
         command = [sys.executable, "-m", "lapishaven", "record", *arguments, "--file", str(self.settings)]
@@ -295,7 +297,7 @@
 def test_a_key_sent_to_three_servers_at_once_runs_once_and_is_charged_once_despite_kills(tmp_path: Path) -> None:
     """Guards against servers that keep their results to themselves: a key that reaches three servers at once would run
     three times, and the commits of a killed server would be lost or run again."""
-    with Field() as field:
+    with ProcessHarness() as field:
         servers_on_ledger = LedgerServers(field, tmp_path, 3)
         with servers_on_ledger.tier as tier:
             answers: dict[str, list[int]] = {}
@@ -306,19 +308,19 @@
                 answers.setdefault(key, []).extend(call.status for call in calls)
 
             async def work() -> None:
-                await asyncio.gather(*(commit_on(f"calm{n}", tier.backs) for n in range(30)))
+                await asyncio.gather(*(commit_on(f"calm{n}", tier.backends) for n in range(30)))
                 tasks = []
                 for n in range(120):
-                    tasks.append(asyncio.create_task(commit_on(f"k{n}", random.sample(tier.backs, 2))))
+                    tasks.append(asyncio.create_task(commit_on(f"k{n}", random.sample(tier.backends, 2))))
                     if n in (40, 80):
-                        field.kill(tier.backs[n // 40])
-                        field.serve(tier.backs[n // 40])
+                        field.kill(tier.backends[n // 40])
+                        field.start_server(tier.backends[n // 40])
                     await asyncio.sleep(0.02)
                 await asyncio.gather(*tasks)
-                await asyncio.to_thread(tier.ready, tier.backs)
+                await asyncio.to_thread(tier.ready, tier.backends)
                 # Every key again, on a random server: an acknowledged commit must get its first answer.
                 repeats = {
-                    key: await servers_on_ledger.commit(random.choice(tier.backs), key) for key in sorted(answers)
+                    key: await servers_on_ledger.commit(random.choice(tier.backends), key) for key in sorted(answers)
                 }
                 for key, statuses in answers.items():
                     if 200 in statuses:
@@ -346,7 +348,7 @@
 def test_while_the_file_is_locked_idempotent_requests_are_still_served(tmp_path: Path) -> None:
     """Guards against an event loop that blocks on a locked file: commits are rejected or fail within their deadline,
     idempotent requests are served meanwhile, and commits are served again afterwards."""
-    with Field() as field:
+    with ProcessHarness() as field:
         servers_on_ledger = LedgerServers(field, tmp_path, 2)
         with servers_on_ledger.tier as tier:
 
@@ -360,11 +362,13 @@
                 idempotent = await asyncio.gather(
                     *(tier.call("b0", "fuzzy-match", b"safe", loop.time()) for _ in range(20))
                 )
-                assert {call.status for call in idempotent} == {200} and max(call.span for call in idempotent) < 1.0
+                assert {call.status for call in idempotent} == {200} and max(
+                    call.duration_s for call in idempotent
+                ) < 1.0
                 late = [await servers_on_ledger.commit("b0", f"late{n}") for n in range(5)]
                 early = await asyncio.gather(*commits)
                 assert 200 not in {call.status for call in [*early, *late]}
-                assert max(call.span for call in [*early, *late]) < 4.5  # within its deadline
+                assert max(call.duration_s for call in [*early, *late]) < 4.5  # within its deadline
                 assert loop.time() - started_at > 1.0
                 lock_holder.execute("rollback")
                 lock_holder.close()
--- a/tests/test_load_balancing_tier.py
+++ b/tests/test_load_balancing_tier.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from lapishaven.lab.field import Field
+from lapishaven.lab.field import ProcessHarness
 from lapishaven.lab.field.tier import Call, Tier
 from lapishaven.load_balancing import command
 from lapishaven.load_balancing.settings import BalancingSettingsError
@@ -26,19 +26,21 @@
 
 
 def late(calls: list[Call], aim: float = 1.5) -> list[Call]:
-    return [call for call in calls if call.cls != "approve-commit" and (call.status != 200 or call.span > aim)]
+    return [
+        call for call in calls if call.class_name != "approve-commit" and (call.status != 200 or call.duration_s > aim)
+    ]
 
 
 def test_a_stopped_process_costs_no_safe_call_its_aim_and_runs_nothing_twice_when_it_wakes() -> None:
     """Guards the judging of silence: without it what waits on the stopped process, and what is sent there while it is
     stopped, comes after its wake."""
-    with Field() as field, Tier(field, 3, [1.0] * 5, seed=3, slots=8) as tier:
+    with ProcessHarness() as field, Tier(field, 3, [1.0] * 5, seed=3, slots=8) as tier:
 
         async def stop() -> None:
             await asyncio.sleep(0.8)
             field.stop("b1")
             await asyncio.sleep(STOPS)
-            field.wake("b1")
+            field.resume("b1")
 
         calls = play(tier, 0.5 * tier.capacity(), 3.6, stop)
         assert len(calls) > 100
@@ -54,20 +56,20 @@
     fail at once, an address that accepts and says nothing, a process that drains, one that is taken off the list."""
     with (
         socket.create_server(("127.0.0.1", 0)) as mute,
-        Field() as field,
-        Tier(field, 3, [1.0] * 8, seed=5, slots=8, extra=[mute.getsockname()[1]]) as tier,
+        ProcessHarness() as field,
+        Tier(field, 3, [1.0] * 8, seed=5, slots=8, extra_ports=[mute.getsockname()[1]]) as tier,
     ):
 
         async def faults() -> None:
             await asyncio.sleep(0.6)
             field.kill("b1")
-            field.say("hands", cold=1)
-            field.say("hands", fail=[2, True])
+            field.send_command("hands", cold=1)
+            field.send_command("hands", fail=[2, True])
             await asyncio.sleep(0.8)
-            field.serve("b1")
-            field.procs["b3"].popen.terminate()  # drains: what it has is answered
+            field.start_server("b1")
+            field.processes["b3"].popen.terminate()  # drains: what it has is answered
             await asyncio.sleep(0.8)
-            field.say("hands", fail=[2, False])
+            field.send_command("hands", fail=[2, False])
             tier.listed = [name for name in tier.listed if name != "b4"]
             tier.reload()
 
@@ -77,7 +79,7 @@
         lost = [call for call in calls if call.status != 200]
         assert len(lost) < 0.06 * len(calls)  # what ran at the killed one, and what failed
         assert all(call.status in (502, 503, 504) for call in lost)
-        assert len([call for call in calls if call.status == 200 and call.span > 1.5]) < 0.01 * len(calls)
+        assert len([call for call in calls if call.status == 200 and call.duration_s > 1.5]) < 0.01 * len(calls)
         last = max(at for at, _ in report["began"])
         began = Counter(number for at, number in report["began"] if at > last - 0.8)
         assert not began[3] and not began[4]  # the one that left and the one that is off the list
@@ -87,7 +89,7 @@
 def test_a_commit_on_a_stopped_process_is_told_uncertain_early_and_does_not_run_when_it_wakes() -> None:
     """Guards a commit that lies unread in a stopped process: it goes nowhere else, its caller hears in time, and what
     is given up by then does not run."""
-    with Field() as field, Tier(field, 1, [1.0] * 2, seed=6, slots=8) as tier:
+    with ProcessHarness() as field, Tier(field, 1, [1.0] * 2, seed=6, slots=8) as tier:
 
         async def work() -> None:
             async def commits(count: int, mark: bytes) -> list[Call]:
@@ -103,10 +105,10 @@
             found = await commits(12, b"b")
             uncertain = [call for call in found if call.status != 200]
             assert uncertain and {call.status for call in uncertain} == {502}
-            assert max(call.span for call in uncertain) < 1.5 < 3.8  # of the deadline
+            assert max(call.duration_s for call in uncertain) < 1.5 < 3.8  # of the deadline
             assert all(call.status == 200 for call in await commits(4, b"c"))  # nothing more goes there
             before = tier.report()
-            field.wake("b0")
+            field.resume("b0")
             tier.ready(["b0"])
             assert {call.status for call in await commits(6, b"d")} == {200}
             after = tier.report()
@@ -118,11 +120,11 @@
 
 def test_fronts_that_are_all_started_again_in_one_second_do_not_act_alike() -> None:
     """Guards against a herd of choosers that know nothing at the same moment."""
-    with Field() as field, Tier(field, 6, [1.0] * 12, seed=7, slots=4) as tier:
+    with ProcessHarness() as field, Tier(field, 6, [1.0] * 12, seed=7, slots=4) as tier:
         for name in tier.fronts:
             field.kill(name)
         for name in tier.fronts:
-            field.serve(name)
+            field.start_server(name)
         tier.ready(tier.fronts)
         calls = play(tier, 0.7 * tier.capacity(), 2.5, lambda: asyncio.sleep(0))
         assert not late(calls)
@@ -133,7 +135,7 @@
 
 def test_operators_see_what_is_known_of_each_process_and_why_choices_fell(capfd: pytest.CaptureFixture[str]) -> None:
     """Guards the commands and the gauges, against a front that is asked while it serves."""
-    with Field() as field, Tier(field, 1, [1.0] * 3, seed=8, slots=8) as tier:
+    with ProcessHarness() as field, Tier(field, 1, [1.0] * 3, seed=8, slots=8) as tier:
         field.stop("b2")
         calls = play(tier, 0.3 * tier.capacity(), 1.5, lambda: asyncio.sleep(0))
         assert len(calls) > 10
@@ -145,7 +147,7 @@
         assert "chosen" in capfd.readouterr().out
         figures = command.fetch(where, "/v1/metrics").decode()
         assert 'server_spread_processes{standing="silent"} 1' in figures and "server_spread_probes " in figures
-        field.wake("b2")
+        field.resume("b2")
         with pytest.raises(BalancingSettingsError, match="does not spread"):
             command.status(f"127.0.0.1:{tier.controls['b0']}", False)
         with pytest.raises(BalancingSettingsError, match="cannot ask"):
--- a/tests/test_ownership_budgets.py
+++ b/tests/test_ownership_budgets.py
@@ -7,7 +7,7 @@
 from contextlib import closing, suppress
 from pathlib import Path
 
-from lapishaven.lab.field import Field
+from lapishaven.lab.field import ProcessHarness
 from lapishaven.lab.field.tier import Call, Tier
 from lapishaven.ownership.command import find_store_violation
 from lapishaven.ownership.duties import budgets
@@ -43,13 +43,16 @@
 def test_servers_share_one_contract_by_demand_also_after_the_quota_owner_is_killed(tmp_path: Path) -> None:
     """Servers that each count for themselves serve more than the contract's rate (1.5 times in this load). Even shares
     would leave the contract unused: the busy server must get what the others do not need."""
-    with Field() as field, Tier(field, 0, [1.0] * MEMBERS, slots=8, scale=0.02, words=write_files(tmp_path)) as tier:
+    with (
+        ProcessHarness() as field,
+        Tier(field, 0, [1.0] * MEMBERS, slots=8, scale=0.02, serve_arguments=write_files(tmp_path)) as tier,
+    ):
 
         async def run_load() -> tuple[list[Call], float, float]:
             loop = asyncio.get_running_loop()
             while (first := owner(tmp_path)) is None:
                 await asyncio.sleep(0.02)
-            busy, idle = [name for name in tier.backs if name != first[0]]
+            busy, idle = [name for name in tier.backends if name != first[0]]
             rates = {busy: 90.0, idle: 15.0, first[0]: 15.0}
             calls: list[asyncio.Task[Call]] = []
             finished = asyncio.Event()
@@ -57,7 +60,11 @@
             async def load(name: str, rate: float) -> None:
                 send_at = loop.time()
                 while not finished.is_set():
-                    calls.append(asyncio.create_task(tier.call(name, "fuzzy-match", b"x", send_at, more=CALLER_PARAMS)))
+                    calls.append(
+                        asyncio.create_task(
+                            tier.call(name, "fuzzy-match", b"x", send_at, extra_variables=CALLER_PARAMS)
+                        )
+                    )
                     send_at += 1.0 / rate
                     await asyncio.sleep(max(0.0, send_at - loop.time()))
 
