--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -20,8 +20,8 @@
 from benchmarks.common import arguments, finish, table, trials, write_into
 from lapishaven.lab.field import ProcessHarness
 from lapishaven.lab.field.tier import Tier, figures
-from lapishaven.lab.load_balancing_cases import AT, CASES, SPEEDS, build, play
-from lapishaven.lab.load_balancing_simulation import COLD_SPAN
+from lapishaven.lab.load_balancing_cases import CASES, FAULTS_AT_S, SPEEDS, build, play
+from lapishaven.lab.load_balancing_simulation import WARM_UP_S
 from lapishaven.load_balancing import AttemptOutcome, BalancingRules, LoadBalancer
 from lapishaven.load_balancing.load_report import ENCODED_SIZE, LoadReport
 from lapishaven.load_balancing.weighted_sampler import WeightedSampler
@@ -73,7 +73,7 @@
     fair = 0.0
     for n in range(runs):
         sim = build(CASES["a fifth killed, back cold"], "ours", fronts, processes, seed * 100 + n)
-        sim.run(AT + 4.2)
+        sim.run(FAULTS_AT_S + 4.2)
         for process in sim.listed:
             if process.cold:
                 fair += 0.1 * sim.rate * process.slots * process.speed / sim.capacity
@@ -452,7 +452,7 @@
         "seed": args.seed,
         "word_bytes": ENCODED_SIZE,
         "joined_peak": peak,
-        "cold_s": COLD_SPAN,
+        "cold_s": WARM_UP_S,
         "sockets": on_sockets,
         "simulated_alike": alike,
         "largest": largest,
--- a/lapishaven/lab/field/checker.py
+++ b/lapishaven/lab/field/checker.py
@@ -55,7 +55,7 @@
 
 
 def takeover_times(events: Sequence[Mapping[str, Any]], fault_kind: str) -> list[float]:
-    """Seconds without an owner after each fault ``away``, for every shard that the process owned, until it was gained.
+    """Seconds without an owner after each ``fault_kind`` fault, for every shard that the process owned.
 
     A fault counts only if there is no other fault from 2 s before to 4 s after it.
     """
--- a/lapishaven/lab/field/tier.py
+++ b/lapishaven/lab/field/tier.py
@@ -118,9 +118,9 @@
         for name in self.fronts:
             self.harness.processes[name].popen.send_signal(signal.SIGHUP)
 
-    def _write(self, name: str, uwsgi_text: str) -> str:
+    def _write(self, name: str, text: str) -> str:
         path = self.harness.folder / name
-        path.write_text(uwsgi_text)
+        path.write_text(text)
         return str(path)
 
     def _serve(self, name: str, interpreter_port: int, catalog_port: int, cores: int, is_backend: bool) -> None:
--- a/lapishaven/lab/load_balancing_cases.py
+++ b/lapishaven/lab/load_balancing_cases.py
@@ -1,7 +1,7 @@
-"""Hard cases for spreading in simulated time: each is a load, a fleet and faults at their times. Pure of any clock.
+"""Difficult cases for load balancing in simulated time: each has a load, a tier of processes and faults.
 
-``play(case, policy, ...)`` gives the figures of one chooser in one case; the same seed gives all choosers the same
-arrivals. The faults strike at ``AT`` seconds, figures count from ``FROM``.
+``play(case, policy, ...)`` returns the results of one policy in one case; the same seed gives all policies the same
+arrivals. Most faults begin at ``FAULTS_AT_S`` seconds; the results count from ``MEASURED_FROM_S`` seconds.
 """
 
 from __future__ import annotations
@@ -14,86 +14,95 @@
 from lapishaven.lab.load_balancing_simulation import Frontend, Process, Simulation
 from lapishaven.load_balancing import BalancingRules
 
-FROM, AT = 3.0, 4.0
+MEASURED_FROM_S, FAULTS_AT_S = 3.0, 4.0
 SPEEDS = (0.5, 0.7, 1.0, 1.3)
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """``load`` of the capacity; ``faults`` puts them on the sim's clock; ``thin``: a call in 8 s a front."""
+    """A case. ``faults`` schedules the faults in a simulation.
+
+    load: the arrival rate relative to the capacity.
+    rate_spread: the highest rate of a frontend relative to the lowest.
+    probe_delay_s: seconds by which answers to probes are delayed.
+    sparse_frontends: so many frontends that each sends one request in 8 s.
+    same_speed: all processes have the same speed.
+    """
 
     load: float
     seconds: float
-    faults: Callable[[Simulation], None] = lambda sim: None
-    differ: float = 1.0
-    late: float = 0.0
-    thin: bool = False
-    even: bool = False  # boxes of one speed
+    faults: Callable[[Simulation], None] = lambda simulation: None
+    rate_spread: float = 1.0
+    probe_delay_s: float = 0.0
+    sparse_frontends: bool = False
+    same_speed: bool = False
 
 
-def _first(sim: Simulation, part: float) -> list[Process]:
-    return sim.listed[: max(1, round(part * len(sim.listed)))]
+def _first_processes(simulation: Simulation, fraction: float) -> list[Process]:
+    return simulation.listed[: max(1, round(fraction * len(simulation.listed)))]
 
 
-def _killed(sim: Simulation) -> None:
-    for process in _first(sim, 0.2):
-        sim.at(AT, lambda name=process.name: sim.kill(name))  # type: ignore[misc]
-        sim.at(AT + 1.0, lambda name=process.name: sim.start(name))  # type: ignore[misc]
+def _kill_fifth(simulation: Simulation) -> None:
+    for process in _first_processes(simulation, 0.2):
+        simulation.schedule(FAULTS_AT_S, lambda name=process.name: simulation.kill(name))  # type: ignore[misc]
+        simulation.schedule(FAULTS_AT_S + 1.0, lambda name=process.name: simulation.start(name))  # type: ignore[misc]
 
 
-def _replaced(sim: Simulation) -> None:
-    for n, process in enumerate(_first(sim, 0.98)):
-        when = AT + 37.0 * n / len(sim.listed)
-        sim.at(when, lambda name=process.name: sim.kill(name))  # type: ignore[misc]
-        sim.at(when + 0.5, lambda name=process.name: sim.start(name))  # type: ignore[misc]
+def _replace_most(simulation: Simulation) -> None:
+    for n, process in enumerate(_first_processes(simulation, 0.98)):
+        at = FAULTS_AT_S + 37.0 * n / len(simulation.listed)
+        simulation.schedule(at, lambda name=process.name: simulation.kill(name))  # type: ignore[misc]
+        simulation.schedule(at + 0.5, lambda name=process.name: simulation.start(name))  # type: ignore[misc]
 
 
-def _slow(sim: Simulation) -> None:
-    def factor(value: float) -> None:
-        sim.listed[0].factor = value
+def _slow_one(simulation: Simulation) -> None:
+    def set_factor(factor: float) -> None:
+        simulation.listed[0].factor = factor
 
-    sim.at(AT, lambda: factor(0.1))
-    sim.at(AT + 30.0, lambda: factor(1.0))
+    simulation.schedule(FAULTS_AT_S, lambda: set_factor(0.1))
+    simulation.schedule(FAULTS_AT_S + 30.0, lambda: set_factor(1.0))
 
 
-def _fails(how: str) -> Callable[[Simulation], None]:
-    def fail(sim: Simulation) -> None:
-        sim.at(AT, lambda: sim.break_down(sim.listed[0].name, how))
+def _fail_one(mode: str) -> Callable[[Simulation], None]:
+    def fail(simulation: Simulation) -> None:
+        simulation.schedule(FAULTS_AT_S, lambda: simulation.set_fault_mode(simulation.listed[0].name, mode))
 
     return fail
 
 
-def _stopped(sim: Simulation) -> None:
-    for process in _first(sim, 0.2):
-        sim.at(AT, lambda name=process.name: sim.stop(name))  # type: ignore[misc]
-        sim.at(AT + 8.0, lambda name=process.name: sim.wake(name))  # type: ignore[misc]
+def _stop_fifth(simulation: Simulation) -> None:
+    for process in _first_processes(simulation, 0.2):
+        simulation.schedule(FAULTS_AT_S, lambda name=process.name: simulation.stop(name))  # type: ignore[misc]
+        simulation.schedule(FAULTS_AT_S + 8.0, lambda name=process.name: simulation.resume(name))  # type: ignore[misc]
 
 
-def _lies(said: float) -> Callable[[Simulation], None]:
-    def lie(sim: Simulation) -> None:
-        sim.listed[0].reported_in_flight = said
+def _misreport(in_flight: float) -> Callable[[Simulation], None]:
+    def misreport(simulation: Simulation) -> None:
+        simulation.listed[0].reported_in_flight = in_flight
 
-    return lie
+    return misreport
 
 
-def _cut(sim: Simulation) -> None:
-    half = {process.name for process in _first(sim, 0.5)}
-    fronts = {front.number for front in sim.fronts if front.number % 2}
-    sim.at(AT, lambda: sim.cut.update((number, name) for number in fronts for name in half))
-    sim.at(AT + 4.0, sim.cut.clear)
+def _partition(simulation: Simulation) -> None:
+    half = {process.name for process in _first_processes(simulation, 0.5)}
+    fronts = {front.number for front in simulation.fronts if front.number % 2}
+    simulation.schedule(
+        FAULTS_AT_S, lambda: simulation.partitioned.update((number, name) for number in fronts for name in half)
+    )
+    simulation.schedule(FAULTS_AT_S + 4.0, simulation.partitioned.clear)
 
 
-def _restarted(sim: Simulation) -> None:
+def _restart_frontends(simulation: Simulation) -> None:
     def restart() -> None:
-        for front in sim.fronts:
+        for front in simulation.fronts:
             front.restart()
 
-    sim.at(AT, restart)
+    simulation.schedule(FAULTS_AT_S, restart)
 
 
-def _newcomer(sim: Simulation) -> None:
-    sim.kill(sim.listed[0].name)
-    sim.at(AT, lambda: sim.start(sim.listed[0].name))
+def _start_late(simulation: Simulation) -> None:
+    simulation.kill(simulation.listed[0].name)
+    simulation.schedule(FAULTS_AT_S, lambda: simulation.start(simulation.listed[0].name))
 
 
 CASES = {
@@ -101,20 +110,20 @@
     "0.9 of capacity": Case(0.9, 8.0),
     "1.0 of capacity": Case(1.0, 8.0),
     "1.1 of capacity": Case(1.1, 8.0),
-    "a fifth killed, back cold": Case(0.6, 12.0, _killed),
-    "98% replaced in 37 s": Case(0.4, 44.0, _replaced),
-    "one ten times slower": Case(0.8, 12.0, _slow),
-    "one fails at once": Case(0.8, 10.0, _fails("error")),
-    "one refuses at once": Case(0.8, 10.0, _fails("refuse")),
-    "a fifth stopped for 8 s": Case(0.6, 16.0, _stopped),
-    "one says it is empty": Case(0.8, 8.0, _lies(0.0)),
-    "one says it is full": Case(0.8, 8.0, _lies(60.0)),
-    "half cut off from half": Case(0.4, 10.0, _cut),
-    "all news 2 s late": Case(0.8, 8.0, late=2.0),
-    "all fronts restarted": Case(0.8, 8.0, _restarted),
-    "one new beside the loaded": Case(0.8, 10.0, _newcomer, even=True),
-    "fronts differ a hundredfold": Case(0.8, 8.0, differ=100.0),
-    "a call in 8 s a front": Case(0.8, 8.0, thin=True),
+    "a fifth killed, back cold": Case(0.6, 12.0, _kill_fifth),
+    "98% replaced in 37 s": Case(0.4, 44.0, _replace_most),
+    "one ten times slower": Case(0.8, 12.0, _slow_one),
+    "one fails at once": Case(0.8, 10.0, _fail_one("error")),
+    "one refuses at once": Case(0.8, 10.0, _fail_one("refuse")),
+    "a fifth stopped for 8 s": Case(0.6, 16.0, _stop_fifth),
+    "one says it is empty": Case(0.8, 8.0, _misreport(0.0)),
+    "one says it is full": Case(0.8, 8.0, _misreport(60.0)),
+    "half cut off from half": Case(0.4, 10.0, _partition),
+    "all news 2 s late": Case(0.8, 8.0, probe_delay_s=2.0),
+    "all fronts restarted": Case(0.8, 8.0, _restart_frontends),
+    "one new beside the loaded": Case(0.8, 10.0, _start_late, same_speed=True),
+    "fronts differ a hundredfold": Case(0.8, 8.0, rate_spread=100.0),
+    "a call in 8 s a front": Case(0.8, 8.0, sparse_frontends=True),
 }
 
 
@@ -129,26 +138,35 @@
     work: float = 0.3,
     rules: BalancingRules | None = None,
 ) -> Simulation:
-    """The case, ready to be run."""
+    """A simulation of the case that has not run yet."""
     random = Random(seed * 31 + 7)
-    speeds = [1.0 if case.even else random.choice(SPEEDS) for _ in range(processes)]
-    if case.thin:
+    speeds = [1.0 if case.same_speed else random.choice(SPEEDS) for _ in range(processes)]
+    if case.sparse_frontends:
         fronts = round(8.0 * case.load * slots * sum(speeds) / work)
-    sim = Simulation(
-        policy, fronts, speeds, case.load, seed, slots=slots, work=work, rules=rules, late=case.late, differ=case.differ
+    simulation = Simulation(
+        policy,
+        fronts,
+        speeds,
+        case.load,
+        seed,
+        slots=slots,
+        work=work,
+        rules=rules,
+        probe_delay_s=case.probe_delay_s,
+        rate_spread=case.rate_spread,
     )
-    sim.measured_from = FROM
-    case.faults(sim)
-    return sim
+    simulation.measured_from = MEASURED_FROM_S
+    case.faults(simulation)
+    return simulation
 
 
 def play(
-    name: str, policy: str, fronts: int, processes: int, seed: int, seconds: float | None = None, **how: Any
+    name: str, policy: str, fronts: int, processes: int, seed: int, seconds: float | None = None, **options: Any
 ) -> dict[str, Any]:
-    """``seconds``: for as long in place of the case's own span."""
-    sim = build(CASES[name], policy, fronts, processes, seed, **how)
-    sim.run(seconds or CASES[name].seconds)
-    return {"case": name, **sim.figures()}
+    """Run a case, for ``seconds`` instead of its own duration if given, and return its results."""
+    simulation = build(CASES[name], policy, fronts, processes, seed, **options)
+    simulation.run(seconds or CASES[name].seconds)
+    return {"case": name, **simulation.figures()}
 
 
-__all__ = ["AT", "CASES", "FROM", "Case", "Frontend", "build", "play"]
+__all__ = ["CASES", "FAULTS_AT_S", "MEASURED_FROM_S", "Case", "Frontend", "build", "play"]
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapishaven.lab.load_balancing_cases import AT, CASES, build, play
+from lapishaven.lab.load_balancing_cases import CASES, FAULTS_AT_S, build, play
 from lapishaven.load_balancing import (
     AttemptOutcome,
     BalancingRules,
@@ -412,8 +412,8 @@
     """Guards the simulator: such a request arrived at a dead process under its new number, was released twice and
     ended the run (a fifth killed, seed 6111)."""
     sim = build(CASES["a fifth killed, back cold"], "ours", 50, 100, 6111)
-    sim.run(AT + 0.6)
-    assert sim.now == AT + 0.6
+    sim.run(FAULTS_AT_S + 0.6)
+    assert sim.now == FAULTS_AT_S + 0.6
 
 
 def test_each_numeric_key_sets_a_field_of_the_rules() -> None:
