--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -22,7 +22,7 @@
 
 from benchmarks.common import arguments, finish, table, trials, write_into
 from lapishaven.lab.field.trial import TTL_S
-from lapishaven.lab.ownership_simulation import SimFleet
+from lapishaven.lab.ownership_simulation import MembershipSimulation
 from lapishaven.ownership.duties import budgets
 from lapishaven.ownership.fence import EffectRequest
 from lapishaven.ownership.fenced_store import FencedStore
@@ -50,7 +50,7 @@
 def shards(members: int, count: int, seed: int) -> dict[str, Any]:
     """Spread, moves and requests of a simulated fleet."""
     began = time.monotonic()
-    fleet = SimFleet(count, seed)
+    fleet = MembershipSimulation(count, seed)
     for n in range(members):
         fleet.start(f"m{n}")
     fleet.run(20.0)
@@ -82,7 +82,7 @@
 
 def deaths(seed: int, kills: int) -> list[float]:
     """Seconds without an owner after each kill, simulated, one shard after the other."""
-    fleet = SimFleet(16, seed)
+    fleet = MembershipSimulation(16, seed)
     for n in range(8):
         fleet.start(f"m{n}")
     fleet.run(10.0)
@@ -106,7 +106,7 @@
 
 
 def false_losses(seed: int) -> int:
-    fleet = SimFleet(32, seed)
+    fleet = MembershipSimulation(32, seed)
     for n in range(8):
         fleet.start(f"m{n}")
     fleet.run(3600.0)
--- a/lapishaven/lab/ledger_model.py
+++ b/lapishaven/lab/ledger_model.py
@@ -1,134 +1,206 @@
-"""Bounded model checking of the ledger's protocol by z3: two servers, one key, one file, every order of the steps.
+"""Bounded model checking of the ledger's protocol with z3: two servers, one key, one file, all orders of the steps.
 
-The rows change by ``ledger.transitions.TRANSITIONS`` itself. Either server may get the request at any time, crash
-between any two steps (and restart as another incarnation), and get an error though its transaction was written.
-Properties: the effect runs at most once; it is charged at most once; a reply of success has the effect completed and
-charged in the file; nothing that ran is rejected. For each guard there is a mutant without it, which has to break one.
+The row changes by ``ledger.transitions.TRANSITIONS`` itself. Either server may get the request at any time, crash
+between any two steps and restart as another incarnation, and get an error although its transaction was written.
+
+The properties are: the effect runs at most once; it is charged at most once; after a reply of success the file has the
+effect completed and charged; a request that ran is not rejected. Each mutant without one guard must violate a property.
 """
 
 from __future__ import annotations
 
-from lapishaven.lab.modelcheck import Model, Rule, Var, Vars, n
+from lapishaven.lab.modelcheck import Assignment, Expression, Model, Rule, bit_vector
 from lapishaven.ledger.transitions import TRANSITIONS, Decision, EffectEvent, EffectState
 
 import z3  # isort: skip
 
 STATES = list(EffectState)
-IDLE, ASKED, MAY_RUN, RUNS, ENDED, TOLD, UNRUN, VOIDS, FAILS = range(9)
-NAMES = ("row", "holder", "fresh", "s0", "s1", "p0", "p1", "ran0", "ran1", "runs", "charges", "owed", "hollow", "lied")
-CRASHES = 3
+IDLE, RECEIVED, INTENT_RECORDED, RUNNING, RUN_ENDED, COMPLETION_RECORDED, REJECTING, CANCELLING, RUN_FAILED = range(9)
+VARIABLES = (
+    "row",
+    "holder",
+    "fresh",
+    "s0",
+    "s1",
+    "p0",
+    "p1",
+    "ran0",
+    "ran1",
+    "runs",
+    "charges",
+    "owed",
+    "hollow",
+    "lied",
+)
+MAX_CRASHES = 3
 
 
-def _row(state: EffectState) -> Var:
-    return n(STATES.index(state))
+def _row_value(state: EffectState) -> Expression:
+    return bit_vector(STATES.index(state))
 
 
-def _decides(v: Vars, event: EffectEvent, own: Var, expected: Decision) -> Var:
-    """Whether the transitions give this decision."""
+def _has_decision(v: Assignment, event: EffectEvent, is_own: Expression, expected: Decision) -> Expression:
+    """Whether ``TRANSITIONS`` gives this decision for the event in the current row state."""
     cases = [
-        z3.And(v["row"] == _row(state), own == mine)
-        for (state, asked, mine), (decision, _) in TRANSITIONS.items()
-        if asked is event and decision is expected
+        z3.And(v["row"] == _row_value(state), is_own == own)
+        for (state, listed_event, own), (decision, _) in TRANSITIONS.items()
+        if listed_event is event and decision is expected
     ]
     return z3.Or(cases) if cases else z3.BoolVal(False)
 
 
-def rules(v: Vars, out: frozenset[str]) -> list[Rule]:
-    """``p`` are what the servers are at, ``s`` their starts, ``ran`` whether the request at hand has run; ``owed`` a
-    charge that is still to be written, ``hollow`` a success that the file did not hold, ``lied`` a refusal of a run."""
-    found = []
-    for i in "01":
-        p, start, ran = v[f"p{i}"], v[f"s{i}"], v[f"ran{i}"]
-        own = z3.And(v["holder"] == start, v["row"] != _row(EffectState.ABSENT))
-
-        def step(name: str, at: int, when: Var, then: Vars, i: str = i, p: Var = p) -> None:
-            found.append(Rule(f"{name} {i}", z3.And(p == n(at), when), then))
-
-        yes = z3.BoolVal(True)
-        free = _decides(v, EffectEvent.INTEND, own, Decision.APPLY)
-        if "look before intent" in out:
-            free = yes
-        kept = z3.And(z3.Not(free), _decides(v, EffectEvent.INTEND, own, Decision.ALREADY_COMPLETED))
-        taken = {"row": _row(EffectState.INTENDED), "holder": start}
-        solid = z3.And(v["row"] == _row(EffectState.COMPLETED), v["charges"] == 1)
-        step("ask", IDLE, yes, {f"p{i}": n(ASKED), f"ran{i}": n(0)})
-        step("intend", ASKED, free, {**taken, f"p{i}": n(MAY_RUN)})
-        step("intend, told an error", ASKED, free, {**taken, f"p{i}": n(UNRUN)})
-        step("intend fails", ASKED, yes, {f"p{i}": n(UNRUN)})
-        step("answer the kept", ASKED, kept, {f"p{i}": n(IDLE), "hollow": z3.If(solid, v["hollow"], n(1))})
-        step("fail the uncertain", ASKED, z3.And(z3.Not(free), z3.Not(kept)), {f"p{i}": n(IDLE)})
-        begun = {f"p{i}": n(RUNS), f"ran{i}": n(1), "runs": v["runs"] + 1}
-        few = z3.ULT(v["runs"], 3)
-        step("run", MAY_RUN, few, begun)
-        if "intent before run" in out:
-            step("run too soon", ASKED, few, begun)
-        step("nobody waits", MAY_RUN, yes, {f"p{i}": n(UNRUN)})
-        step("end", RUNS, yes, {f"p{i}": n(ENDED)})
-        step("end badly", RUNS, yes, {f"p{i}": n(FAILS)})
-        may = _decides(v, EffectEvent.FAIL, own, Decision.APPLY)
+def rules(v: Assignment, removed_guards: frozenset[str]) -> list[Rule]:
+    """The steps of the two servers. The state variables are:
+
+    - ``row``: the state of the ledger row; ``holder``: the incarnation that wrote its intent;
+    - ``p<i>``: the phase of server ``i``; ``s<i>``: its incarnation; ``fresh``: the next incarnation;
+    - ``ran<i>``: whether the current request of server ``i`` has run;
+    - ``runs`` and ``charges``: how often the effect ran and was charged; ``owed``: a charge is still to be written;
+    - ``hollow``: a success was reported that the file did not hold; ``lied``: a request that ran was rejected.
+    """
+    rules_found = []
+    for server in "01":
+        phase, incarnation, ran = v[f"p{server}"], v[f"s{server}"], v[f"ran{server}"]
+        is_own = z3.And(v["holder"] == incarnation, v["row"] != _row_value(EffectState.ABSENT))
+
+        def step(
+            name: str,
+            at: int,
+            condition: Expression,
+            updates: Assignment,
+            server: str = server,
+            phase: Expression = phase,
+        ) -> None:
+            rules_found.append(Rule(f"{name} {server}", z3.And(phase == bit_vector(at), condition), updates))
+
+        always = z3.BoolVal(True)
+        can_intend = _has_decision(v, EffectEvent.INTEND, is_own, Decision.APPLY)
+        if "check before intent" in removed_guards:
+            can_intend = always
+        has_result = z3.And(
+            z3.Not(can_intend), _has_decision(v, EffectEvent.INTEND, is_own, Decision.ALREADY_COMPLETED)
+        )
+        intent = {"row": _row_value(EffectState.INTENDED), "holder": incarnation}
+        is_stored = z3.And(v["row"] == _row_value(EffectState.COMPLETED), v["charges"] == 1)
+        step("receive", IDLE, always, {f"p{server}": bit_vector(RECEIVED), f"ran{server}": bit_vector(0)})
+        step("record intent", RECEIVED, can_intend, {**intent, f"p{server}": bit_vector(INTENT_RECORDED)})
+        step("record intent, get an error", RECEIVED, can_intend, {**intent, f"p{server}": bit_vector(REJECTING)})
+        step("fail to record intent", RECEIVED, always, {f"p{server}": bit_vector(REJECTING)})
+        step(
+            "reply with the recorded result",
+            RECEIVED,
+            has_result,
+            {f"p{server}": bit_vector(IDLE), "hollow": z3.If(is_stored, v["hollow"], bit_vector(1))},
+        )
         step(
-            "note the failure",
-            FAILS,
-            yes,
+            "reply uncertain",
+            RECEIVED,
+            z3.And(z3.Not(can_intend), z3.Not(has_result)),
+            {f"p{server}": bit_vector(IDLE)},
+        )
+        run_updates = {f"p{server}": bit_vector(RUNNING), f"ran{server}": bit_vector(1), "runs": v["runs"] + 1}
+        runs_left = z3.ULT(v["runs"], 3)
+        step("run", INTENT_RECORDED, runs_left, run_updates)
+        if "intent before run" in removed_guards:
+            step("run without intent", RECEIVED, runs_left, run_updates)
+        step("caller has left", INTENT_RECORDED, always, {f"p{server}": bit_vector(REJECTING)})
+        step("end run", RUNNING, always, {f"p{server}": bit_vector(RUN_ENDED)})
+        step("run fails", RUNNING, always, {f"p{server}": bit_vector(RUN_FAILED)})
+        can_apply = _has_decision(v, EffectEvent.FAIL, is_own, Decision.APPLY)
+        step(
+            "record failure",
+            RUN_FAILED,
+            always,
             {
-                f"p{i}": n(IDLE),
-                "row": z3.If(may, _row(EffectState.WITHOUT_RESULT), v["row"]),
+                f"p{server}": bit_vector(IDLE),
+                "row": z3.If(can_apply, _row_value(EffectState.WITHOUT_RESULT), v["row"]),
             },
         )
-        may = _decides(v, EffectEvent.COMPLETE, own, Decision.APPLY)
-        again = _decides(v, EffectEvent.COMPLETE, own, Decision.ALREADY_COMPLETED)
-        charged = v["charges"] + z3.If(may, n(1), n(0))
-        if "kept on repeat" in out:
-            charged = v["charges"] + z3.If(z3.Or(may, again), n(1), n(0))
-        done: Vars = {"row": z3.If(may, _row(EffectState.COMPLETED), v["row"]), "charges": charged}
-        if "one transaction" in out:
-            done = {"row": done["row"], "owed": z3.If(may, n(1), v["owed"])}
-        room = z3.ULT(v["charges"], 3)
-        step("finish", ENDED, z3.And(room, z3.Or(may, again)), {**done, f"p{i}": n(TOLD)})
-        step("finish, told an error", ENDED, z3.And(room, z3.Or(may, again)), done)
-        step("finish in vain", ENDED, z3.Not(z3.Or(may, again)), {f"p{i}": n(IDLE)})
-        if "one transaction" in out:
-            step("charge", TOLD, v["owed"] == 1, {"charges": v["charges"] + 1, "owed": n(0)})
-        if "durable before reply" in out:
-            step("reply too soon", ENDED, yes, {f"p{i}": n(IDLE), "hollow": z3.If(solid, v["hollow"], n(1))})
-        if "a run is never refused" in out:
-            step("refuse what ran", ENDED, yes, {f"p{i}": n(UNRUN)})
-        step("reply", TOLD, v["owed"] == 0, {f"p{i}": n(IDLE), "hollow": z3.If(solid, v["hollow"], n(1))})
-        step("refuse", UNRUN, yes, {f"p{i}": n(VOIDS), "lied": z3.If(ran == 1, n(1), v["lied"])})
-        may = _decides(v, EffectEvent.CANCEL, own, Decision.APPLY)
-        if "own start" in out:
-            may = v["row"] == _row(EffectState.INTENDED)
-        step("void", VOIDS, yes, {f"p{i}": n(IDLE), "row": z3.If(may, _row(EffectState.ABSENT), v["row"])})
-        found.append(
+        can_apply = _has_decision(v, EffectEvent.COMPLETE, is_own, Decision.APPLY)
+        is_repeat = _has_decision(v, EffectEvent.COMPLETE, is_own, Decision.ALREADY_COMPLETED)
+        charged = v["charges"] + z3.If(can_apply, bit_vector(1), bit_vector(0))
+        if "one charge on repeat" in removed_guards:
+            charged = v["charges"] + z3.If(z3.Or(can_apply, is_repeat), bit_vector(1), bit_vector(0))
+        completion: Assignment = {
+            "row": z3.If(can_apply, _row_value(EffectState.COMPLETED), v["row"]),
+            "charges": charged,
+        }
+        if "one transaction" in removed_guards:
+            completion = {"row": completion["row"], "owed": z3.If(can_apply, bit_vector(1), v["owed"])}
+        charges_left = z3.ULT(v["charges"], 3)
+        step(
+            "record completion",
+            RUN_ENDED,
+            z3.And(charges_left, z3.Or(can_apply, is_repeat)),
+            {**completion, f"p{server}": bit_vector(COMPLETION_RECORDED)},
+        )
+        step(
+            "record completion, get an error", RUN_ENDED, z3.And(charges_left, z3.Or(can_apply, is_repeat)), completion
+        )
+        step("completion denied", RUN_ENDED, z3.Not(z3.Or(can_apply, is_repeat)), {f"p{server}": bit_vector(IDLE)})
+        if "one transaction" in removed_guards:
+            step("charge", COMPLETION_RECORDED, v["owed"] == 1, {"charges": v["charges"] + 1, "owed": bit_vector(0)})
+        if "durable before reply" in removed_guards:
+            step(
+                "reply before the record",
+                RUN_ENDED,
+                always,
+                {f"p{server}": bit_vector(IDLE), "hollow": z3.If(is_stored, v["hollow"], bit_vector(1))},
+            )
+        if "no rejection after a run" in removed_guards:
+            step("reject after run", RUN_ENDED, always, {f"p{server}": bit_vector(REJECTING)})
+        step(
+            "reply",
+            COMPLETION_RECORDED,
+            v["owed"] == 0,
+            {f"p{server}": bit_vector(IDLE), "hollow": z3.If(is_stored, v["hollow"], bit_vector(1))},
+        )
+        step(
+            "reject",
+            REJECTING,
+            always,
+            {f"p{server}": bit_vector(CANCELLING), "lied": z3.If(ran == 1, bit_vector(1), v["lied"])},
+        )
+        can_apply = _has_decision(v, EffectEvent.CANCEL, is_own, Decision.APPLY)
+        if "own incarnation" in removed_guards:
+            can_apply = v["row"] == _row_value(EffectState.INTENDED)
+        step(
+            "cancel",
+            CANCELLING,
+            always,
+            {f"p{server}": bit_vector(IDLE), "row": z3.If(can_apply, _row_value(EffectState.ABSENT), v["row"])},
+        )
+        rules_found.append(
             Rule(
-                f"crash {i}",
-                z3.ULT(v["fresh"], 3 + CRASHES),
+                f"crash {server}",
+                z3.ULT(v["fresh"], 3 + MAX_CRASHES),
                 {
-                    f"p{i}": n(IDLE),
-                    f"s{i}": v["fresh"],
+                    f"p{server}": bit_vector(IDLE),
+                    f"s{server}": v["fresh"],
                     "fresh": v["fresh"] + 1,
                 },
             )
         )
-    return found
+    return rules_found
 
 
-def bad(v: Vars, out: frozenset[str]) -> dict[str, Var]:
+def violations(v: Assignment, removed_guards: frozenset[str]) -> dict[str, Expression]:
+    """The violations of the properties."""
     return {
-        "it ran twice": z3.UGE(v["runs"], 2),
-        "it was charged twice": z3.UGE(v["charges"], 2),
-        "a success that the file does not hold": v["hollow"] == 1,
-        "a run was refused": v["lied"] == 1,
+        "the effect ran twice": z3.UGE(v["runs"], 2),
+        "the effect was charged twice": z3.UGE(v["charges"], 2),
+        "a success was reported that the file does not hold": v["hollow"] == 1,
+        "a request that ran was rejected": v["lied"] == 1,
     }
 
 
 GUARDS = (
-    "look before intent",
+    "check before intent",
     "intent before run",
     "durable before reply",
     "one transaction",
-    "kept on repeat",
-    "own start",
-    "a run is never refused",
+    "one charge on repeat",
+    "own incarnation",
+    "no rejection after a run",
 )
-RECORD = Model("record", NAMES, {"s0": 1, "s1": 2, "fresh": 3}, rules, bad, GUARDS, 13)
+LEDGER = Model("ledger", VARIABLES, {"s0": 1, "s1": 2, "fresh": 3}, rules, violations, GUARDS, 13)
--- a/lapishaven/lab/ownership_simulation.py
+++ b/lapishaven/lab/ownership_simulation.py
@@ -1,4 +1,4 @@
-"""Members in simulated time round one coordinator: hundreds of them in seconds, the same policy as on sockets."""
+"""Simulates members of one coordinator in simulated time, hundreds of them within seconds, with the real policy."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from lapishaven.ownership.operations import Outcome, Unknown
 from lapishaven.ownership.rules import MembershipRules
 
-MIN_STEP_S = 0.002  # between two steps of a member
+MIN_STEP_S = 0.002  # between two steps of a member without an operation
 START_SPREAD_S = 0.01
 CALL_TIMEOUT_S = 0.5
 
 
-class SimClock:
-    """A clock that the simulation sets."""
+class SimulatedClock:
+    """A clock that the simulation advances."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -32,40 +32,42 @@
         return self.time
 
     def wall(self) -> float:
-        """The same: simulated wall clocks do not step."""
+        """The same seconds: simulated wall clocks do not step."""
         return self.time
 
 
 @dataclass(slots=True)
 class SimulatedMember:
-    """A member, and all its notices with their times."""
+    """A member, and its notices with their times."""
 
     member: Member
     alive: bool = True
     notices: list[tuple[float, Notice]] = field(default_factory=list)
 
 
-class SimFleet:
-    """``run(until)`` moves time on; ``start``, ``kill`` and ``drain`` act now. ``latency`` in seconds for each call to
-    the coordinator."""
+class MembershipSimulation:
+    """Members of one coordinator. ``run(until)`` advances the time; ``start``, ``kill`` and ``drain`` act at once.
 
-    def __init__(self, shards: int, seed: int, rules: MembershipRules | None = None, latency: float = 0.002) -> None:
-        self.clock = SimClock()
+    ``latency_s`` is the duration of a call to the coordinator.
+    """
+
+    def __init__(self, shards: int, seed: int, rules: MembershipRules | None = None, latency_s: float = 0.002) -> None:
+        self.clock = SimulatedClock()
         self.random = Random(seed)
         self.coordinator = SqliteCoordinator(":memory:", self.clock)
         self.shards: Sequence[Shard] = [("work", number) for number in range(shards)]
         self.rules = rules or MembershipRules()
         self.members: dict[str, SimulatedMember] = {}
         self.calls: Counter[str] = Counter()
-        """Calls to the coordinator, by the operation's fault point."""
-        self.away: Callable[[str], bool] = lambda name: False
-        """Whether the coordinator does not answer the member of that name."""
-        self._latency = latency
+        """The number of calls to the coordinator, by the operation's fault point."""
+        self.is_unavailable: Callable[[str], bool] = lambda name: False
+        """Whether the coordinator is unavailable to the member with this name."""
+        self._latency_s = latency_s
         self._queue: list[tuple[float, int, str]] = []
         self._sequence = 0
 
     def start(self, name: str) -> None:
-        """Start a process."""
+        """Start a member as a new incarnation."""
         self._sequence += 1
         record = MemberRecord(name, f"{name}:{self._sequence}")
         member = Member(record, self.shards, self.rules, Random(self.random.random()))
@@ -73,16 +75,16 @@
         self._schedule(self.clock.time + self.random.uniform(0.0, START_SPREAD_S), name)
 
     def kill(self, name: str) -> None:
-        """Kill a process: its lease runs out by itself."""
+        """Kill a member, whose lease then expires."""
         self.members[name].alive = False
 
     def drain(self, name: str) -> None:
-        """Have a member transfer its shards and deregister."""
+        """Make a member transfer its shards and deregister."""
         self.members[name].member.drain(self.clock.time)
         self._schedule(self.clock.time, name)
 
     def run(self, until: float) -> None:
-        """Simulate up to an instant."""
+        """Simulate until the time ``until``."""
         while self._queue and self._queue[0][0] <= until:
             at, _, name = heappop(self._queue)
             self.clock.time = max(self.clock.time, at)
@@ -100,12 +102,12 @@
             self._schedule(max(now + MIN_STEP_S, member.next_due()), name)
             return
         self.calls[operation.fault_point] += 1
-        if self.away(name):
+        if self.is_unavailable(name):
             outcome: Outcome = Unknown()
             answered_at = now + CALL_TIMEOUT_S
         else:
             outcome = perform(self.coordinator, operation, self.rules.ttl)
-            answered_at = now + self._latency
+            answered_at = now + self._latency_s
         member.record_outcome(answered_at, operation, outcome)
         self._schedule(answered_at, name)
 
@@ -114,7 +116,7 @@
         heappush(self._queue, (at, self._sequence, name))
 
     def owners(self) -> dict[Shard, list[str]]:
-        """Who may act on each shard now, by its own clock."""
+        """The members that may act on each shard now, by their own clocks."""
         owners: dict[Shard, list[str]] = {shard: [] for shard in self.shards}
         for name, simulated in self.members.items():
             if simulated.alive:
@@ -128,6 +130,6 @@
         return Counter(name for names in self.owners().values() for name in names)
 
     def moves(self, before: dict[Shard, list[str]]) -> int:
-        """Shards whose owners differ from ``before``."""
+        """The number of shards whose owners differ from ``before``."""
         now = self.owners()
         return sum(before[shard] != now[shard] for shard in self.shards)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -23,7 +23,7 @@
 from lapishaven.lab import modelcheck
 from lapishaven.lab.field import ProcessHarness
 from lapishaven.lab.field.tier import Call, Tier
-from lapishaven.lab.ledger_model import RECORD
+from lapishaven.lab.ledger_model import LEDGER
 from lapishaven.ledger import file_copies
 from lapishaven.ledger.audit import Charge, Effect, differences
 from lapishaven.ledger.backpressure import Backpressure, BackpressureRules
@@ -65,8 +65,8 @@
 def test_model_check_of_the_protocol_passes_and_fails_without_any_one_guard() -> None:
     """Guards the four rules of the protocol: no sequence of 11 crashes, lost answers, repeats and failures breaks one.
     Removing any guard must be found, else the check would prove nothing."""
-    assert modelcheck.check(RECORD, steps=11) is None
-    violations = {guard: modelcheck.check(RECORD, frozenset({guard})) for guard in RECORD.guards}
+    assert modelcheck.check(LEDGER, steps=11) is None
+    violations = {guard: modelcheck.check(LEDGER, frozenset({guard})) for guard in LEDGER.guards}
     assert all(violations.values()), violations
 
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -16,7 +16,7 @@
 
 from lapishaven.core.contracts import Contract, Contracts, Denied
 from lapishaven.lab import modelcheck
-from lapishaven.lab.ownership_simulation import SimClock, SimFleet
+from lapishaven.lab.ownership_simulation import MembershipSimulation, SimulatedClock
 from lapishaven.ownership.agent import Agent, ShardProgress
 from lapishaven.ownership.command import find_store_violation
 from lapishaven.ownership.coordinators.sqlite import SqliteCoordinator
@@ -141,7 +141,7 @@
 # ---- Members
 def test_shards_of_dead_members_have_a_new_owner_within_a_second_after_the_lease() -> None:
     """Liveness: every shard has exactly one owner again after a kill, a drain, and the loss of half of the members."""
-    fleet = SimFleet(60, 3)
+    fleet = MembershipSimulation(60, 3)
     for n in range(10):
         fleet.start(f"m{n}")
     fleet.run(10.0)
@@ -159,7 +159,7 @@
 
 def test_no_session_is_lost_in_an_hour_without_faults() -> None:
     """A margin or renewal interval that is too tight loses sessions without a fault, which shows within an hour."""
-    fleet = SimFleet(8, 5)
+    fleet = MembershipSimulation(8, 5)
     for n in range(3):
         fleet.start(f"m{n}")
     fleet.run(3600.0)
@@ -170,19 +170,19 @@
 
 def test_an_outage_leaves_no_owners_and_the_rejoins_after_it_are_spread() -> None:
     """An outage of minutes: owners must stop by their own clocks, and must not all rejoin at the same instant."""
-    fleet = SimFleet(30, 7)
+    fleet = MembershipSimulation(30, 7)
     for n in range(30):
         fleet.start(f"m{n}")
     fleet.run(10.0)
     gained = sum(n.kind is NoticeKind.SHARD_GAINED for member in fleet.members.values() for _, n in member.notices)
-    fleet.away = lambda name: True
+    fleet.is_unavailable = lambda name: True
     fleet.run(10.0 + fleet.rules.ttl)
     assert not any(fleet.owners().values())
     fleet.run(200.0)
     assert (
         sum(n.kind is NoticeKind.SHARD_GAINED for member in fleet.members.values() for _, n in member.notices) == gained
     )
-    fleet.away = lambda name: False
+    fleet.is_unavailable = lambda name: False
     joins = []
     for step in range(10):
         before = fleet.calls["join"]
@@ -195,7 +195,7 @@
 
 def test_a_flapping_member_settles_for_longer_each_time() -> None:
     """A process that keeps crashing must not make the other members' shards move at each of its restarts."""
-    fleet = SimFleet(12, 9)
+    fleet = MembershipSimulation(12, 9)
     for name in ("a", "b", "c"):
         fleet.start(name)
     fleet.run(5.0)
@@ -436,7 +436,7 @@
 
     shard: Shard = ("w", 0)
     member = Member(MemberRecord("a", "a1"), [shard], MembershipRules(), Random(1))
-    clock = SimClock()
+    clock = SimulatedClock()
     operation = member.next_operation(0.0)
     assert operation is not None
     member.record_outcome(0.0, operation, Completed(SessionGrant(5, 1)))
