--- a/lapishaven/lab/field/field.py
+++ b/lapishaven/lab/field/field.py
@@ -225,11 +225,11 @@
             self.events += [json.loads(line) for line in complete_lines if line]
             self._events_changed.notify_all()
 
-    def wait_until(self, what: str, condition: Callable[[Sequence[Event]], Any], timeout: float = 30.0) -> Any:
-        """Wait until ``found(events)`` is true, and return its value.
+    def wait_until(self, expected: str, condition: Callable[[Sequence[Event]], Any], timeout: float = 30.0) -> Any:
+        """Wait until ``condition(events)`` is true, and return its value.
 
-        It is called again after each new event. Raises ``HarnessError`` after ``timeout`` seconds; ``what`` names the
-        expected state in the message.
+        It is called again after each new event. Raises ``HarnessError`` after ``timeout`` seconds; ``expected``
+        describes the awaited state in the message.
         """
         deadline = time.monotonic() + timeout
         with self._events_changed:
@@ -237,7 +237,7 @@
                 remaining_s = deadline - time.monotonic()
                 if remaining_s <= 0 or not self._events_changed.wait(remaining_s):
                     raise HarnessError(
-                        f"timed out after {timeout:g} s waiting for {what}; last events: {self.events[-5:]}"
+                        f"timed out after {timeout:g} s waiting for {expected}; last events: {self.events[-5:]}"
                     )
         return result
 
--- a/lapishaven/lab/field/trial.py
+++ b/lapishaven/lab/field/trial.py
@@ -150,7 +150,7 @@
         """Wait until every shard has had a new effect, and then for 2.2 s more."""
         since = len(self._harness.events)
         self._harness.wait_until(
-            "an effect on every shard after the faults",
+            "calm after the faults: an effect on every shard",
             lambda events: len({event["shard"] for event in events[since:] if event["what"] == "acked"}) == self.shards,
             60.0,
         )
--- a/lapishaven/lab/handover/book.py
+++ b/lapishaven/lab/handover/book.py
@@ -10,7 +10,7 @@
 - ``unanswered``: requests with no answer by their due time plus ``SLACK_S``, on a connection that is still open;
 - ``late``: answers that came after the request's due time plus ``SLACK_S``;
 - ``doubled``: a second answer to one request;
-- ``late_runs``: runs that a process began for requests sent more than ``GRACE_S`` after it got SIGTERM;
+- ``late_runs``: runs that a process began for requests sent more than ``GRACE_S + SLACK_S`` after its SIGTERM;
 - ``refused_after_run``: requests answered as refused although a run of them had begun;
 - ``twice``: requests of a class that must run at most once, for which several runs began.
 
@@ -49,7 +49,7 @@
     body: bytes  # unique within a log; identifies the request in the interpreter's records
     class_name: str
     run_once: bool  # of a class that must run at most once
-    at: float
+    sent_at: float
     due_at: float
     connection: int | None  # None if no connection could be made
     outcome: RequestOutcome | None = None
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The counts of a request log. ``clean``: no rule was broken and no request was lost or answered late."""
+    """The counts of a request log."""
 
     sent: int
     served: int
@@ -94,6 +94,7 @@
 
     @property
     def clean(self) -> bool:
+        """Whether no rule was broken and no request was lost or answered late."""
         return not (self.broken or self.late or self.doubled or self.late_runs or self.refused_after_run or self.twice)
 
 
@@ -166,7 +167,7 @@
             if (
                 terminated_at is not None
                 and sent_request is not None
-                and sent_request.at > terminated_at + GRACE_S + SLACK_S
+                and sent_request.sent_at > terminated_at + GRACE_S + SLACK_S
             ):
                 late += 1
         runs_begun = Counter(run.body for run in self.runs)
--- a/lapishaven/lab/handover/platform.py
+++ b/lapishaven/lab/handover/platform.py
@@ -4,7 +4,7 @@
 ``$NODE_INHERITED_FD``) and gets a control address of its own (``$NODE_CONTROL``). An upgrade starts a new process
 while the old one serves, waits up to ``READY_TIMEOUT_S`` for ``/v1/readyz`` of the new one to succeed, then sends the
 old one SIGTERM. If that is still running after the longest deadline, of which at most ``MAX_COUNTED_DEADLINE_S``
-count, plus ``KILL_MARGIN_S``, it gets SIGKILL. A process that ends without having been told to is a crash.
+count, plus ``KILL_MARGIN_S``, it gets SIGKILL. A process that ends without a signal from the platform has crashed.
 
 ``Platform`` signals only the processes that it started, by their id.
 """
@@ -84,8 +84,8 @@
     ) -> None:
         """With ``inherit`` the platform holds the callers' socket; without it each process binds its own address.
 
-        ``told`` is called with the time and the process name at each SIGTERM; ``extra`` are further arguments of
-        ``lapishaven serve``.
+        ``on_terminate`` is called with the time and the process name at each SIGTERM; ``serve_arguments`` are further
+        arguments of ``lapishaven serve``.
         """
         self.host, self.folder, self._on_terminate, self._serve_arguments, self.inherit = (
             host,
--- a/lapishaven/lab/handover/trial.py
+++ b/lapishaven/lab/handover/trial.py
@@ -170,7 +170,7 @@
         sent_after_grace = sum(
             1
             for request in log.requests.values()
-            if request.connection is not None and request.at > terminated_at + 2.05
+            if request.connection is not None and request.sent_at > terminated_at + 2.05
         )
         if spec.mode != "burst":
             sent_after_grace = 0
--- a/tests/test_ownership_field.py
+++ b/tests/test_ownership_field.py
@@ -28,7 +28,7 @@
         yield MemberGroup(harness, request.param)
 
 
-def test_owner_stopped_just_before_its_write_changes_nothing_when_it_wakes(group: MemberGroup) -> None:
+def test_write_of_an_owner_stopped_before_sending_is_rejected_when_it_resumes(group: MemberGroup) -> None:
     """Guards the fencing token: without it, a write that the old owner checked before it was stopped is applied after
     the new owner's."""
     a, b, token = group.start_pair()
@@ -43,7 +43,7 @@
     group.assert_no_violation()
 
 
-def test_write_already_on_the_wire_is_refused_when_the_relay_lets_it_go(group: MemberGroup) -> None:
+def test_write_delayed_on_the_network_is_rejected_after_a_new_owner_wrote(group: MemberGroup) -> None:
     """Guards that the receiver checks the token: the write passes all checks of its sender, and is then delayed on the
     network until another owner has written."""
     with Relays() as relays:
