--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -22,8 +22,8 @@
 import numpy as np
 
 from benchmarks.common import arguments, finish, replace_section, run_trials, table
-from lapishaven.lab.field.trial import TTL
-from lapishaven.lab.ownership_simulation import SimFleet
+from lapishaven.lab.field.trial import TTL_S
+from lapishaven.lab.ownership_simulation import MembershipSimulation
 from lapishaven.ownership.duties import budgets
 from lapishaven.ownership.fence import EffectRequest
 from lapishaven.ownership.fenced_store import FencedStore
@@ -62,7 +62,7 @@
     ``fleet.run`` takes the simulated time at which it ends, not a duration.
     """
     began_at = time.monotonic()
-    fleet = SimFleet(shard_count, seed)
+    fleet = MembershipSimulation(shard_count, seed)
     for n in range(members):
         fleet.start(f"m{n}")
     fleet.run(20.0)
@@ -98,7 +98,7 @@
 
     A shard that is still without an owner after 20 s counts as 20 s.
     """
-    fleet = SimFleet(16, seed)
+    fleet = MembershipSimulation(16, seed)
     for member_number in range(8):
         fleet.start(f"m{member_number}")
     fleet.run(10.0)
@@ -123,7 +123,7 @@
 
 def false_losses(seed: int) -> int:
     """Return the number of losses of ownership in a simulated hour without faults; each of them is false."""
-    fleet = SimFleet(32, seed)
+    fleet = MembershipSimulation(32, seed)
     for n in range(8):
         fleet.start(f"m{n}")
     fleet.run(3600.0)
@@ -223,10 +223,10 @@
     after_kill_s = sorted(span for f in ours for span in f["after_kill_s"])
     after_leave_s = sorted(span for f in ours for span in f["after_leave_s"])
     after_kill_p99_s = after_kill_s[int(0.99 * (len(after_kill_s) - 1))] if after_kill_s else float("inf")
-    if after_kill_p99_s > TTL + 1.0:
+    if after_kill_p99_s > TTL_S + 1.0:
         missed.append(
             f"real processes: p99 of the time without an owner after a kill is {after_kill_p99_s} s,"
-            f" at most {TTL + 1.0} s allowed"
+            f" at most {TTL_S + 1.0} s allowed"
         )
     after_leave_most_s = after_leave_s[-1] if after_leave_s else float("inf")
     if after_leave_most_s > 0.2:
@@ -315,7 +315,7 @@
         )
         text += "\n\n" + table(header, rows)
         text += (
-            f"\n\nTime without an owner after a kill, real processes, lease {TTL:g} s: p99 {after_kill_p99_s:.2f} s"
+            f"\n\nTime without an owner after a kill, real processes, lease {TTL_S:g} s: p99 {after_kill_p99_s:.2f} s"
             f" of {len(after_kill_s)}; simulated, lease 3 s: p99 {simulated_p99_s:.2f} s."
             f" After a hand-over: at most {after_leave_most_s:.3f} s."
             f" False losses in an hour: {lost_falsely}."
--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -24,7 +24,7 @@
 import numpy as np
 
 from benchmarks.common import arguments, finish, replace_section, run_trials, table
-from lapishaven.lab.field import Field
+from lapishaven.lab.field import ProcessHarness
 from lapishaven.lab.field.tier import Call, Tier
 from lapishaven.ledger.command import audit
 from lapishaven.ledger.database import LedgerDatabase, Operation, OperationOutcome
@@ -44,7 +44,7 @@
 async def _commit(tier: Tier, server: str, key: str, due_at: float) -> Call:
     """Send a commit. The stand-in interpreters count bodies that start with "once" if they run more than once."""
     extra_headers = {"HTTP_X_REQUEST_ID": key, "HTTP_X_CALLER": "7"}
-    return await tier.call(server, "approve-commit", b"once " + key.encode(), due_at, more=extra_headers)
+    return await tier.call(server, "approve-commit", b"once " + key.encode(), due_at, extra_variables=extra_headers)
 
 
 def killed(mode: str, servers: int, commits: int, rate: float, seed: int) -> dict[str, Any]:
@@ -58,8 +58,10 @@
     folder = Path(tempfile.mkdtemp(prefix="lapishaven-record-"))
     record_argument = _write_settings(folder) if mode == "record" else str(folder / "record.db")
     with (
-        Field() as field,
-        Tier(field, 0, [1.0] * servers, seed=seed, slots=16, scale=0.05, words=["--record", record_argument]) as tier,
+        ProcessHarness() as field,
+        Tier(
+            field, 0, [1.0] * servers, seed=seed, slots=16, scale=0.05, serve_arguments=["--record", record_argument]
+        ) as tier,
     ):
         acknowledged_keys: set[str] = set()
         latencies: list[float] = []
@@ -71,17 +73,17 @@
                 statuses[call.status] += 1
                 if call.status == 200:
                     acknowledged_keys.add(key)
-                    latencies.append(call.span)
+                    latencies.append(call.duration_s)
 
         async def kill_servers(finished: asyncio.Event) -> None:
             nonlocal kills
             while not finished.is_set():
                 await asyncio.sleep(random.uniform(0.5, 1.5))
-                name = random.choice(tier.backs)
+                name = random.choice(tier.backends)
                 field.kill(name)
                 kills += 1
                 await asyncio.sleep(random.uniform(0.0, 0.3))
-                field.serve(name)
+                field.start_server(name)
 
         async def send_commits() -> float:
             loop, finished, tasks = asyncio.get_running_loop(), asyncio.Event(), []
@@ -90,7 +92,7 @@
             for n in range(commits):
                 due_at += random.expovariate(rate)
                 await asyncio.sleep(max(0.0, due_at - loop.time()))
-                targets = random.sample(tier.backs, 2 if random.random() < 0.2 else 1)
+                targets = random.sample(tier.backends, 2 if random.random() < 0.2 else 1)
                 tasks.append(asyncio.create_task(send(f"k{n}", targets, due_at)))
             finished.set()
             await asyncio.gather(*tasks)
@@ -98,7 +100,7 @@
             return loop.time() - start
 
         duration_s = asyncio.run(send_commits())
-        tier.ready(tier.backs)  # the restarted servers too
+        tier.ready(tier.backends)  # the restarted servers too
         ran_twice = tier.report()["twice"]
     with closing(sqlite3.connect(folder / "record.db")) as database:
         if mode == "record":
@@ -141,8 +143,10 @@
     random = Random(seed)
     folder = Path(tempfile.mkdtemp(prefix="lapishaven-record-"))
     with (
-        Field() as field,
-        Tier(field, 0, [1.0] * 2, seed=seed, slots=4, scale=0.2, words=["--record", _write_settings(folder)]) as tier,
+        ProcessHarness() as field,
+        Tier(
+            field, 0, [1.0] * 2, seed=seed, slots=4, scale=0.2, serve_arguments=["--record", _write_settings(folder)]
+        ) as tier,
     ):
 
         async def send_requests() -> tuple[list[Call], list[Call], float]:
@@ -163,7 +167,7 @@
                     lock.close()
                     lock, released_at = None, loop.time()
                     unlocked_at.append(released_at)
-                name = random.choice(tier.backs)
+                name = random.choice(tier.backends)
                 if random.random() < 0.84:  # the share of idempotent requests in ``lapishaven.lab.site.KINDS``
                     safe.append(asyncio.create_task(tier.call(name, "fuzzy-match", b"safe", due_at)))
                 else:
@@ -175,18 +179,22 @@
         ran_twice = tier.report()["twice"]
     # The earliest end of a served commit that was due after the lock was released; 0 if there is none.
     served_again_at = min(
-        (call.at + call.span for call in commits if unlocked_at and call.status == 200 and call.at > unlocked_at[0]),
+        (
+            call.at + call.duration_s
+            for call in commits
+            if unlocked_at and call.status == 200 and call.at > unlocked_at[0]
+        ),
         default=0.0,
     )
     return {
         "stall_s": span,
         "safe": len(safe),
         "safe_on_time": round(
-            sum(call.status == 200 and call.span <= SAFE_OBJECTIVE_S for call in safe) / len(safe), 4
+            sum(call.status == 200 and call.duration_s <= SAFE_OBJECTIVE_S for call in safe) / len(safe), 4
         ),
         "commits": len(commits),
         "commits_served": sum(call.status == 200 for call in commits),
-        "most_s": round(max(call.span for call in commits), 2),
+        "most_s": round(max(call.duration_s for call in commits), 2),
         "back_after_s": round(served_again_at - unlocked_at[0], 2) if unlocked_at else 0.0,
         "ran_twice": ran_twice,
         "audit": audit(str(folder / "record.toml")),
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -19,10 +19,10 @@
 from typing import Any
 
 from benchmarks.common import arguments, finish, replace_section, run_trials, table
-from lapishaven.lab.field import Field
+from lapishaven.lab.field import ProcessHarness
 from lapishaven.lab.field.tier import Tier, figures
-from lapishaven.lab.load_balancing_cases import AT, CASES, SPEEDS, build, play
-from lapishaven.lab.load_balancing_simulation import COLD_SPAN
+from lapishaven.lab.load_balancing_cases import CASES, FAULTS_AT_S, SPEEDS, build, play
+from lapishaven.lab.load_balancing_simulation import WARM_UP_S
 from lapishaven.load_balancing import AttemptOutcome, BalancingRules, LoadBalancer
 from lapishaven.load_balancing.load_report import ENCODED_SIZE, LoadReport
 from lapishaven.load_balancing.weighted_sampler import WeightedSampler
@@ -81,7 +81,7 @@
     fair_share = 0.0
     for run_number in range(runs):
         sim = build(CASES["a fifth killed, back cold"], "ours", fronts, processes, seed * 100 + run_number)
-        sim.run(AT + 4.2)  # killed at AT, started again 1 s later, and then observed for 3 s
+        sim.run(FAULTS_AT_S + 4.2)  # killed at FAULTS_AT_S, started again 1 s later, and then observed for 3 s
         for process in sim.listed:
             if process.cold:
                 fair_share += 0.1 * sim.rate * process.slots * process.speed / sim.capacity
@@ -254,13 +254,16 @@
     random = Random(seed)
     speeds = [random.choice(SPEEDS) for _ in range(processes)]
     scale = max(1.0, processes / 60)
-    with Field() as field, Tier(field, fronts, speeds, seed=seed, slots=slots, scale=scale, policy=policy) as tier:
+    with (
+        ProcessHarness() as field,
+        Tier(field, fronts, speeds, seed=seed, slots=slots, scale=scale, policy=policy) as tier,
+    ):
         fault_times: list[float] = []
 
         async def inject_fault() -> None:
             loop = asyncio.get_running_loop()
             if fault == "stop":
-                names = tier.backs[: max(1, processes // 5)]
+                names = tier.backends[: max(1, processes // 5)]
                 await asyncio.sleep(1.5)
                 fault_times.append(loop.time())
                 for name in names:
@@ -268,7 +271,7 @@
                 await asyncio.sleep(min(8.0, seconds - 2.5))
                 fault_times.append(loop.time())
                 for name in names:
-                    field.wake(name)
+                    field.resume(name)
 
         async def send_and_inject_fault() -> list[Any]:
             calls, _ = await asyncio.gather(tier.load(load * tier.capacity(), seconds), inject_fault())
@@ -510,7 +513,7 @@
         "seed": args.seed,
         "word_bytes": ENCODED_SIZE,
         "joined_peak": peak,
-        "cold_s": COLD_SPAN,
+        "cold_s": WARM_UP_S,
         "sockets": on_sockets,
         "simulated_alike": twins,
         "largest": largest,
--- a/benchmarks/spread_path.py
+++ b/benchmarks/spread_path.py
@@ -14,7 +14,7 @@
 import numpy as np
 
 from benchmarks.common import arguments, finish
-from lapishaven.lab.field import Field
+from lapishaven.lab.field import ProcessHarness
 from lapishaven.lab.field.tier import Tier
 
 IGNORED_DIFFERENCE_S = 0.002
@@ -26,7 +26,10 @@
     args = arguments(__doc__ or "")
     turns, turn_s = (8, 2.0) if args.short else (40, 5.0)
     latencies: dict[str, list[float]] = {"f0": [], "p0": []}
-    with Field() as field, Tier(field, 1, [1.0], seed=args.seed, slots=16, scale=WORK_SCALE, plain=1) as tier:
+    with (
+        ProcessHarness() as field,
+        Tier(field, 1, [1.0], seed=args.seed, slots=16, scale=WORK_SCALE, direct_fronts=1) as tier,
+    ):
 
         async def measure_turn(front: str, seed: int) -> list[float]:
             random, loop = Random(seed), asyncio.get_running_loop()
@@ -38,7 +41,7 @@
                 due_at += random.expovariate(CALLS_PER_SECOND)
             results = await asyncio.gather(*tasks)
             assert all(result.status == 200 for result in results)
-            return [result.span for result in results]
+            return [result.duration_s for result in results]
 
         for turn in range(turns):
             for front in ("f0", "p0") if turn % 2 else ("p0", "f0"):
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -15,7 +15,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapishaven.lab.load_balancing_cases import AT, CASES, build, play
+from lapishaven.lab.load_balancing_cases import CASES, FAULTS_AT_S, build, play
 from lapishaven.load_balancing import (
     AttemptOutcome,
     BalancingRules,
@@ -435,8 +435,8 @@
     """Guards the simulator against a request that is abandoned in transit and then arrives at a dead process under the
     number of its retry: it was released twice, and the error ended the run (this case, with seed 6111)."""
     sim = build(CASES["a fifth killed, back cold"], "ours", 50, 100, 6111)
-    sim.run(AT + 0.6)
-    assert sim.now == AT + 0.6
+    sim.run(FAULTS_AT_S + 0.6)
+    assert sim.now == FAULTS_AT_S + 0.6
 
 
 def test_the_numeric_keys_set_every_field_of_the_rules_but_the_initial_duration() -> None:
