--- a/lapishaven/admin/server.py
+++ b/lapishaven/admin/server.py
@@ -58,7 +58,7 @@
 
     def _make_room(self) -> bool:
         """Begin to close the oldest connection, and return whether a descriptor is free by now."""
-        if self._evictions.free():
+        if self._evictions.free_descriptor():
             return True
         oldest = next((conn for conn in self._connections if conn.closing is None), None)
         if oldest is not None and not len(self._evictions):
--- a/lapishaven/backends/endpoint_prober.py
+++ b/lapishaven/backends/endpoint_prober.py
@@ -6,7 +6,7 @@
 
 from lapishaven.counters import Counters
 from lapishaven.load_balancing import Choice, LoadBalancer, LoadReportError, Probe, decode
-from lapishaven.net.datagrams import Datagrams
+from lapishaven.net.datagrams import DatagramSocket
 from lapishaven.net.loop import Loop
 from lapishaven.proto import ProtocolError
 from lapishaven.proto import load as load_protocol
@@ -40,7 +40,7 @@
         self._choice_completed = choice_completed
         self._endpoint_suspected = endpoint_suspected
         self._next_check_at = NEVER
-        self._datagrams = Datagrams(loop, ANY_ADDRESS, self._receive)
+        self._datagrams = DatagramSocket(loop, ANY_ADDRESS, self._receive)
 
     def send(self, probes: Sequence[Probe]) -> None:
         """Send probes to their endpoints."""
--- a/lapishaven/frontends/load_endpoint.py
+++ b/lapishaven/frontends/load_endpoint.py
@@ -15,7 +15,7 @@
 from lapishaven.counters import Counters
 from lapishaven.load_balancing.load_report import LoadReport, encode, encode_text
 from lapishaven.load_balancing.load_reporter import LoadReporter
-from lapishaven.net.datagrams import Datagrams
+from lapishaven.net.datagrams import DatagramSocket
 from lapishaven.net.loop import Loop
 from lapishaven.proto import ProtocolError
 from lapishaven.proto import load as load_protocol
@@ -49,7 +49,7 @@
         self._incarnation = random.getrandbits(32)
         self._slots = slots
         self.reporter = LoadReporter(self._incarnation, slots, loop.now)
-        self._datagrams = Datagrams(loop, address, self._answer_probe)
+        self._datagrams = DatagramSocket(loop, address, self._answer_probe)
 
     def start_reporting(self, initial_share: float, slow_start_s: float) -> None:
         """Report load from now on; the share asked for grows from ``initial_share`` to 1 within ``slow_start_s``."""
--- a/lapishaven/net/__init__.py
+++ b/lapishaven/net/__init__.py
@@ -1,1 +1,1 @@
-"""Nonblocking sockets on one epoll loop, with generators as coroutines. It knows no protocol."""
+"""Nonblocking sockets on one epoll loop, with generators as coroutines; independent of the protocols above it."""
--- a/lapishaven/net/connection.py
+++ b/lapishaven/net/connection.py
@@ -1,6 +1,6 @@
-"""One nonblocking TCP connection: two ring buffers, backpressure and the one place where it ends.
+"""One nonblocking TCP connection: two ring buffers, backpressure and the single path by which it is closed.
 
-``close`` is the graceful end (a lingering close, RFC 9112 section 9.6): queued bytes are sent, the connection is
+``close`` is graceful (a lingering close, RFC 9112 section 9.6): queued bytes are sent, the connection is
 half-closed, and input is read and discarded until the peer has closed too. Only then is the descriptor closed, because
 closing a socket with unread bytes sends a reset, and a reset can overtake a response. ``abort`` closes at once.
 """
@@ -20,13 +20,13 @@
 RECEIVE_BUFFER_LIMIT = 16 * 1024
 SEND_BUFFER_LIMIT = 512 * 1024
 SEND_HIGH_WATER_MARK = 128 * 1024  # unsent bytes above which input is no longer read
-LINGER_S = 1.0  # without a byte in either direction after which a close stops waiting for the peer
-MAX_LINGER_S = 10.0  # a close takes no longer, however slowly the peer reads or however much it sends
+LINGER_S = 1.0  # a graceful close is aborted after this long without a byte in either direction
+MAX_LINGER_S = 10.0  # bound of a graceful close whose peer still reads or sends
 ERROR_EVENTS = select.EPOLLERR | select.EPOLLHUP
 
 
 class Connection:
-    """A nonblocking byte stream. One coroutine calls ``read``; anyone may call ``write`` and ``close``.
+    """A nonblocking byte stream. One coroutine calls ``read``; any code on the loop may call ``write`` and ``close``.
 
     A half-close by the peer does not end the connection: ``read`` returns ``PEER_CLOSED`` after all bytes that were
     received, and later writes are still sent. ``on_end`` is called once, after the descriptor has been closed.
@@ -38,10 +38,10 @@
         self.end: ConnectionEnd | None = None
         self.sent = 0  # bytes that the kernel has accepted so far
         self.last_active = loop.now
-        self.closing: ConnectionEnd | None = None  # the reason, from the first call of ``close`` on
-        self._peer_half_closed = False  # the peer sends nothing more
+        self.closing: ConnectionEnd | None = None  # the reason of a graceful close, once it has begun
+        self._peer_half_closed = False  # the end of the input was received
         self._discarding = False
-        self._half_closed = False  # nothing more is sent
+        self._half_closed = False  # this side has shut down its sending direction
         self._reader: Wait | None = None
         self._watched_events: int | None = None
         self._linger_timer: Timer | None = None
@@ -52,10 +52,10 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     # ---- Reading
-    def read(self, span: float | None = None) -> Generator[Wait, Any, bytes | ConnectionEnd | None]:
-        """The bytes received, then the end of the input; ``None`` if nothing came within ``span`` seconds."""
+    def read(self, timeout_s: float | None = None) -> Generator[Wait, Any, bytes | ConnectionEnd | None]:
+        """The bytes received, or the end once all were read; ``None`` if nothing arrives within ``timeout_s``."""
         if not self.receive_buffer.size and self._end_of_input() is None:
-            self._reader = Wait(span)
+            self._reader = Wait(timeout_s)
             self._update_interest()
             yield self._reader
             self._reader = None  # interest in EPOLLIN is dropped when input arrives without a reader
@@ -65,14 +65,14 @@
         return self.end or self.closing or (ConnectionEnd.PEER_CLOSED if self._peer_half_closed else None)
 
     def read_available(self) -> bool:
-        """Read what has arrived since the loop last polled; whether there was anything."""
+        """Read without waiting for the next poll; returns whether bytes or the end of the input had arrived."""
         before = self._bytes_received, self._peer_half_closed
         if self.end is None and self.receive_buffer.free_bytes:
             self._receive()
         return (self._bytes_received, self._peer_half_closed) != before
 
     def discard(self) -> None:
-        """Read and discard all further input, so that the peer is never blocked in writing."""
+        """Read and discard all further input, so that a peer blocked in writing makes progress."""
         self._discarding = True
         self.receive_buffer.take()
         self._update_interest()
@@ -84,7 +84,7 @@
             return
         if self._peer_half_closed:
             if mask & ERROR_EVENTS:
-                # After its half-close an error event can only mean that the peer has closed the other half too.
+                # After the peer's half-close, an error event means that the peer has closed its receiving side too.
                 self.abort(ConnectionEnd.PEER_CLOSED)
             return
         if self._reader is None and not self._discarding and not mask & ERROR_EVENTS:
@@ -97,17 +97,17 @@
         if self._discarding:
             self.receive_buffer.take()
         if not self.receive_buffer.free_bytes:
-            # Only after an error event is input read without a reader; the full buffer leaves no way to find its end.
+            # Reached only after an error event: with a full buffer the end of the input cannot be read.
             return self.abort(ConnectionEnd.RESET)
         try:
-            got = self.receive_buffer.receive(self.sock)
+            received = self.receive_buffer.receive(self.sock)
         except BlockingIOError:
             return
         except OSError:
             return self.abort(ConnectionEnd.RESET)
-        self._bytes_received += got
-        self.loop.received += got
-        if got:
+        self._bytes_received += received
+        self.loop.received += received
+        if received:
             self.last_active = self.loop.now
         else:
             self._peer_half_closed = True
@@ -122,15 +122,15 @@
     def _update_interest(self) -> None:
         if self.end is not None:
             return
-        reads = self._discarding or self._reader is not None and self.send_buffer.size < SEND_HIGH_WATER_MARK
-        wants = select.EPOLLIN if reads and not self._peer_half_closed else 0
-        wants |= select.EPOLLOUT if self.send_buffer.size else 0
-        if wants != self._watched_events:
-            self._watched_events = wants
-            self.loop.watch(self.sock.fileno(), wants, self._on_events)
+        reading = self._discarding or self._reader is not None and self.send_buffer.size < SEND_HIGH_WATER_MARK
+        events = select.EPOLLIN if reading and not self._peer_half_closed else 0
+        events |= select.EPOLLOUT if self.send_buffer.size else 0
+        if events != self._watched_events:
+            self._watched_events = events
+            self.loop.watch(self.sock.fileno(), events, self._on_events)
 
     def peer_has_closed(self) -> bool:
-        """Whether the peer has already closed its side, after the bytes read so far."""
+        """Whether the peer has closed its side and all that it sent was read."""
         if self.end is not None or self._peer_half_closed:
             return True
         try:
@@ -147,7 +147,7 @@
         return self.send_buffer.size
 
     def write(self, data: bytes) -> None:
-        """Queue bytes to be sent at the end of the round. Nothing is queued after ``close``."""
+        """Queue bytes to be sent at the end of the round; ignored after ``close`` or ``abort``."""
         if self.end is not None or self.closing is not None:
             return
         if not self.loop.reserve_unsent(len(data), self):
@@ -162,7 +162,7 @@
         self.loop.at_end_of_round(self.flush)
 
     def flush(self) -> None:
-        """Send what the kernel accepts now."""
+        """Send as many queued bytes as the kernel accepts without blocking."""
         try:
             while self.end is None and self.send_buffer.size:
                 count = self.send_buffer.send(self.sock)
@@ -192,9 +192,9 @@
             self.loop.unsent -= self.send_buffer.size
             self.send_buffer = RingBuffer(0)
         self.loop.at_end_of_round(self.flush)
-        until = self.loop.now + MAX_LINGER_S
+        linger_deadline = self.loop.now + MAX_LINGER_S
         self._bytes_at_linger_check = self.sent + self._bytes_received
-        self._linger_timer = self.loop.at(self.loop.now + LINGER_S, lambda: self._check_linger(until))
+        self._linger_timer = self.loop.at(self.loop.now + LINGER_S, lambda: self._check_linger(linger_deadline))
         self.discard()
         if self._reader is not None:
             self._reader.wake()
@@ -209,24 +209,24 @@
             return self.abort(end)
         self._update_interest()
 
-    def _check_linger(self, until: float) -> None:
-        """Keep waiting for a peer that still reads or sends; abort one that does neither."""
-        moved = self.sent + self._bytes_received
-        if moved == self._bytes_at_linger_check or self.loop.now >= until:
+    def _check_linger(self, deadline: float) -> None:
+        """Abort if no byte was transferred since the last check or ``deadline`` has passed; else check again later."""
+        transferred = self.sent + self._bytes_received
+        if transferred == self._bytes_at_linger_check or self.loop.now >= deadline:
             return self.abort(self.closing or ConnectionEnd.TIMED_OUT)
-        self._bytes_at_linger_check = moved
-        self._linger_timer = self.loop.at(min(until, self.loop.now + LINGER_S), lambda: self._check_linger(until))
+        self._bytes_at_linger_check = transferred
+        self._linger_timer = self.loop.at(min(deadline, self.loop.now + LINGER_S), lambda: self._check_linger(deadline))
 
     def awaits_peer_close(self) -> bool:
-        """Whether everything was sent and only the peer's close is awaited."""
+        """Whether all bytes were sent and the half-close is done, so that only the peer's close is missing."""
         return self._half_closed and self.end is None
 
     def evict(self) -> None:
-        """Abort, because the bytes that this peer does not read take memory that other connections need."""
+        """Abort to free the memory of unsent bytes, which the peer does not read, for other connections."""
         self.abort(ConnectionEnd.EVICTED)
 
     def abort(self, end: ConnectionEnd) -> None:
-        """Close at once; the first end counts. The owner is notified, then the reader."""
+        """Close at once; later calls do nothing. ``on_end`` is called, then the waiting reader is resumed."""
         if self.end is not None:
             return
         self.end = end
@@ -234,8 +234,8 @@
         self.loop.senders.discard(self)
         if self._linger_timer is not None:
             self._linger_timer.cancel()
-        # Buffers are released here because references to an ended connection may live on. Bytes that were received
-        # before the end stay available to the reader.
+        # Buffers are released here because other objects may keep references to an ended connection. Bytes that were
+        # received before the end stay available to the reader.
         self.send_buffer = RingBuffer(0)
         if self.closing is not None or not self.receive_buffer.size:
             self.receive_buffer = RingBuffer(0)
@@ -249,16 +249,18 @@
 Dial = Callable[[Loop, tuple[str, int], float], Generator[Wait, Any, "socket.socket | ConnectionEnd"]]
 
 
-def connect(loop: Loop, address: tuple[str, int], span: float) -> Generator[Wait, Any, socket.socket | ConnectionEnd]:
-    """Connect within ``span`` seconds; gives the socket, or the reason why there is none."""
+def connect(
+    loop: Loop, address: tuple[str, int], timeout_s: float
+) -> Generator[Wait, Any, socket.socket | ConnectionEnd]:
+    """Open a TCP connection within ``timeout_s``; returns the socket, or the reason of the failure."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    except OSError:  # no descriptor is free
+    except OSError:  # no file descriptor is available
         return ConnectionEnd.UNREACHED
     sock.setblocking(False)
     code = sock.connect_ex(address)
     if code == errno.EINPROGRESS:
-        wait = Wait(span)
+        wait = Wait(timeout_s)
         fd = sock.fileno()
         loop.watch(fd, select.EPOLLOUT, lambda mask: wait.wake(mask))
         mask = yield wait
--- a/lapishaven/net/datagrams.py
+++ b/lapishaven/net/datagrams.py
@@ -1,4 +1,4 @@
-"""UDP datagrams on the loop. A datagram that cannot be sent is dropped without notice."""
+"""A UDP socket on the event loop. A datagram that cannot be sent is dropped silently."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from lapishaven.net.loop import Loop
 
 Address = tuple[str, int]
-MAX_DATAGRAM_BYTES = 64  # a longer datagram is truncated, and then is no valid message
+MAX_DATAGRAM_BYTES = 64  # a longer datagram is truncated, so that it is not a valid message
 MAX_READS_PER_WAKEUP = 256  # so that a flood does not starve other descriptors
 
 
-class Datagrams:
-    """A UDP socket bound to ``address`` (port 0: a free one).
+class DatagramSocket:
+    """A UDP socket bound to ``address`` (port 0: chosen by the kernel).
 
-    ``on_datagram`` gets each datagram and its sender.
+    ``on_datagram`` is called with each datagram and its sender.
 
     Raises ``OSError`` if the address cannot be bound.
     """
@@ -38,7 +38,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                continue  # an ICMP error for a datagram sent earlier
+                continue  # an ICMP error caused by a datagram that was sent earlier
             self._loop.received += len(data)
             self._on_datagram(data, sender)
 
--- a/lapishaven/net/listener.py
+++ b/lapishaven/net/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket that accepts within a budget of file descriptors."""
+"""A listening socket that accepts connections within a budget of file descriptors."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from lapishaven.net.loop import Loop, Timer
 
 MAX_ACCEPTS_PER_WAKEUP = 64  # so that a burst of connections does not starve other descriptors
-LISTEN_BACKLOG = 1024  # connections that the kernel queues, within its own limit
-DESCRIPTOR_RETRY_S = 0.02  # until the next attempt to accept, where no descriptor is free
+LISTEN_BACKLOG = 1024  # the kernel may apply a lower limit of its own
+DESCRIPTOR_RETRY_S = 0.02  # delay before accepting again when no descriptor was available
 
 
 class DescriptorBudget:
-    """How many client connections may be open: the descriptor limit less a reserve for the program itself."""
+    """The number of client connections that may be open: the descriptor limit minus a reserve for other descriptors."""
 
     def __init__(self, descriptors: int, reserve: int) -> None:
         self.limit = max(1, descriptors - reserve)
@@ -27,10 +27,10 @@
 
 
 class Listener:
-    """Accepts connections while the budget lasts.
+    """Accepts connections up to the budget.
 
-    ``on_accepted`` gets each socket.
-    ``make_room`` is called when the budget is used up, and may evict idle connections; it gives whether a
+    ``on_accepted`` is called with each accepted socket.
+    ``make_room`` is called when the budget is used up, and may evict idle connections; it returns whether a
     descriptor is free.
     """
 
@@ -43,17 +43,17 @@
         make_room: Callable[[], bool],
         inherited: int | None = None,
     ) -> None:
-        """Bind ``address`` and listen; or use the listening socket with the descriptor ``inherited``.
+        """Bind ``address`` and listen, or take over the listening socket with the descriptor ``inherited``.
 
-        An inherited socket is shared with other processes (the platform, an older or newer process of this server); it
-        is accepted from only after ``open``. Raises ``OSError``.
+        An inherited socket is shared with other processes (the platform, an older or newer process of this server), so
+        accepting starts only with ``open``. Raises ``OSError``.
         """
         self.loop, self.budget, self._on_accepted, self._make_room = loop, budget, on_accepted, make_room
         self.shared = inherited is not None
         if inherited is not None:
             self.sock: socket.socket | None = socket.socket(fileno=inherited)
             if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN) != 1:
-                raise OSError(f"descriptor {inherited} is not a listening socket")
+                raise OSError(f"inherited descriptor {inherited} is not a listening socket")
             self.sock.setblocking(False)
         else:
             self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -68,7 +68,7 @@
             self.open()
 
     def open(self) -> None:
-        """Begin to accept; further calls do nothing. Until then the other process serves a shared socket's queue."""
+        """Start to accept; further calls do nothing. Until then the other process accepts from a shared socket."""
         if not self._opened:
             self._opened = True
             self._resume()
@@ -79,26 +79,26 @@
             self.loop.watch(self.sock.fileno(), select.EPOLLIN, self._on_events)
 
     def _wait_for_descriptor(self) -> None:
-        # Connections stay in the kernel's queue rather than being accepted and dropped.
+        # Until then connections stay in the kernel's queue, rather than being accepted and dropped.
         if self.sock is not None and self._retry_timer is None:
             self.loop.unwatch(self.sock.fileno())
             self._retry_timer = self.loop.at(self.loop.now + DESCRIPTOR_RETRY_S, self._resume)
 
     def descriptor_freed(self) -> None:
-        """Accept again at once, because a descriptor was freed."""
+        """Accept again at once if accepting is suspended for want of a descriptor."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
             self._resume()
 
     def _on_events(self, mask: int) -> None:
-        for n in range(MAX_ACCEPTS_PER_WAKEUP):
-            if n and self.budget.full:
-                return  # epoll reports again if more are queued; nothing is evicted without a connection to accept
+        for accepted in range(MAX_ACCEPTS_PER_WAKEUP):
+            if accepted and self.budget.full:
+                return  # if more are queued, epoll reports again; so nothing is evicted unless a connection is queued
             if not self._accept():
                 return
 
     def _accept(self) -> bool:
-        """Accept the next connection; whether there was one, and a descriptor for it."""
+        """Accept the next connection; returns whether one was queued and a descriptor was available."""
         if self.sock is None:
             return False
         if self.budget.full and not self._make_room():
@@ -109,7 +109,7 @@
         except BlockingIOError:
             return False
         except ConnectionError:
-            return True  # the peer has already gone
+            return True  # the peer has closed the queued connection
         except OSError:
             self._wait_for_descriptor()
             return False
@@ -122,10 +122,10 @@
         self._on_accepted(sock)
 
     def close(self) -> bool:
-        """Accept all that is queued, as it may carry requests, then stop listening.
+        """Accept all queued connections, which may carry requests, then stop listening.
 
-        Gives whether it has stopped: while no descriptor is free for a queued connection it stays open, and ``close``
-        has to be called again. The queue of a shared socket is left to the other process.
+        Returns whether it has stopped: it keeps listening while a queued connection lacks a descriptor, and ``close``
+        has to be called again. Connections queued on a shared socket are left to the other process.
         """
         if self.sock is None:
             return True
--- a/lapishaven/net/loop.py
+++ b/lapishaven/net/loop.py
@@ -1,7 +1,7 @@
 """The event loop: epoll, timers, and generators as coroutines.
 
 A coroutine is a generator that yields a ``Wait``; it resumes with the value passed to ``Wait.wake``, or with ``None``
-on timeout. All input of one wake-up is read before ``turn`` is called once.
+on timeout. Each round reads all available input before it calls ``process_round`` once.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from itertools import count
 from typing import Any, Protocol
 
-CANCELLED_TIMERS_BEFORE_REBUILD = 64  # and once they are more than half of the heap
+CANCELLED_TIMERS_BEFORE_REBUILD = 64  # the heap is rebuilt if there are more, and they are over half of its entries
 
 
 class Timer:
-    """A callback scheduled by ``Loop.at``; ``cancel`` keeps it from being called."""
+    """A callback scheduled by ``Loop.at``, until it is cancelled."""
 
     __slots__ = ("callback", "_loop")
 
@@ -29,19 +29,19 @@
         self._loop = loop
 
     def cancel(self) -> None:
-        """Never call it, and drop the reference to the callback at once."""
+        """Prevent the call, and release the callback at once."""
         if self.callback is not None:
             self.callback = None
             self._loop.timer_cancelled()
 
 
 class Wait:
-    """One wait of a coroutine, for at most ``span`` seconds; ``wake`` ends it."""
+    """One wait of a coroutine, ended by ``wake`` or after ``timeout_s``."""
 
-    __slots__ = ("span", "task", "loop", "timer")
+    __slots__ = ("timeout_s", "task", "loop", "timer")
 
-    def __init__(self, span: float | None = None) -> None:
-        self.span = span
+    def __init__(self, timeout_s: float | None = None) -> None:
+        self.timeout_s = timeout_s
         self.task: Task | None = None
         self.loop: Loop | None = None
         self.timer: Timer | None = None
@@ -72,7 +72,7 @@
     """The callback for a descriptor's events, and the round in which it was registered."""
 
     callback: Callable[[int], None]
-    since: int
+    round_number: int
 
 
 class Sender(Protocol):
@@ -101,34 +101,34 @@
         self._end_of_round: dict[Callable[[], None], None] = {}
         self._next_round: list[Wait] = []
         self._stopped = False
-        self.received = self.sent = 0  # bytes of all connections since the start
-        self.unsent_limit = 1 << 62  # bytes; in effect none, until the server sets one
+        self.received = self.sent = 0  # bytes on all connections since the start
+        self.unsent_limit = 1 << 62  # bytes; effectively unlimited until the server sets a limit
         self.unsent = 0  # bytes queued on all connections and not yet sent
-        self.senders: set[Sender] = set()  # the connections that have such bytes
+        self.senders: set[Sender] = set()  # connections with unsent bytes
 
     # ---- Descriptors
     def watch(self, fd: int, mask: int, callback: Callable[[int], None]) -> None:
         """Call ``callback`` with the descriptor's events (an epoll mask) from the next round on."""
-        watch = self._watched.get(fd)
-        if watch is not None:
+        registration = self._watched.get(fd)
+        if registration is not None:
             self._epoll.modify(fd, mask)
-            watch.callback = callback
+            registration.callback = callback
         else:
             self._epoll.register(fd, mask)
             self._watched[fd] = Registration(callback, self._round_number)
 
     def unwatch(self, fd: int) -> None:
-        """Stop watching a descriptor; to be called before it is closed."""
+        """Stop watching a descriptor. Must be called before the descriptor is closed."""
         if self._watched.pop(fd, None) is not None:
             self._epoll.unregister(fd)
 
     # ---- Coroutines and timers
     def spawn(self, coroutine: Coroutine, failed: Callable[[Exception], None] | None = None) -> None:
-        """Run a coroutine up to its first wait. ``failed`` is called with an exception that ends it."""
+        """Start a coroutine and run it to its first wait. ``failed`` is called with an exception that ends it."""
         self.step(Task(coroutine, failed), None)
 
     def step(self, task: Task, value: Any) -> None:
-        """Resume a coroutine; its exceptions never reach the caller."""
+        """Resume a coroutine. Its exceptions are printed and passed to ``Task.failed``, and do not reach the caller."""
         try:
             wait = task.coroutine.send(value)
         except StopIteration:
@@ -139,8 +139,8 @@
                 task.failed(error)
             return
         wait.task, wait.loop = task, self
-        if wait.span is not None:
-            wait.timer = self.at(self.now + wait.span, lambda: wait.wake(None))
+        if wait.timeout_s is not None:
+            wait.timer = self.at(self.now + wait.timeout_s, lambda: wait.wake(None))
 
     def at(self, when: float, callback: Callable[[], None]) -> Timer:
         """Call ``callback`` at the loop time ``when``, or as soon after it as possible."""
@@ -158,81 +158,84 @@
 
     @property
     def timers(self) -> int:
-        """How many entries the timer heap has, cancelled ones included."""
+        """The number of entries in the timer heap, including cancelled ones."""
         return len(self._timers)
 
     def at_end_of_round(self, callback: Callable[[], None]) -> None:
-        """Call ``callback`` once at the end of this round, after the turn."""
+        """Call ``callback`` once at the end of this round, after ``process_round``."""
         self._end_of_round[callback] = None
 
     def next_round(self) -> Wait:
-        """A wait that ends in the next round, so that other descriptors are served in between."""
+        """A wait that ends in the next round, so that long work yields to other descriptors."""
         wait = Wait()
         self._next_round.append(wait)
         return wait
 
     def stop(self) -> None:
-        """End ``run`` after this round."""
+        """Make ``run`` return after this round."""
         self._stopped = True
 
-    # ---- The rounds
-    def run(self, turn: Callable[[float], None], next_at: Callable[[], float | None]) -> None:
-        """Run rounds until ``stop``; ``next_at`` gives the time at which ``turn`` has work without any input."""
+    # ---- Rounds
+    def run(self, process_round: Callable[[float], None], next_due_at: Callable[[], float | None]) -> None:
+        """Run rounds until ``stop``.
+
+        ``next_due_at`` returns the loop time at which ``process_round`` has to be called even without input.
+        """
         while not self._stopped:
             due_times = [self._timers[0][0]] if self._timers else []
             due_times += [0.0] if self._next_round else []
-            due = next_at()
+            due = next_due_at()
             if due is not None:
                 due_times.append(due)
-            span = max(0.0, min(due_times) - self.clock()) if due_times else -1  # -1: until there is input
-            self.round(span, turn)
+            timeout_s = max(0.0, min(due_times) - self.clock()) if due_times else -1  # -1: wait for input
+            self.round(timeout_s, process_round)
 
-    def round(self, span: float, turn: Callable[[float], None]) -> None:
-        """One wake-up: read all input, call ``turn`` once, then write."""
-        # Rounded up, because epoll truncates to milliseconds: the loop would wake early and spin.
-        ready = self._epoll.poll(span if span <= 0 else span + 0.001)
+    def round(self, timeout_s: float, process_round: Callable[[float], None]) -> None:
+        """Run one round: wait for events, read all input, call ``process_round`` once, then write."""
+        # 1 ms is added because epoll truncates to milliseconds: the loop would wake before a timer is due, and spin.
+        ready = self._epoll.poll(timeout_s if timeout_s <= 0 else timeout_s + 0.001)
         self.now = self.clock()
         self._round_number += 1
         waits, self._next_round = self._next_round, []
         for fd, mask in ready:
-            watch = self._watched.get(fd)
-            # A descriptor registered since the poll may reuse the number of one that an earlier callback closed; the
-            # event belongs to that one.
-            if watch is not None and watch.since < self._round_number:
-                self._guarded(watch.callback, mask)
+            registration = self._watched.get(fd)
+            # A callback of this round may have closed a descriptor and registered a new one with the same number; the
+            # event belongs to the closed one.
+            if registration is not None and registration.round_number < self._round_number:
+                self._call_guarded(registration.callback, mask)
         for wait in waits:
-            self._guarded(wait.wake)
+            self._call_guarded(wait.wake)
         while self._timers and self._timers[0][0] <= self.now:
             timer = heappop(self._timers)[2]
             callback, timer.callback = timer.callback, None
             if callback is not None:
-                self._guarded(callback)
+                self._call_guarded(callback)
             else:
                 self._cancelled_timers -= 1
-        self._guarded(turn, self.now)
+        self._call_guarded(process_round, self.now)
         while self._end_of_round:
             callbacks, self._end_of_round = self._end_of_round, {}
-            # Last registered, first called: commands to the backend are queued after the responses that freed its
-            # cores, and a core idles until its next command arrives.
+            # In reverse order of registration: commands to the backend are queued after the responses that freed its
+            # cores, but must be sent before them, as a core idles until its next command arrives.
             for callback in reversed(callbacks):
-                self._guarded(callback)
+                self._call_guarded(callback)
 
     # ---- Unsent bytes
     def reserve_unsent(self, size: int, sender: Sender) -> bool:
-        """Whether ``sender`` may queue ``size`` more bytes.
+        """Make room for ``size`` more unsent bytes of ``sender``; returns whether it may queue them.
 
-        At the limit of the process, connections with the most unsent bytes are evicted first.
+        At the limit of the process, the connections with the most unsent bytes are evicted.
         """
         while self.unsent + size > self.unsent_limit:
-            most = max(self.senders, key=lambda each: each.unsent, default=sender)
-            most.evict()
-            if most is sender:
+            largest = max(self.senders, key=lambda candidate: candidate.unsent, default=sender)
+            largest.evict()
+            if largest is sender:
                 return False
         return True
 
     @staticmethod
-    def _guarded(callback: Callable[..., None], *args: Any) -> None:
-        """Call ``callback`` and print an exception, which must not end the process."""
+    def _call_guarded(callback: Callable[..., None], *args: Any) -> None:
+        """Call ``callback``; an exception is printed and does not end the process."""
         try:
             callback(*args)
         except Exception:
--- a/lapishaven/net/wake.py
+++ b/lapishaven/net/wake.py
@@ -1,6 +1,6 @@
-"""A self-pipe that wakes the loop, for signals and for worker threads.
+"""A self-pipe that wakes the event loop from signal handlers and worker threads.
 
-A pipe and not a socket pair, because the platform allows TCP and UDP sockets over IPv4 only.
+It is a pipe and not a socket pair, because the platform allows only TCP and UDP sockets over IPv4.
 """
 
 from __future__ import annotations
@@ -9,30 +9,30 @@
 from contextlib import suppress
 
 
-class Wake:
-    """A nonblocking pipe: ``poke`` from any thread or signal handler, ``drain`` on the loop."""
+class WakePipe:
+    """A nonblocking pipe: ``wake`` from any thread or signal handler, ``drain`` on the event loop."""
 
     def __init__(self) -> None:
         self.reader, self.writer = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
 
-    def poke(self) -> None:
-        """Wake the reader. A full pipe is readable anyway, so its error is ignored."""
+    def wake(self) -> None:
+        """Make the reader readable. A full pipe already is, so that error is ignored."""
         with suppress(BlockingIOError, OSError):
             os.write(self.writer, b"x")
 
     def drain(self) -> bytes:
-        """All bytes written since the last drain (signal numbers, where the pipe is the wakeup descriptor)."""
-        got = b""
+        """Read all bytes written since the last drain (signal numbers, if the pipe is the signal wakeup descriptor)."""
+        data = b""
         with suppress(BlockingIOError):
             while chunk := os.read(self.reader, 4096):
-                got += chunk
-        return got
+                data += chunk
+        return data
 
     def close(self) -> None:
-        """Close both ends."""
+        """Close both ends of the pipe."""
         for end in (self.reader, self.writer):
             with suppress(OSError):
                 os.close(end)
 
 
-__all__ = ["Wake"]
+__all__ = ["WakePipe"]
--- a/lapishaven/server/client_connections.py
+++ b/lapishaven/server/client_connections.py
@@ -51,7 +51,7 @@
         Uses the clock (second-chance) algorithm: a connection that was used since it was last examined is skipped
         once, so that connections that never send anything are evicted before those of returning callers.
         """
-        if self._evictions.free():
+        if self._evictions.free_descriptor():
             return True
         wanted = max(1, self._budget.limit // EVICTION_BATCH_DIVISOR) - len(self._evictions)
         for session in list(self.sessions):
--- a/lapishaven/server/signals.py
+++ b/lapishaven/server/signals.py
@@ -8,7 +8,7 @@
 from types import FrameType
 from typing import NamedTuple
 
-from lapishaven.net.wake import Wake
+from lapishaven.net.wake import WakePipe
 
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
@@ -30,7 +30,7 @@
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
         self._received_at: dict[int, float] = {}  # first arrival by signal number, of signals not yet taken
-        self._wake = Wake()
+        self._wake = WakePipe()
         self._previous_wakeup_fd = signal.set_wakeup_fd(self._wake.writer, warn_on_full_buffer=False)
         self._previous_handlers = {number: signal.signal(number, self._record_arrival) for number in HANDLED_SIGNALS}
 
