--- a/benchmarks/client.py
+++ b/benchmarks/client.py
@@ -113,7 +113,7 @@
     """CPU in microseconds of the least that any client must do for a call: one request and one answer in JSON."""
     machine, cpu = jsonrpc.ClientParser(), time.process_time()
     for n in range(1, calls + 1):
-        jsonrpc.encode_request(n, "look", f"{n:016x}", b"x", 30.0, recv=time.time())
+        jsonrpc.encode_request(n, "look", f"{n:016x}", b"x", 30.0, received_at=time.time())
         for _ in machine.feed(jsonrpc.encode_result(n, b"x")):
             pass
     return round((time.process_time() - cpu) / calls * 1e6, 1)
--- a/lapishaven/client/endpoint_updates.py
+++ b/lapishaven/client/endpoint_updates.py
@@ -9,7 +9,7 @@
 from lapishaven.client.connections.connectivity import Connectivity
 from lapishaven.client.engine import Engine
 from lapishaven.client.membership import ListVerdict, MembershipChange, rendezvous_subset
-from lapishaven.proto.catalog import Delta, Listing
+from lapishaven.proto.catalog import Delta, ServerList
 
 APPLIED_VERDICTS = (ListVerdict.TAKEN, ListVerdict.HELD_BACK)
 """Verdicts of ``Membership`` that may change the tracked endpoints."""
@@ -25,7 +25,7 @@
         self._waiting = waiting
         self._confirm_s = engine.settings.catalog_rules.confirm_s
 
-    def update(self, now: float, listing: Listing | Delta) -> ListVerdict:
+    def update(self, now: float, listing: ServerList | Delta) -> ListVerdict:
         """Apply a full list or a delta; return the verdict (``MembershipChange.verdict``)."""
         membership = self._table.membership
         if isinstance(listing, Delta):
--- a/lapishaven/client/fleet/endpoint_list.py
+++ b/lapishaven/client/fleet/endpoint_list.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from lapishaven.proto.catalog import Delta, Listed, Listing
+from lapishaven.proto.catalog import Delta, ListedServer, ServerList
 
 MAX_CACHED_UPDATES = 256
 
@@ -29,7 +29,7 @@
     __slots__ = ("added_at_serial", "epoch", "names", "passing", "rows", "serial", "version")
 
     def __init__(
-        self, epoch: str, version: int, rows: dict[str, Listed], added_at_serial: dict[str, int], serial: int = 0
+        self, epoch: str, version: int, rows: dict[str, ListedServer], added_at_serial: dict[str, int], serial: int = 0
     ) -> None:
         self.epoch = epoch
         self.version = version
@@ -81,7 +81,7 @@
 
 
 def _make_update(
-    before: EndpointList, epoch: str, version: int, rows: dict[str, Listed], candidates: Iterable[str]
+    before: EndpointList, epoch: str, version: int, rows: dict[str, ListedServer], candidates: Iterable[str]
 ) -> ListUpdate:
     """Return the update from ``before`` to ``rows``, which differ at most in the names in ``candidates``."""
     joined: list[str] = []
@@ -107,7 +107,7 @@
     return ListUpdate(after, tuple(joined), tuple(left), tuple(changed))
 
 
-def replace_list(before: EndpointList, listing: Listing) -> ListUpdate:
+def replace_list(before: EndpointList, listing: ServerList) -> ListUpdate:
     """Return the update from ``before`` to a full list."""
 
     def compute() -> ListUpdate:
--- a/lapishaven/client/membership.py
+++ b/lapishaven/client/membership.py
@@ -13,7 +13,7 @@
 
 from lapishaven.client.fleet.endpoint_list import EMPTY, EndpointList, ListUpdate, apply_delta, replace_list
 from lapishaven.client.settings import Catalog
-from lapishaven.proto.catalog import Delta, Listed, Listing, listing, text
+from lapishaven.proto.catalog import Delta, ListedServer, ServerList, decode_list, encode_list
 
 MAX_VERSION_TIMES = 64  # the times of this many versions are remembered
 NEVER_S = -1e18  # before every time on the policy's clock
@@ -30,7 +30,7 @@
     ``last_seen_at``: when the client last received a response from it.
     """
 
-    listed: Listed
+    listed: ListedServer
     listed_since: float
     warmed_up: bool
     doubted_since: float | None = None
@@ -102,7 +102,7 @@
         self.version = -1
         self.last_update_at: float | None = None
         self.needs_full_list = True
-        self._doubted: dict[str, tuple[Listed, float]] = {}  # row, doubted since
+        self._doubted: dict[str, tuple[ListedServer, float]] = {}  # row, doubted since
         self._last_seen_at: dict[str, float] = {}
         self._tracked: dict[str, Member] = {}
         self._version_times = VersionTimes()
@@ -113,7 +113,7 @@
         """The tag of the current list in requests to the registry; None before the first list."""
         return f"{self.epoch}.{self.version}" if self.epoch is not None else None
 
-    def row(self, name: str) -> Listed | None:
+    def row(self, name: str) -> ListedServer | None:
         """Return the endpoint's row, also for a doubted endpoint; None if it is unknown."""
         row = self.endpoint_list.rows.get(name)
         if row is None and (doubted := self._doubted.get(name)) is not None:
@@ -170,7 +170,7 @@
         self._tracked.pop(name, None)
 
     # ---- Lists
-    def apply_list(self, now: float, listing: Listing) -> MembershipChange:
+    def apply_list(self, now: float, listing: ServerList) -> MembershipChange:
         """Apply a full list, or the part of it that is trusted."""
         first = self.epoch is None
         self.last_update_at = now
@@ -200,7 +200,7 @@
     def serialize(self) -> bytes:
         """Return the current list in the registry's own format, including doubted endpoints, to be saved in a file."""
         rows = tuple(self.endpoint_list.rows.values()) + tuple(row for row, _ in self._doubted.values())
-        return text(Listing(self.epoch or "", self.version, rows))
+        return encode_list(ServerList(self.epoch or "", self.version, rows))
 
     def restore(self, now: float, data: bytes) -> MembershipChange:
         """Apply a list that an earlier process saved, unless the registry has already answered.
@@ -210,7 +210,7 @@
         """
         if self.epoch is not None:
             return MembershipChange(ListVerdict.STALE)
-        saved_list = listing(data)
+        saved_list = decode_list(data)
         self.needs_full_list = True  # the registry may have a newer version
         return self._apply(now, replace_list(self.endpoint_list, saved_list), True)
 
--- a/lapishaven/client/policy.py
+++ b/lapishaven/client/policy.py
@@ -42,7 +42,7 @@
 from lapishaven.client.outcomes import AttemptResult
 from lapishaven.client.settings import Settings, split_address
 from lapishaven.client.traffic import EventRate, Traffic
-from lapishaven.proto.catalog import Delta, Listed, Listing
+from lapishaven.proto.catalog import Delta, ListedServer, ServerList
 
 
 class Policy:
@@ -83,8 +83,8 @@
         self.membership = self.table.membership
         self.one_request_per_connection = self.table.one_request_per_connection
         if settings.servers:
-            rows = (Listed(address, *split_address(address, "servers")) for address in settings.servers)
-            self.update_endpoints(now, Listing("fixed", 0, tuple(rows)))
+            rows = (ListedServer(address, *split_address(address, "servers")) for address in settings.servers)
+            self.update_endpoints(now, ServerList("fixed", 0, tuple(rows)))
 
     def _connect_parts(self, now: float, clock_offset_s: float) -> None:
         engine, traffic, settings = self.engine, self.traffic, self.settings
@@ -177,7 +177,7 @@
         self._waiting.clear()
 
     # ---- Endpoint lists
-    def update_endpoints(self, now: float, listing: Listing | Delta) -> ListVerdict:
+    def update_endpoints(self, now: float, listing: ServerList | Delta) -> ListVerdict:
         """Apply a full endpoint list or a delta; return the verdict (``MembershipChange.verdict``)."""
         return self._updates.update(now, listing)
 
--- a/lapishaven/client/wire.py
+++ b/lapishaven/client/wire.py
@@ -82,11 +82,11 @@
             attempt.request_id,
             call.body,
             call.memory_kb,
-            recv=stamp,
-            src=self._settings.caller,
-            rep=attempt.is_retry,
-            crit=call.rank,
-            row=call.row_id,
+            received_at=stamp,
+            caller_id=self._settings.caller,
+            is_retry=attempt.is_retry,
+            rank=call.rank,
+            subject=call.row_id,
         )
 
     def cancel(self, attempt: Attempt) -> bytes:
--- a/lapishaven/lab/baselines.py
+++ b/lapishaven/lab/baselines.py
@@ -15,7 +15,7 @@
 from lapishaven.client.outcomes import Expired, Failed, Outcome, Refused, Served
 from lapishaven.client.settings import Settings, split_address
 from lapishaven.proto import ProtocolError, jsonrpc
-from lapishaven.proto.catalog import ListClient, Listed, Listing
+from lapishaven.proto.catalog import ListClient, ListedServer, ServerList
 
 POLL = 1.0  # s between two polls of the endpoint list
 DIAL_LIMIT = 1.0  # s for one dial
@@ -64,7 +64,7 @@
     def __init__(self, settings: Settings, *, random: Random, sockets: SocketFactory) -> None:
         self.settings, self.random, self._sockets = settings, random, sockets
         self._connections: dict[str, _Connection] = {}
-        self._rows: tuple[Listed, ...] = ()
+        self._rows: tuple[ListedServer, ...] = ()
         self._next = random.randrange(1 << 16)
         self._known = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -94,7 +94,7 @@
                 while not (found := machine.feed(await reader.read(65536)))[0]:
                     pass
                 writer.close()
-                if isinstance(found[1], Listing):  # asked without since: never a delta
+                if isinstance(found[1], ServerList):  # asked without since: never a delta
                     self._rows = tuple(row for row in found[1].servers if row.passing)
                     self._known.set()
             except (OSError, ProtocolError):
@@ -152,15 +152,15 @@
                 f"{self.random.getrandbits(64):016x}",
                 body,
                 rule.heap_kb,
-                recv=time.time(),
-                src=self.settings.caller,
-                rep=again and self.marks,
-                crit=min(rule.rank + self.random.random() * rule.rank_span, 0.9999),
+                received_at=time.time(),
+                caller_id=self.settings.caller,
+                is_retry=again and self.marks,
+                rank=min(rule.rank + self.random.random() * rule.rank_span, 0.9999),
             )
         )
         return await future
 
-    async def _open(self, connection: _Connection, row: Listed) -> None:
+    async def _open(self, connection: _Connection, row: ListedServer) -> None:
         if connection.writer is not None:
             return
         sock = self._sockets(2)
--- a/lapishaven/lab/catalog.py
+++ b/lapishaven/lab/catalog.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from lapishaven.proto.catalog import LIST_PATH, Listed, Listing, delta_between, delta_text, text
+from lapishaven.proto.catalog import LIST_PATH, ListedServer, ServerList, delta_between, encode_delta, encode_list
 
 EXPIRY = 3.0  # s after its last report at which a server leaves the list
 HISTORY = 64  # versions kept, from which a delta is sent; from an older one the whole list
@@ -27,7 +27,7 @@
     def __init__(self, addresses: dict[str, tuple[str, int]], epoch: str, lag: float) -> None:
         self.addresses, self.epoch, self.lag = addresses, epoch, lag
         self._reports: dict[str, tuple[float, bool]] = {}
-        self._history: deque[tuple[float, Listing]] = deque([(float("-inf"), Listing(epoch, 0, ()))])
+        self._history: deque[tuple[float, ServerList]] = deque([(float("-inf"), ServerList(epoch, 0, ()))])
 
     def report(self, now: float, name: str, passing: bool) -> bool:
         if name not in self.addresses:
@@ -39,15 +39,15 @@
     def refresh(self, now: float) -> None:
         """Take off what has lapsed; a change makes a version."""
         rows = tuple(
-            Listed(name, *self.addresses[name], passing)
+            ListedServer(name, *self.addresses[name], passing)
             for name, (at, passing) in sorted(self._reports.items())
             if now - at < EXPIRY
         )
         last = self._history[-1][1]
         if rows != last.servers:
-            self._history.append((now, Listing(self.epoch, last.version + 1, rows)))
+            self._history.append((now, ServerList(self.epoch, last.version + 1, rows)))
 
-    def seen(self, now: float) -> Listing:
+    def seen(self, now: float) -> ServerList:
         """What clients see now, which is what held ``lag`` seconds ago."""
         self.refresh(now)
         while len(self._history) > 1 and self._history[1][0] <= now - self.lag:
@@ -55,7 +55,7 @@
         return self._history[0][1]
 
     @property
-    def latest(self) -> Listing:
+    def latest(self) -> ServerList:
         return self._history[-1][1]
 
 
@@ -69,7 +69,7 @@
         self.address: tuple[str, int] = ("", 0)
         self.lie: Lie = ""
         self.reports = self.questions = self.deltas = 0
-        self._served: dict[int, Listing] = {}  # versions that clients were given, for deltas from them
+        self._served: dict[int, ServerList] = {}  # versions that clients were given, for deltas from them
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -145,12 +145,12 @@
             return 200, b'{"servers":['
         if self.lie:
             rows = seen.servers[: len(seen.servers) // 3] if self.lie == "half" else ()
-            return 200, text(Listing(seen.epoch, seen.version + 1_000_000, rows))
+            return 200, encode_list(ServerList(seen.epoch, seen.version + 1_000_000, rows))
         if known == f'"{seen.epoch}.{seen.version}"'.encode():
             return 304, b""
         epoch, _, version = since.rpartition(".")
         old = self._served.get(int(version)) if epoch == seen.epoch and version.isdigit() else None
         if old is not None and old.version < seen.version:
             self.deltas += 1
-            return 200, delta_text(delta_between(old, seen))
-        return 200, text(seen)
+            return 200, encode_delta(delta_between(old, seen))
+        return 200, encode_list(seen)
--- a/lapishaven/lab/client_simulation.py
+++ b/lapishaven/lab/client_simulation.py
@@ -36,7 +36,7 @@
 from lapishaven.lab import site
 from lapishaven.lab.script import Step, parse
 from lapishaven.lab.wiretap import most_in_a_second
-from lapishaven.proto.catalog import Listed, Listing
+from lapishaven.proto.catalog import ListedServer, ServerList
 
 HOP = 0.0005  # s one way
 ADVICE = 0.2  # s: Retry-After of a rejection
@@ -390,13 +390,13 @@
         server.up, server.cold_since = True, self.now
         self.at(self.now + CATALOG_LAG, self._relist)
 
-    def _list(self, version: int) -> Listing:
+    def _list(self, version: int) -> ServerList:
         rows = tuple(
-            Listed(s.name, "127.0.0.1", 1 + n, self._passing(s))
+            ListedServer(s.name, "127.0.0.1", 1 + n, self._passing(s))
             for n, s in enumerate(self.servers.values())
             if s.up or self.now - s.gone_at < EXPIRY
         )
-        return Listing("sim", version, rows)
+        return ServerList("sim", version, rows)
 
     def _passing(self, server: Any) -> bool:
         return not server.draining
--- a/lapishaven/lab/handover/caller.py
+++ b/lapishaven/lab/handover/caller.py
@@ -97,7 +97,7 @@
         id, line.next_id = line.next_id, line.next_id + 1
         call = f"{self.random.getrandbits(64):016x}"
         data = jsonrpc.encode_request(
-            id, kind.name, call, body, HEAP_KB, recv=time.time(), src=1, crit=self.ranks[kind.name]
+            id, kind.name, call, body, HEAP_KB, received_at=time.time(), caller_id=1, rank=self.ranks[kind.name]
         )
         line.sent[id] = body
         line.ids.add(id)
--- a/lapishaven/proto/__init__.py
+++ b/lapishaven/proto/__init__.py
@@ -1,12 +1,12 @@
-"""Protocols as state machines (sans-IO): fed bytes, they give typed messages. No socket, no clock, no decision.
+"""Protocols as state machines (sans-IO): bytes in, typed messages out, without sockets, clocks or decisions.
 
-Themed field names of the platform's protocols are mapped to the standard terms here and nowhere else.
+The platform's own field names are mapped to standard terms in this package and nowhere else.
 """
 
 
 class ProtocolError(ValueError):
-    """The peer broke the protocol and its bytes cannot be parsed any further; the text says how."""
+    """The peer violated the protocol, and its further bytes cannot be parsed; the message names the violation."""
 
 
 class TooLargeError(ProtocolError):
-    """A part of a message is longer than allowed."""
+    """A message, or a part of it, exceeds its size limit."""
--- a/lapishaven/proto/admission_settings.py
+++ b/lapishaven/proto/admission_settings.py
@@ -1,4 +1,4 @@
-"""The JSON settings of an instance, as the platform and the simulator give them, read into ``Settings``."""
+"""Parses the JSON settings of an instance, as the platform and the simulator provide them, into ``Settings``."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 from lapishaven.admission import Idempotency, RequestClass, Settings, Tenant
 
-IDEMPOTENCY_BY_EFFECT = {
+IDEMPOTENCY_TYPES = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.WITH_KEY,
     "single_shot": Idempotency.NOT_IDEMPOTENT,
 }
-LOAD_SIGNAL_BY_SAY = {"threshold": "level", "window": "window", "share_of": "weight", "silent": None}
-CANCELLATION_BY_HALT = {"abort": "abort", "suspend": "pause", "silent": None}
+LOAD_SIGNAL_TYPES = {"threshold": "level", "window": "window", "share_of": "weight", "silent": None}
+CANCELLATION_TYPES = {"abort": "abort", "suspend": "pause", "silent": None}
 
 
 class SettingsError(ValueError):
-    """A setting is missing or malformed. ``path`` names it, such as ``extra.cores``; empty for the whole text."""
+    """A setting is missing or invalid. ``path`` names it, such as ``extra.cores``; it is empty for the whole text."""
 
     def __init__(self, path: str, problem: str) -> None:
         super().__init__(f"{path} {problem}" if path else problem)
@@ -26,19 +26,19 @@
 
 
 class InstanceSettings(NamedTuple):
-    """What an instance is told at its start."""
+    """The settings of an instance."""
 
     settings: Settings
     gauge_names: tuple[str, ...]
-    """Names of the gauges that a load sample brings, in their order."""
+    """Names of the gauges in a load sample, in the order of their values."""
 
 
 class _Table:
-    """A JSON object whose readers name the setting that is missing or malformed."""
+    """A JSON object; its methods raise ``SettingsError`` with the path of the setting."""
 
     def __init__(self, data: Any, path: str) -> None:
         if not isinstance(data, dict):
-            raise SettingsError(path or "settings", "is not an object")
+            raise SettingsError(path or "settings", f"must be a JSON object, found {data!r:.60}")
         self.data: dict[str, Any] = data
         self._path = path
 
@@ -54,48 +54,48 @@
         rows = self.data.get(key)
         path = self._path_of(key)
         if not isinstance(rows, list):
-            raise SettingsError(path, "is not a list")
+            raise SettingsError(path, f"must be a list, found {rows!r:.60}")
         return [_Table(row, f"{path}[{index}]") for index, row in enumerate(rows)]
 
     def number(self, key: str) -> float:
-        """A number that must be there."""
+        """A required number."""
         value = self.optional_number(key)
         if value is None:
-            raise SettingsError(self._path_of(key), "is missing")
+            raise SettingsError(self._path_of(key), "is missing, a number is required")
         return value
 
     def optional_number(self, key: str) -> float | None:
-        """A number; ``None`` if it is absent."""
+        """An optional number; ``None`` if it is absent."""
         value = self.data.get(key)
         if value is None:
             return None
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise SettingsError(self._path_of(key), "is not a number")
+            raise SettingsError(self._path_of(key), f"must be a number, found {value!r:.60}")
         return float(value)
 
     def flag(self, key: str) -> bool:
-        """Whether a value is there and true."""
+        """Whether a value is present and true."""
         return bool(self.data.get(key))
 
     def choice(self, key: str, choices: dict[str, Any]) -> Any:
-        """What a word stands for in ``choices``."""
+        """The entry of ``choices`` for the value, which must be one of its keys."""
         value = self.data.get(key)
         if not isinstance(value, str) or value not in choices:
-            raise SettingsError(self._path_of(key), f"is {value!r}")
+            raise SettingsError(self._path_of(key), f"must be one of {', '.join(choices)}, found {value!r:.60}")
         return choices[value]
 
     def item(self, key: str, index: int) -> Any:
-        """An item of a list; ``None`` if there is no list or it is too short."""
-        row = self.data.get(key)
-        return row[index] if isinstance(row, list) and index < len(row) else None
+        """An item of an optional list; ``None`` if the list is absent or too short."""
+        items = self.data.get(key)
+        return items[index] if isinstance(items, list) and index < len(items) else None
 
 
 def parse_settings(text: str | bytes) -> InstanceSettings:
-    """Read the settings of an instance from JSON text; raise ``SettingsError``. Unknown keys are ignored."""
+    """Parse the settings of an instance from JSON text. Unknown keys are ignored. Raises ``SettingsError``."""
     try:
         data = json.loads(text)
     except ValueError:
-        raise SettingsError("", "not JSON") from None
+        raise SettingsError("", f"the settings are not JSON: {text[:60]!r}") from None
     top = _Table(data, "")
     extra = top.table("extra")
     obligations = top.table("obligations")
@@ -104,7 +104,7 @@
     tenants = _tenants(top)
     gauge_names = extra.data.get("gauges")
     if not isinstance(gauge_names, list):
-        raise SettingsError("extra.gauges", "is not a list")
+        raise SettingsError("extra.gauges", f"must be a list of names, found {gauge_names!r:.60}")
     settings = _settings(top, extra, obligations, limits, classes, tenants)
     return InstanceSettings(settings, tuple(str(name) for name in gauge_names))
 
@@ -138,9 +138,9 @@
         over_quota_weight=top.optional_number("over-share-worth") or 0.0,
         weight_per_work=top.data.get("value-by") == "work",
         max_retry_after=max_retry_after if limits.flag("retry-after") else None,
-        load_signal=extra.choice("say", LOAD_SIGNAL_BY_SAY),
+        load_signal=extra.choice("say", LOAD_SIGNAL_TYPES),
         load_signal_ttl=extra.optional_number("said-for") or 0.0,
-        cancellation=extra.choice("halt", CANCELLATION_BY_HALT),
+        cancellation=extra.choice("halt", CANCELLATION_TYPES),
         result_freshness=extra.optional_number("fresh") or 0.0,
         dependency_quota=extra.optional_number("fair-calls") if extra.data.get("below") == "shared" else None,
         dependency_window=extra.optional_number("dep-window") or 0.0,
@@ -160,7 +160,7 @@
         latency_objective=row.number("aim"),
         deadline=row.number("deadline"),
         priority_weight=row.number("credit"),
-        idempotency=row.choice("effect", IDEMPOTENCY_BY_EFFECT),
+        idempotency=row.choice("effect", IDEMPOTENCY_TYPES),
         late_weight=row.optional_number("late-worth") or 0.0,
         idempotency_window=row.optional_number("window"),
         calls_dependency=bool(extra.item("calls-by-class", index)),
--- a/lapishaven/proto/catalog.py
+++ b/lapishaven/proto/catalog.py
@@ -1,6 +1,6 @@
-"""The HTTP of the catalog, the platform's service registry: health reports and the endpoint list.
+"""The protocol of the catalog, the platform's service registry: health reports and the server list, over HTTP.
 
-Requests are sent one at a time on a persistent connection. h11 does the HTTP.
+Requests are sent one at a time on a persistent connection. h11 implements HTTP.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class ReportClient:
-    """Encodes health reports and parses their responses."""
+    """Encodes the health reports of a server and parses their responses."""
 
     def __init__(self, host: str, name: str) -> None:
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=16 * 1024)
@@ -24,7 +24,7 @@
         self._status: int | None = None
 
     def report(self, passing: bool) -> bytes:
-        """The bytes of one report."""
+        """Encode one health report."""
         body = json.dumps({"status": "passing" if passing else "critical"}, separators=(",", ":")).encode()
         headers = [("Host", self._host), ("Content-Length", str(len(body)))]
         request = h11.Request(method="PUT", target=self._path, headers=headers)
@@ -32,7 +32,7 @@
         return b"".join(self._http.send(part) or b"" for part in parts)
 
     def feed(self, data: bytes) -> int | None:
-        """The status code of the response once it is complete. Raises ``ProtocolError``."""
+        """The status code once the response is complete, else ``None``. Raises ``ProtocolError``."""
         try:
             self._http.receive_data(data)
             while True:
@@ -46,7 +46,7 @@
                         self._http.start_next_cycle()
                     return self._status
                 elif isinstance(event, h11.ConnectionClosed):
-                    raise ProtocolError("the catalog closed the connection")
+                    raise ProtocolError(f"the catalog closed the connection while responding to PUT {self._path:.80}")
         except h11.RemoteProtocolError as error:
             raise ProtocolError(str(error)) from None
 
@@ -56,13 +56,13 @@
         return self._http.our_state is h11.IDLE
 
 
-MAX_LIST_BYTES = 4 * 1024 * 1024  # some 40,000 servers
+MAX_LIST_BYTES = 4 * 1024 * 1024  # enough for about 40,000 servers
 LIST_PATH = "/catalog/list"
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
-    """One server on the endpoint list. ``passing``: whether it last reported itself as healthy."""
+class ListedServer:
+    """One server on the list. ``passing``: whether it last reported itself as healthy."""
 
     name: str
     host: str
@@ -71,105 +71,115 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
-    """The endpoint list at one version. Versions count up within an epoch; each start of the catalog begins one."""
+class ServerList:
+    """The server list at one version. Versions increase within an epoch; a restart of the catalog begins a new one."""
 
     epoch: str
     version: int
-    servers: tuple[Listed, ...]
+    servers: tuple[ListedServer, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Delta:
     """The changes from version ``since`` to ``version`` of one epoch.
 
-    A catalog that keeps its history answers ``?since=EPOCH.VERSION`` with this instead of the complete list.
+    A catalog that keeps earlier versions sends this in response to ``?since=EPOCH.VERSION``, instead of the full list.
     """
 
     epoch: str
     version: int
     since: int
-    joined: tuple[Listed, ...] = ()
+    joined: tuple[ListedServer, ...] = ()
     left: tuple[str, ...] = ()
-    changed: tuple[Listed, ...] = ()
+    changed: tuple[ListedServer, ...] = ()
 
 
-def _rows(data: Any, what: str) -> tuple[Listed, ...]:
+def _parse_servers(data: Any, key: str) -> tuple[ListedServer, ...]:
     if not isinstance(data, list):
-        raise ProtocolError(f"the list has no {what}")
-    found: dict[str, Listed] = {}
+        raise ProtocolError(f"the server list's {key} is {type(data).__name__}, not a list")
+    found: dict[str, ListedServer] = {}
     for row in data:
-        name, where = (row.get("name"), row.get("address")) if isinstance(row, dict) else (None, None)
-        host, _, port = where.rpartition(":") if isinstance(where, str) else ("", "", "")
+        name, address = (row.get("name"), row.get("address")) if isinstance(row, dict) else (None, None)
+        host, _, port = address.rpartition(":") if isinstance(address, str) else ("", "", "")
         if not isinstance(name, str) or not name or not host or not port.isdigit() or int(port) > 65535:
-            raise ProtocolError("a server of the list has no name, or its address is not HOST:PORT")
+            raise ProtocolError(f"{key}[{len(found)}] of the server list has no name, or its address is not HOST:PORT")
         if name in found:
-            raise ProtocolError(f"the list names {name[:40]!r} twice")
-        found[name] = Listed(name, host, int(port), row.get("status", "passing") == "passing")
+            raise ProtocolError(f"{key} of the server list contains {name[:40]!r} twice")
+        found[name] = ListedServer(name, host, int(port), row.get("status", "passing") == "passing")
     return tuple(found.values())
 
 
-def _top(data: bytes) -> tuple[dict[str, Any], str, int]:
+def _parse_header(data: bytes) -> tuple[dict[str, Any], str, int]:
     try:
         top: Any = json.loads(data)
     except (ValueError, RecursionError):
-        raise ProtocolError("the list is not JSON") from None
+        raise ProtocolError(f"the server list is not JSON: {data[:60]!r}") from None
     if not isinstance(top, dict):
-        raise ProtocolError("the list has no servers")
+        raise ProtocolError(f"the server list is not a JSON object: {data[:60]!r}")
     version, epoch = top.get("version"), top.get("epoch", "")
     if isinstance(version, bool) or not isinstance(version, int) or not isinstance(epoch, str):
-        raise ProtocolError("the list has no version")
+        raise ProtocolError(f"the server list has no integer version, or its epoch is not a string: {data[:60]!r}")
     return top, epoch, version
 
 
-def listing(data: bytes) -> Listing:
-    """A checked list from its JSON text; ``ProtocolError`` names what is wrong."""
-    top, epoch, version = _top(data)
-    return Listing(epoch, version, _rows(top.get("servers"), "servers"))
+def decode_list(data: bytes) -> ServerList:
+    """Parse and validate the JSON text of a list. Raises ``ProtocolError``."""
+    top, epoch, version = _parse_header(data)
+    return ServerList(epoch, version, _parse_servers(top.get("servers"), "servers"))
 
 
-def answer(data: bytes) -> Listing | Delta:
-    """A whole list, or a delta where the text has ``since``; ``ProtocolError`` names what is wrong."""
-    top, epoch, version = _top(data)
+def decode_response(data: bytes) -> ServerList | Delta:
+    """Parse and validate a list, or a delta if the text has ``since``. Raises ``ProtocolError``."""
+    top, epoch, version = _parse_header(data)
     if "since" not in top:
-        return Listing(epoch, version, _rows(top.get("servers"), "servers"))
+        return ServerList(epoch, version, _parse_servers(top.get("servers"), "servers"))
     since, left = top["since"], top.get("left", [])
     if isinstance(since, bool) or not isinstance(since, int) or since >= version:
-        raise ProtocolError("a delta's since is no earlier version")
+        raise ProtocolError(f"the delta to version {version!r:.40}: its since is not an earlier version")
     if not isinstance(left, list) or not all(isinstance(name, str) and name for name in left):
-        raise ProtocolError("a delta's left is not a list of names")
-    joined, changed = _rows(top.get("joined", []), "joined"), _rows(top.get("changed", []), "changed")
-    named = [*left, *(row.name for row in (*joined, *changed))]
-    if len(set(named)) != len(named):
-        raise ProtocolError("a delta names a server twice")
+        raise ProtocolError(f"the delta to version {version!r:.40}: its left is not a list of names")
+    joined, changed = _parse_servers(top.get("joined", []), "joined"), _parse_servers(top.get("changed", []), "changed")
+    names = [*left, *(row.name for row in (*joined, *changed))]
+    if len(set(names)) != len(names):
+        raise ProtocolError(f"the delta to version {version!r:.40} names a server twice")
     return Delta(epoch, version, since, joined, tuple(left), changed)
 
 
-def _row(s: Listed) -> dict[str, str]:
-    return {"name": s.name, "address": f"{s.host}:{s.port}", "status": "passing" if s.passing else "critical"}
+def _encode_server(server: ListedServer) -> dict[str, str]:
+    return {
+        "name": server.name,
+        "address": f"{server.host}:{server.port}",
+        "status": "passing" if server.passing else "critical",
+    }
 
 
-def text(of: Listing) -> bytes:
+def encode_list(listing: ServerList) -> bytes:
     """The JSON text of a list, as the catalog serves it."""
-    return json.dumps({"epoch": of.epoch, "version": of.version, "servers": [_row(s) for s in of.servers]}).encode()
+    return json.dumps(
+        {
+            "epoch": listing.epoch,
+            "version": listing.version,
+            "servers": [_encode_server(server) for server in listing.servers],
+        }
+    ).encode()
 
 
-def delta_text(of: Delta) -> bytes:
+def encode_delta(delta: Delta) -> bytes:
     """The JSON text of a delta."""
     return json.dumps(
         {
-            "epoch": of.epoch,
-            "version": of.version,
-            "since": of.since,
-            "joined": [_row(s) for s in of.joined],
-            "left": list(of.left),
-            "changed": [_row(s) for s in of.changed],
+            "epoch": delta.epoch,
+            "version": delta.version,
+            "since": delta.since,
+            "joined": [_encode_server(server) for server in delta.joined],
+            "left": list(delta.left),
+            "changed": [_encode_server(server) for server in delta.changed],
         }
     ).encode()
 
 
-def delta_between(old: Listing, new: Listing) -> Delta:
-    """What a catalog sends a client that holds ``old``; ``new`` is of the same epoch."""
+def delta_between(old: ServerList, new: ServerList) -> Delta:
+    """The changes from ``old`` to ``new``, two versions of the same epoch."""
     before = {row.name: row for row in old.servers}
     after = {row.name: row for row in new.servers}
     joined = tuple(row for name, row in after.items() if name not in before)
@@ -179,7 +189,7 @@
 
 
 class ListClient:
-    """Encodes requests for the endpoint list and parses their responses."""
+    """Encodes requests for the server list and parses their responses."""
 
     def __init__(self, host: str) -> None:
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=16 * 1024)
@@ -187,10 +197,10 @@
         self._status, self._body = 0, bytearray()
 
     def encode_request(self, known: str | None, since: bool = False) -> bytes:
-        """The bytes of one request.
+        """Encode one request.
 
         ``known`` is the tag ``EPOCH.VERSION`` of the list that the client has; an unchanged list is not sent again.
-        With ``since`` only the changes after it are requested; a catalog without history responds with the whole list.
+        With ``since`` only the changes after it are requested; a catalog without history sends the full list.
         """
         headers = [("Host", self._host)] + ([("If-None-Match", f'"{known}"')] if known else [])
         self._status, self._body = 0, bytearray()
@@ -198,8 +208,8 @@
         parts = (h11.Request(method="GET", target=target, headers=headers), h11.EndOfMessage())
         return b"".join(self._http.send(part) or b"" for part in parts)
 
-    def feed(self, data: bytes) -> tuple[bool, Listing | Delta | None]:
-        """Whether the response is complete, and the list or the changes if it brought any. Raises ``ProtocolError``."""
+    def feed(self, data: bytes) -> tuple[bool, ServerList | Delta | None]:
+        """Whether the response is complete, and the list or delta in it, if any. Raises ``ProtocolError``."""
         try:
             self._http.receive_data(data)
             while (event := self._http.next_event()) is not h11.NEED_DATA and event is not h11.PAUSED:
@@ -210,7 +220,7 @@
                 elif isinstance(event, h11.EndOfMessage):
                     return True, self._complete_response()
                 elif isinstance(event, h11.ConnectionClosed):
-                    raise ProtocolError("the catalog closed the connection")
+                    raise ProtocolError(f"the catalog closed the connection while responding to GET {LIST_PATH}")
         except h11.RemoteProtocolError as error:
             raise ProtocolError(str(error)) from None
         return False, None
@@ -218,16 +228,16 @@
     def _append_body(self, data: bytes) -> None:
         self._body += data
         if len(self._body) > MAX_LIST_BYTES:
-            raise TooLargeError(f"a list is longer than {MAX_LIST_BYTES} bytes")
+            raise TooLargeError(f"the server list is longer than {MAX_LIST_BYTES} bytes")
 
-    def _complete_response(self) -> Listing | Delta | None:
+    def _complete_response(self) -> ServerList | Delta | None:
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
             self._http.start_next_cycle()
         if self._status == HTTPStatus.NOT_MODIFIED:
             return None
         if self._status != HTTPStatus.OK:
-            raise ProtocolError(f"the catalog answered {self._status}")
-        return answer(bytes(self._body))
+            raise ProtocolError(f"the catalog answered GET {LIST_PATH} with status {self._status}, expected 200 or 304")
+        return decode_response(bytes(self._body))
 
     @property
     def reusable(self) -> bool:
--- a/lapishaven/proto/interpreter.py
+++ b/lapishaven/proto/interpreter.py
@@ -1,6 +1,6 @@
-"""The interpreter's protocol: commands as bytes, and what comes back as typed notices.
+"""The interpreter's protocol: encodes commands and parses notices.
 
-The protocol's themed words stand in this module alone; the rest of the program uses the names of the classes here.
+The protocol's own keywords are used in this module alone; the rest of the program uses the class names below.
 """
 
 from __future__ import annotations
@@ -20,32 +20,32 @@
 class Banner:
     """``BANNER``: the first notice on a connection."""
 
-    slow_start: bool  # whether the interpreter has just started and is still warming up
-    uptime: float  # seconds since its start
+    slow_start: bool  # whether the interpreter is still warming up after its start
+    uptime: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
 class RunEnded:
     """``VALUE``: a run ended."""
 
-    number: int  # of the notice; counts up
+    number: int  # sequence number of the notice
     attempt_id: str
-    outcome: str  # the protocol's word for it
+    outcome: str  # the protocol's keyword
     elapsed: float  # seconds
     result: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class GaugeReadings:
-    """``TOPS``: the answer to ``encode_read_gauges``."""
+    """``TOPS``: the response to ``encode_read_gauges``."""
 
     tag: str
-    values: tuple[float, ...]  # in the order that the settings give
+    values: tuple[float, ...]  # in the order of the gauge names in the settings
 
 
 @dataclass(frozen=True, slots=True)
 class HealthChecked:
-    """``SMOKED``: the answer to ``encode_health_check``."""
+    """``SMOKED``: the response to ``encode_health_check``."""
 
     tag: str
     healthy: bool
@@ -53,26 +53,26 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandRejected:
-    """``ERROR``: a command was not carried out."""
+    """``ERROR``: a command was rejected."""
 
-    command: str  # the protocol's word
-    attempt_id: str  # empty if the notice names none
+    command: str  # the protocol's keyword
+    attempt_id: str  # empty if the notice has none
 
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """``TRACE``: a line for people."""
+    """``TRACE``: a diagnostic message."""
 
-    number: int  # of the notice; counts up
+    number: int  # sequence number of the notice
     text: str
 
 
 Message = Banner | RunEnded | GaugeReadings | HealthChecked | CommandRejected | Trace
 
 
-def encode_connect(last: int) -> bytes:
-    """``CONNECT``: the first command; ``last`` is the number of the last notice that was received."""
-    return b"CONNECT %d\r\n" % last
+def encode_connect(last_received: int) -> bytes:
+    """``CONNECT``: the first command, with the number of the last notice that was received."""
+    return b"CONNECT %d\r\n" % last_received
 
 
 def encode_start(attempt_id: str, class_name: str, body: bytes) -> bytes:
@@ -91,30 +91,32 @@
 
 
 def encode_read_gauges(tag: str) -> bytes:
-    """``TOP``: read the gauges; the answer carries the tag."""
+    """``TOP``: read the gauges; the response carries the tag."""
     return b"TOP %s\r\n" % tag.encode()
 
 
 def encode_health_check(tag: str) -> bytes:
-    """``SMOKE``: check the interpreter's health; the answer carries the tag."""
+    """``SMOKE``: check the interpreter's health; the response carries the tag."""
     return b"SMOKE %s\r\n" % tag.encode()
 
 
 class NoticeParser:
-    """Parses the bytes received on one connection."""
+    """Parses the notices received on one connection."""
 
     def __init__(self) -> None:
         self._lines = LineBuffer(MAX_LINE_BYTES)
-        self._incomplete: tuple[RunEnded, int] | None = None  # a run whose result is still to come, and its size
+        self._incomplete: tuple[RunEnded, int] | None = (
+            None  # a run whose result is incomplete, and the size of the result
+        )
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """The notices that are complete now. Raises ``ProtocolError``; the connection cannot be read any further."""
+        """Yield the notices that ``data`` completes. After a ``ProtocolError`` the connection is unusable."""
         self._lines.feed(data)
         while (message := self._next()) is not None:
             yield message
 
     def _next(self) -> Message | None:
-        """The next complete notice."""
+        """The next complete notice, or ``None``."""
         while self._incomplete is None:
             line = self._lines.line()
             if line is None:
@@ -124,7 +126,7 @@
             except ProtocolError:
                 raise
             except (ValueError, IndexError):
-                raise ProtocolError(f"not a notice: {line[:80]!r}") from None
+                raise ProtocolError(f"malformed interpreter notice: {line[:80]!r}") from None
             if message is not None:
                 return message
         return self._complete_result(*self._incomplete)
@@ -134,32 +136,34 @@
         if block is None:
             return None
         if block[size:] != LINE_END:
-            raise ProtocolError("a result does not end where its length says")
+            raise ProtocolError(f"the result of attempt {run.attempt_id[:40]!r} does not end after its {size} bytes")
         self._incomplete = None
         return RunEnded(run.number, run.attempt_id, run.outcome, run.elapsed, block[:size])
 
     def _parse_line(self, line: str) -> Message | None:
-        """The notice of a line; ``None`` if its result follows."""
-        words = line.split(" ")
-        match words[0]:
+        """The notice in a line; ``None`` if its result follows."""
+        fields = line.split(" ")
+        match fields[0]:
             case "VALUE":
-                self._begin_result(words)
+                self._begin_result(fields)
                 return None
             case "TOPS":
-                return GaugeReadings(words[1], tuple(float(word) for word in words[2:]))
+                return GaugeReadings(fields[1], tuple(float(field) for field in fields[2:]))
             case "BANNER":
-                return Banner(words[1] == "COLD", float(words[2]) / 1000)
+                return Banner(fields[1] == "COLD", float(fields[2]) / 1000)
             case "SMOKED":
-                return HealthChecked(words[1], words[2] == "OK")
+                return HealthChecked(fields[1], fields[2] == "OK")
             case "ERROR":
-                return CommandRejected(words[1], words[2] if len(words) > 2 else "")
+                return CommandRejected(fields[1], fields[2] if len(fields) > 2 else "")
             case "TRACE":
-                return Trace(int(words[1]), " ".join(words[2:]))
-        raise ProtocolError(f"unknown notice: {line[:80]!r}")
+                return Trace(int(fields[1]), " ".join(fields[2:]))
+        raise ProtocolError(f"unknown interpreter notice: {line[:80]!r}")
 
-    def _begin_result(self, words: list[str]) -> None:
-        size = int(words[5])
+    def _begin_result(self, fields: list[str]) -> None:
+        size = int(fields[5])
         if not 0 <= size <= MAX_RESULT_BYTES:
-            raise TooLargeError(f"a result of {size} bytes")
-        run = RunEnded(int(words[1]), words[2], words[3], float(words[4]) / 1000, b"")
+            raise TooLargeError(
+                f"the result of run {fields[2][:40]!r} has {fields[5][:20]} bytes, allowed are 0 to {MAX_RESULT_BYTES}"
+            )
+        run = RunEnded(int(fields[1]), fields[2], fields[3], float(fields[4]) / 1000, b"")
         self._incomplete = run, size
--- a/lapishaven/proto/jsonrpc.py
+++ b/lapishaven/proto/jsonrpc.py
@@ -1,4 +1,4 @@
-"""JSON-RPC 2.0, one message a line: both sides of the callers' protocol."""
+"""The protocol between callers and servers, both sides of it: JSON-RPC 2.0 with one message per line."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 MAX_BODY_BYTES = 2048
 MAX_REQUEST_LINE_BYTES = 8 * 1024  # a body of 2 KiB is 2.7 KiB in base64; the rest of a request is a few hundred bytes
-MAX_RESULT_BYTES = 4096  # bytes of a result
-MAX_RESPONSE_LINE_BYTES = 16 * 1024  # a line of an answer; a result of 4 KiB is 5.5 KiB in base64
-MAX_RETRY_AFTER_S = 600.0  # s; advice to stay away past this is read as this
-MAX_TIME_LEFT_S = 3600.0  # s for which a caller may say that it waits; no class has a deadline near it
+MAX_RESULT_BYTES = 4096
+MAX_RESPONSE_LINE_BYTES = 16 * 1024  # a result of 4 KiB is 5.5 KiB in base64
+MAX_RETRY_AFTER_S = 600.0  # a longer Retry-After is reduced to this
+MAX_TIME_LEFT_S = 3600.0  # longest remaining deadline that a caller may send; class deadlines are far shorter
 
 PARSE_ERROR, INVALID_REQUEST, NO_METHOD, INVALID_PARAMS = -32700, -32600, -32601, -32602
 REJECTED_CODE, FAILED_CODE = -32066, -32000
-MAX_NAME_LENGTH = 128  # characters of a key or a tenant's name
+MAX_NAME_LENGTH = 128  # characters of an idempotency key or a tenant name
 
 
 @dataclass(frozen=True, slots=True)
 class RunRequest:
-    """A request to be run."""
+    """A request to run a method."""
 
     id: int
     method: str
@@ -38,14 +38,14 @@
     is_retry: bool = False
     rank: float = 0.0
     subject: int | None = None
-    idempotency_key: str | None = None  # names the effect, the same for every try of it
-    time_left: float | None = None  # seconds for which the caller still waits, where callers pass their deadline on
+    idempotency_key: str | None = None  # identifies the effect, the same for all attempts
+    time_left: float | None = None  # seconds until the caller's deadline, if callers propagate it
     tenant_name: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
-    """The caller no longer waits for a request, named by its try or by its id on this connection."""
+    """The caller no longer waits for a request, identified by its attempt or by its id on this connection."""
 
     attempt_id: str | None
     id: int | None
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedMessage:
-    """A line that is no request; the error goes out under the id, where one could be read."""
+    """An invalid message. The error response carries the id if it could be parsed."""
 
     id: int | None
     code: int
@@ -72,7 +72,7 @@
 
 
 class _InvalidParamsError(ValueError):
-    pass
+    """A parameter is missing or invalid; the message is sent to the caller."""
 
 
 def _number(params: dict[str, Any], name: str, default: float | None = None) -> float:
@@ -83,17 +83,17 @@
 
 
 def _seconds(params: dict[str, Any], name: str, limit: float) -> float | None:
-    """An optional time, given in milliseconds, from 0 to ``limit`` seconds."""
+    """An optional duration from 0 to ``limit`` seconds, sent in milliseconds."""
     if params.get(name) is None:
         return None
-    span = _number(params, name) / 1000
-    if not 0 <= span <= limit:
+    duration = _number(params, name) / 1000
+    if not 0 <= duration <= limit:
         raise _InvalidParamsError(f"{name} is out of its range")
-    return span
+    return duration
 
 
-def _word(params: dict[str, Any], name: str) -> str | None:
-    """An optional name of printable characters."""
+def _optional_name(params: dict[str, Any], name: str) -> str | None:
+    """An optional string of at most ``MAX_NAME_LENGTH`` printable characters."""
     value = params.get(name)
     if value is not None and (
         not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_LENGTH or not value.isprintable()
@@ -102,7 +102,7 @@
     return value
 
 
-def _serve(id: int, method: str, params: dict[str, Any]) -> RunRequest:
+def _parse_run_request(id: int, method: str, params: dict[str, Any]) -> RunRequest:
     call = params.get("call")
     if not isinstance(call, str) or len(call) != 16 or not set(call) <= set("0123456789abcdefABCDEF"):
         raise _InvalidParamsError("call is not 16 hex digits")
@@ -131,32 +131,32 @@
         is_retry=bool(params.get("rep")),
         rank=float(crit),
         subject=subject,
-        idempotency_key=_word(params, "dedupe"),
+        idempotency_key=_optional_name(params, "dedupe"),
         time_left=_seconds(params, "ttl", MAX_TIME_LEFT_S),
-        tenant_name=_word(params, "org"),
+        tenant_name=_optional_name(params, "org"),
     )
 
 
 class ServerParser:
-    """One connection's input. Ids count upwards, so a used one is told by the highest seen."""
+    """Parses a caller's messages on one connection. Ids must increase, so the highest one reveals a reused id."""
 
     def __init__(self) -> None:
         self._lines = LineBuffer(MAX_REQUEST_LINE_BYTES)
-        self._highest = 0
+        self._highest_id = 0
 
     @property
     def at_message_boundary(self) -> bool:
-        """Whether no message has begun that is not whole yet."""
+        """Whether there is no incomplete message."""
         return not self._lines.data
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Messages in their order; raises ``TooLarge`` where a line has no end in sight."""
+        """Yield the messages that ``data`` completes. Raises ``TooLargeError`` if a line exceeds the limit."""
         self._lines.feed(data)
         while (line := self._lines.line()) is not None:
             if line.strip():
-                yield self._message(line)
+                yield self._parse(line)
 
-    def _message(self, line: bytes) -> Message:
+    def _parse(self, line: bytes) -> Message:
         try:
             data = json.loads(line)
         except (ValueError, RecursionError):
@@ -169,33 +169,33 @@
         if method == "forget":
             call, target = params.get("call"), params.get("id", id)
             return CancelRequest(call if isinstance(call, str) else None, target if isinstance(target, int) else None)
-        if isinstance(id, bool) or not isinstance(id, int) or id <= self._highest:
+        if isinstance(id, bool) or not isinstance(id, int) or id <= self._highest_id:
             return MalformedMessage(None, INVALID_REQUEST, "id is no number, or was used before")
-        self._highest = id
+        self._highest_id = id
         if method == "isWell":
             return HealthCheck(id, params.get("e2e") is True)
         try:
-            return _serve(id, method, params)
+            return _parse_run_request(id, method, params)
         except (_InvalidParamsError, OverflowError) as error:
             return MalformedMessage(id, INVALID_PARAMS, str(error))
 
 
-def _line(data: dict[str, Any]) -> bytes:
+def _encode_line(data: dict[str, Any]) -> bytes:
     return json.dumps({"jsonrpc": "2.0", **data}, separators=(",", ":")).encode() + b"\n"
 
 
 def encode_result(id: int, body: bytes) -> bytes:
-    """A result goes out as it came from the run."""
-    return _line({"id": id, "result": {"arg": base64.b64encode(body).decode()}})
+    return _encode_line({"id": id, "result": {"arg": base64.b64encode(body).decode()}})
 
 
-def encode_health(id: int, up: bool) -> bytes:
-    return _line({"id": id, "result": {"up": up}})
+def encode_health(id: int, healthy: bool) -> bytes:
+    return _encode_line({"id": id, "result": {"up": healthy}})
 
 
 def encode_error(
     id: int | None, code: int, text: str, retry_after: float | None = None, no_retry_elsewhere: bool = False
 ) -> bytes:
+    """An error response; ``retry_after`` is in seconds."""
     data: dict[str, Any] = {}
     if retry_after:
         data["pushback"] = max(1, round(retry_after * 1000))
@@ -204,50 +204,50 @@
     body: dict[str, Any] = {"code": code, "message": text}
     if data:
         body["data"] = data
-    return _line({"id": id, "error": body})
+    return _encode_line({"id": id, "error": body})
 
 
-DRAINING_NOTICE = _line({"method": "draining"})
+DRAINING_NOTICE = _encode_line({"method": "draining"})
 
 
-# ---- The caller's side
+# ---- The caller's side of the protocol
 def encode_request(
     id: int,
     method: str,
-    call: str,
+    attempt_id: str,
     body: bytes,
-    heap: float,
+    memory_kb: float,
     *,
-    recv: float | None = None,
-    src: int = 0,
-    rep: bool = False,
-    crit: float = 0.0,
-    row: int | None = None,
+    received_at: float | None = None,
+    caller_id: int = 0,
+    is_retry: bool = False,
+    rank: float = 0.0,
+    subject: int | None = None,
 ) -> bytes:
-    """One request's line. ``recv`` is in Unix seconds, ``heap`` in KB."""
-    params: dict[str, Any] = {"call": call, "src": src, "heap": heap, "crit": crit}
-    if recv is not None:
-        params["recv"] = round(recv * 1000)
-    if rep:
+    """The line of one request. ``received_at`` is in Unix seconds."""
+    params: dict[str, Any] = {"call": attempt_id, "src": caller_id, "heap": memory_kb, "crit": rank}
+    if received_at is not None:
+        params["recv"] = round(received_at * 1000)
+    if is_retry:
         params["rep"] = 1
-    if row is not None:
-        params["row"] = f"{row:016x}"
+    if subject is not None:
+        params["row"] = f"{subject:016x}"
     params["arg"] = base64.b64encode(body).decode()
-    return _line({"id": id, "method": method, "params": params})
+    return _encode_line({"id": id, "method": method, "params": params})
 
 
-def encode_cancel(call: str) -> bytes:
-    """The notice that nobody waits for this try any more."""
-    return _line({"method": "forget", "params": {"call": call}})
+def encode_cancel(attempt_id: str) -> bytes:
+    """The notice that the caller no longer waits for an attempt."""
+    return _encode_line({"method": "forget", "params": {"call": attempt_id}})
 
 
 def encode_health_check(id: int, deep: bool = False) -> bytes:
-    return _line({"id": id, "method": "isWell", "params": {"e2e": True} if deep else {}})
+    return _encode_line({"id": id, "method": "isWell", "params": {"e2e": True} if deep else {}})
 
 
 @dataclass(frozen=True, slots=True)
 class ResultResponse:
-    """Served: what the run made, and whether it said ``up``, as answers to checks do."""
+    """The result of a run, or of a health check: then ``healthy`` is set."""
 
     id: int
     body: bytes
@@ -256,7 +256,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorResponse:
-    """An error; ``pushback`` is in seconds."""
+    """An error; ``retry_after`` is in seconds."""
 
     id: int | None
     code: int
@@ -267,67 +267,73 @@
 
 @dataclass(frozen=True, slots=True)
 class Draining:
-    """No new request may be sent on this connection."""
+    """The server is draining: no new request may be sent on this connection."""
 
 
 Reply = ResultResponse | ErrorResponse | Draining
 
 
 class ClientParser:
-    """A caller's end of one connection: answers in, typed. Anything else raises ``ProtocolError``."""
+    """Parses a server's responses on one connection."""
 
     def __init__(self) -> None:
         self._lines = LineBuffer(MAX_RESPONSE_LINE_BYTES)
 
     @property
     def at_message_boundary(self) -> bool:
-        """Whether no answer has begun that is not whole yet."""
+        """Whether there is no incomplete response."""
         return not self._lines.data
 
     def feed(self, data: bytes) -> Iterator[Reply]:
-        """Answers in their order; ``ProtocolError`` where the rest cannot be trusted any more."""
+        """Yield the responses that ``data`` completes. After a ``ProtocolError`` the connection is unusable."""
         self._lines.feed(data)
         while (line := self._lines.line()) is not None:
             if line.strip():
-                yield self._reply(line)
+                yield self._parse(line)
 
-    def _reply(self, line: bytes) -> Reply:
+    def _parse(self, line: bytes) -> Reply:
         try:
             data = json.loads(line)
         except (ValueError, RecursionError):
-            raise ProtocolError(f"an answer is not JSON: {line[:60]!r}") from None
+            raise ProtocolError(f"the response is not JSON: {line[:60]!r}") from None
         if not isinstance(data, dict):
-            raise ProtocolError("an answer is not an object")
+            raise ProtocolError(f"the response is not a JSON object: {line[:60]!r}")
         if data.get("method") == "draining":
             return Draining()
         id = data.get("id")
         if "error" in data and "result" not in data:
-            return self._error(id, data["error"])
+            return self._parse_error(id, data["error"])
         result = data.get("result")
         if isinstance(id, bool) or not isinstance(id, int) or not isinstance(result, dict) or "error" in data:
-            raise ProtocolError("an answer has no id, or neither a result nor an error")
+            raise ProtocolError(
+                f"the response has no integer id, or not exactly one of result and error: {line[:60]!r}"
+            )
         up, arg = result.get("up"), result.get("arg", "")
         try:
             body = base64.b64decode(arg, validate=True)
         except (binascii.Error, ValueError, TypeError):
-            raise ProtocolError("a result is not base64") from None
+            raise ProtocolError(f"the result of request {id!r:.40} is not base64") from None
         if len(body) > MAX_RESULT_BYTES:
-            raise TooLargeError(f"a result is longer than {MAX_RESULT_BYTES} bytes")
+            raise TooLargeError(
+                f"the result of request {id!r:.40} has {len(body)} bytes, allowed are {MAX_RESULT_BYTES}"
+            )
         if "arg" not in result and up is None:
-            raise ProtocolError("a result holds nothing")
+            raise ProtocolError(f"the result of request {id!r:.40} has neither arg nor up")
         return ResultResponse(id, body, up if isinstance(up, bool) else None)
 
-    def _error(self, id: Any, error: Any) -> ErrorResponse:
+    def _parse_error(self, id: Any, error: Any) -> ErrorResponse:
         if isinstance(id, bool) or not (id is None or isinstance(id, int)) or not isinstance(error, dict):
-            raise ProtocolError("an error is not an object, or its id no number")
+            raise ProtocolError(
+                "an error response has an id that is not an integer, or an error that is not a JSON object"
+            )
         code, data = error.get("code"), error.get("data")
         if isinstance(code, bool) or not isinstance(code, int):
-            raise ProtocolError("an error has no code")
+            raise ProtocolError(f"the error response to request {id!r:.40} has no integer code")
         data = data if isinstance(data, dict) else {}
-        wait = data.get("pushback")
-        told = isinstance(wait, int | float) and not isinstance(wait, bool) and wait > 0
-        advice = min(float(wait or 0) / 1000, MAX_RETRY_AFTER_S) if told else None
-        return ErrorResponse(id, code, str(error.get("message", ""))[:200], advice, data.get("stop") == 1)
+        pushback_ms = data.get("pushback")
+        valid = isinstance(pushback_ms, int | float) and not isinstance(pushback_ms, bool) and pushback_ms > 0
+        retry_after = min(float(pushback_ms or 0) / 1000, MAX_RETRY_AFTER_S) if valid else None
+        return ErrorResponse(id, code, str(error.get("message", ""))[:200], retry_after, data.get("stop") == 1)
 
 
 __all__ = [
--- a/lapishaven/proto/lines.py
+++ b/lapishaven/proto/lines.py
@@ -1,4 +1,4 @@
-"""Splits received bytes into lines and blocks."""
+"""Splits received bytes into lines and blocks of a given size."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LineBuffer:
-    """Bytes that are not yet consumed. A line longer than ``limit`` bytes raises ``TooLargeError`` before it ends."""
+    """A buffer of unconsumed bytes. A line of more than ``limit`` bytes is rejected before it is complete."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -17,18 +17,18 @@
         self.data += data
 
     def line(self) -> bytes | None:
-        """Remove and return the next line without its end; ``None`` if it is not complete."""
-        at = self.data.find(b"\n", 0, self.limit + 1)
-        if at < 0:
+        """Remove and return the next line without its end, ``None`` if it is incomplete. Raises ``TooLargeError``."""
+        end = self.data.find(b"\n", 0, self.limit + 1)
+        if end < 0:
             if len(self.data) > self.limit:
                 raise TooLargeError(f"a line is longer than {self.limit} bytes")
             return None
-        line = bytes(self.data[:at])
-        del self.data[: at + 1]
+        line = bytes(self.data[:end])
+        del self.data[: end + 1]
         return line.removesuffix(b"\r")
 
     def block(self, size: int) -> bytes | None:
-        """Remove and return exactly ``size`` bytes; ``None`` until there are so many."""
+        """Remove and return exactly ``size`` bytes; ``None`` if fewer are buffered."""
         if len(self.data) < size:
             return None
         block = bytes(self.data[:size])
--- a/lapishaven/proto/uwsgi.py
+++ b/lapishaven/proto/uwsgi.py
@@ -1,4 +1,4 @@
-"""The uwsgi protocol: a binary packet of variables and a body in, an HTTP response out; both sides of it."""
+"""The uwsgi protocol, both sides of it: a binary packet of variables and a body, answered with an HTTP response."""
 
 from __future__ import annotations
 
@@ -13,59 +13,59 @@
 PACKET_HEADER = Struct("<BHB")  # modifier1, size of the variables, modifier2
 STRING_LENGTH = Struct("<H")
 MAX_VARIABLES_BYTES = 16 * 1024
-MAX_BODY_BYTES = 2048  # as on the platform's wire
+MAX_BODY_BYTES = 2048  # the same limit as in ``jsonrpc``
 MAX_RESPONSE_BYTES = 64 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One whole request: its variables and its body."""
+    """A complete request."""
 
     variables: dict[str, str]
     body: bytes
 
 
-def _variables(block: bytes) -> dict[str, str]:
-    found: dict[str, str] = {}
-    at, words = 0, list[str]()
-    while at < len(block):
-        if at + 2 > len(block):
+def _parse_variables(block: bytes) -> dict[str, str]:
+    variables: dict[str, str] = {}
+    offset, strings = 0, list[str]()
+    while offset < len(block):
+        if offset + 2 > len(block):
             raise ProtocolError("a variable's length is cut short")
-        (size,) = STRING_LENGTH.unpack_from(block, at)
-        at += 2 + size
-        if at > len(block):
+        (size,) = STRING_LENGTH.unpack_from(block, offset)
+        offset += 2 + size
+        if offset > len(block):
             raise ProtocolError("a variable reaches past its packet")
-        words.append(block[at - size : at].decode("latin-1"))
-    if len(words) % 2:
+        strings.append(block[offset - size : offset].decode("latin-1"))
+    if len(strings) % 2:
         raise ProtocolError("a variable has no value")
-    for name, value in zip(words[::2], words[1::2], strict=True):
-        found[name] = value
-    return found
+    for name, value in zip(strings[::2], strings[1::2], strict=True):
+        variables[name] = value
+    return variables
 
 
 class RequestParser:
-    """One connection's input: a single request, whose sizes are checked as soon as they are read."""
+    """Parses the single request of a connection; sizes are checked as soon as they are received."""
 
     def __init__(self) -> None:
         self._data = bytearray()
-        self._vars: dict[str, str] | None = None
+        self._variables: dict[str, str] | None = None
         self._length = 0
         self.done = False
 
     def feed(self, data: bytes) -> Request | None:
-        """The request once it is whole; what comes after it is not looked at."""
+        """The request once it is complete, else ``None``. Bytes after it are ignored. Raises ``ProtocolError``."""
         if self.done:
             return None
         self._data += data
-        if self._vars is None and not self._read_vars():
+        if self._variables is None and not self._read_variables():
             return None
         if len(self._data) < self._length:
             return None
         self.done = True
-        assert self._vars is not None
-        return Request(self._vars, bytes(self._data[: self._length]))
+        assert self._variables is not None
+        return Request(self._variables, bytes(self._data[: self._length]))
 
-    def _read_vars(self) -> bool:
+    def _read_variables(self) -> bool:
         if len(self._data) < PACKET_HEADER.size:
             return False
         modifier1, size, modifier2 = PACKET_HEADER.unpack_from(self._data)
@@ -75,32 +75,34 @@
             raise TooLargeError(f"the variables are longer than {MAX_VARIABLES_BYTES} bytes")
         if len(self._data) < PACKET_HEADER.size + size:
             return False
-        self._vars = _variables(bytes(self._data[PACKET_HEADER.size : PACKET_HEADER.size + size]))
+        self._variables = _parse_variables(bytes(self._data[PACKET_HEADER.size : PACKET_HEADER.size + size]))
         del self._data[: PACKET_HEADER.size + size]
-        length = self._vars.get("CONTENT_LENGTH", "") or "0"
+        length = self._variables.get("CONTENT_LENGTH", "") or "0"
         if not (length.isascii() and length.isdigit()):
             raise ProtocolError("CONTENT_LENGTH is not a number")
-        # By its digits first: a number of thousands of digits would not even convert.
+        # The number of digits is checked first, because ``int`` rejects numbers of thousands of digits.
         if len(length) > 9 or int(length) > MAX_BODY_BYTES:
             raise TooLargeError(f"a body is longer than {MAX_BODY_BYTES} bytes")
         self._length = int(length)
         return True
 
 
-def encode_response(status: HTTPStatus, body: bytes, kind: str, headers: tuple[tuple[str, str], ...] = ()) -> bytes:
-    """A whole HTTP response; the connection is closed after it."""
-    lines = [f"HTTP/1.1 {status.value} {status.phrase}", f"Content-Type: {kind}"]
+def encode_response(
+    status: HTTPStatus, body: bytes, content_type: str, headers: tuple[tuple[str, str], ...] = ()
+) -> bytes:
+    """Encode a complete HTTP response, after which the connection is closed."""
+    lines = [f"HTTP/1.1 {status.value} {status.phrase}", f"Content-Type: {content_type}"]
     lines += [f"Content-Length: {len(body)}", "Connection: close"]
     lines += [f"{name}: {value}" for name, value in headers]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + body
 
 
 def encode_request(variables: dict[str, str], body: bytes = b"") -> bytes:
-    """A request as a client sends it."""
+    """Encode a client's request."""
     block = bytearray()
     for name, value in {**variables, "CONTENT_LENGTH": str(len(body))}.items():
-        for word in (name.encode("latin-1"), value.encode("latin-1")):
-            block += STRING_LENGTH.pack(len(word)) + word
+        for string in (name.encode("latin-1"), value.encode("latin-1")):
+            block += STRING_LENGTH.pack(len(string)) + string
     return PACKET_HEADER.pack(0, len(block), 0) + bytes(block) + body
 
 
@@ -114,18 +116,22 @@
 
 
 class ResponseParser:
-    """Reads the HTTP response to one request; h11 does the HTTP."""
+    """Parses the HTTP response to one request. h11 implements HTTP."""
 
     def __init__(self) -> None:
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=16 * 1024)
-        # h11 wants to have sent a request; its bytes are not used, as the request goes out as a packet.
+        # h11 parses a response only after a request was sent through it. The bytes of this one are discarded, because
+        # the actual request is sent as a uwsgi packet.
         self._http.send(h11.Request(method="GET", target="/", headers=[("Host", "uwsgi")]))
         self._http.send(h11.EndOfMessage())
         self._head: h11.Response | None = None
         self._body = bytearray()
 
     def feed(self, data: bytes) -> Response | None:
-        """The response once it is whole; empty data stands for the connection's end."""
+        """The response once it is complete, else ``None``. Empty ``data`` is the end of the input.
+
+        Raises ``ProtocolError``.
+        """
         try:
             self._http.receive_data(data)
             while (event := self._http.next_event()) is not h11.NEED_DATA:
@@ -134,12 +140,12 @@
                 elif isinstance(event, h11.Data):
                     self._body += event.data
                     if len(self._body) > MAX_RESPONSE_BYTES:
-                        raise TooLargeError(f"a response is longer than {MAX_RESPONSE_BYTES} bytes")
+                        raise TooLargeError(f"the uwsgi response body is longer than {MAX_RESPONSE_BYTES} bytes")
                 elif isinstance(event, h11.EndOfMessage) and self._head is not None:
                     headers = {name.decode(): value.decode("latin-1") for name, value in self._head.headers}
                     return Response(self._head.status_code, headers, bytes(self._body))
                 elif isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
-                    raise ProtocolError("the response ended early")
+                    raise ProtocolError(f"the uwsgi response ended early, after {len(self._body)} body bytes")
         except h11.RemoteProtocolError as error:
             raise ProtocolError(str(error)) from None
         return None
--- a/tests/client_world.py
+++ b/tests/client_world.py
@@ -25,7 +25,7 @@
 from lapishaven.client.outcomes import AttemptEnd, AttemptResult, Outcome
 from lapishaven.client.policy import Policy
 from lapishaven.client.settings import ClassRule, Connections, Health, Retry, Routing, Settings, check
-from lapishaven.proto.catalog import Listed, Listing
+from lapishaven.proto.catalog import ListedServer, ServerList
 
 CLASSES = {
     "fuzzy-match": ClassRule(5.6, "safe", 0.3),
@@ -43,8 +43,10 @@
     return check(replace(Settings(CLASSES, servers=names), **changes))
 
 
-def listing(version: int, *names: str, epoch: str = "e", critical: tuple[str, ...] = ()) -> Listing:
-    return Listing(epoch, version, tuple(Listed(n, "10.0.0.1", 1000 + int(n[1:]), n not in critical) for n in names))
+def listing(version: int, *names: str, epoch: str = "e", critical: tuple[str, ...] = ()) -> ServerList:
+    return ServerList(
+        epoch, version, tuple(ListedServer(n, "10.0.0.1", 1000 + int(n[1:]), n not in critical) for n in names)
+    )
 
 
 class ClientWorld:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -19,7 +19,7 @@
 from lapishaven.client.settings import Catalog
 from lapishaven.lab.catalog import Catalog as CatalogStandIn
 from lapishaven.proto import ProtocolError
-from lapishaven.proto.catalog import Delta, Listed, answer, delta_between, delta_text, text
+from lapishaven.proto.catalog import Delta, ListedServer, decode_response, delta_between, encode_delta, encode_list
 
 RULES = Catalog()
 
@@ -40,27 +40,30 @@
     assert (change.verdict, change.joined, change.left, change.changed) == ("taken", ("n4",), ("n3",), ("n2",))
     assert membership.names == {"n1", "n2", "n4"} and membership.version == 2
     assert membership.apply_delta(2.0, delta).verdict == "stale"
-    gap = Delta("e", 9, 7, (Listed("n9", "10.0.0.9", 1),))
+    gap = Delta("e", 9, 7, (ListedServer("n9", "10.0.0.9", 1),))
     assert membership.apply_delta(3.0, gap).verdict == "apart" and membership.needs_full_list
     assert membership.names == {"n1", "n2", "n4"}
 
 
 def test_deltas_are_parsed_and_validated() -> None:
     delta = delta_between(listing(1, "n1", "n2"), listing(4, "n1", "n3"))
-    assert answer(delta_text(delta)) == delta
-    assert answer(text(listing(4, "n1"))) == listing(4, "n1")
+    assert decode_response(encode_delta(delta)) == delta
+    assert decode_response(encode_list(listing(4, "n1"))) == listing(4, "n1")
     for data, reason in (
-        (b'{"epoch":"e","version":4,"since":4}', "no earlier version"),
-        (b'{"epoch":"e","version":4,"since":1,"left":[3]}', "not a list of names"),
-        (b'{"epoch":"e","version":4,"since":1,"left":["a"],"joined":[{"name":"a","address":"h:1"}]}', "twice"),
+        (b'{"epoch":"e","version":4,"since":4}', "the delta to version 4: its since is not an earlier version"),
+        (b'{"epoch":"e","version":4,"since":1,"left":[3]}', "the delta to version 4: its left is not a list of names"),
+        (
+            b'{"epoch":"e","version":4,"since":1,"left":["a"],"joined":[{"name":"a","address":"h:1"}]}',
+            "the delta to version 4 names a server twice",
+        ),
     ):
         with pytest.raises(ProtocolError, match=reason):
-            answer(data)
+            decode_response(data)
 
 
 # Guards against a copy of the endpoint list for each client of a simulation.
 def test_three_thousand_clients_of_a_thousand_servers_share_one_list() -> None:
-    rows = tuple(Listed(f"s{n}", "10.1.0.1", 1000 + n) for n in range(1000))
+    rows = tuple(ListedServer(f"s{n}", "10.1.0.1", 1000 + n) for n in range(1000))
     first, second = listing(1), listing(2)
     first = replace(first, servers=rows)
     second = replace(second, servers=rows[:-1])
--- a/tests/test_ownership_serve.py
+++ b/tests/test_ownership_serve.py
@@ -266,7 +266,9 @@
 
             async def load() -> None:
                 for n in range(1, 6000):
-                    writer.write(jsonrpc.encode_request(n, "fuzzy-match", f"{n:016x}", b"x", 30.0, recv=time.time()))
+                    writer.write(
+                        jsonrpc.encode_request(n, "fuzzy-match", f"{n:016x}", b"x", 30.0, received_at=time.time())
+                    )
                     await asyncio.sleep(0.01)
 
             answers = asyncio.create_task(reader.read(1 << 30))
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -126,7 +126,7 @@
             (configuration(listen="here"), "listen is not HOST:PORT"),
             (configuration(control="x"), "control is not HOST:PORT"),
             (configuration(seed="xyz"), "seed is not a hex number"),
-            (configuration(settings={}), "settings: extra is not an object"),
+            (configuration(settings={}), "settings: extra must be a JSON object, found None"),
             (configuration(limits={"sockets": 9, "memory_mb": 192}), "limits.sockets is under 64"),
             (configuration(stop_ms=-1), "stop_ms is not a number above 0"),
         ]
