--- a/lapishaven/cli/serve.py
+++ b/lapishaven/cli/serve.py
@@ -74,7 +74,7 @@
         store = Store.open(rules.directory, Limits(total_bytes=int(rules.max_size_mb * BYTES_PER_MB)))
     except (StoreError, OSError) as error:
         fail(f"cannot open {rules.directory}: {error}")
-    return DurableResults(store, rules.result_ttl, rules.max_results)
+    return DurableResults(store, rules.result_ttl_s, rules.max_results)
 
 
 def _open_ledger(path: str, server_name: str) -> Recorder:
@@ -194,7 +194,7 @@
     _print_load_balancing(files)
     if storage is not None:
         rules = _load_storage_rules(storage)
-        print(f"keyed results in {rules.directory}, for {rules.result_ttl:g} s, up to {rules.max_results}")
+        print(f"keyed results in {rules.directory}, for {rules.result_ttl_s:g} s, up to {rules.max_results}")
     if record is not None and record.endswith(LEDGER_SETTINGS_SUFFIX):
         _print_ledger(record)
     if ownership is not None:
--- a/lapishaven/config/__init__.py
+++ b/lapishaven/config/__init__.py
@@ -1,7 +1,7 @@
-"""Configuration files: each is read and checked whole before anything is started or changed.
+"""Configuration files. Each is read and validated completely before anything is started or changed.
 
-A mistake in a file raises ``ConfigError`` with one plain line that names the file or the key. Keys and file forms
-are the operators'; the platform's own configuration (``NODE_CONFIG``) is JSON, all other files are TOML.
+An invalid file raises ``ConfigError`` with a message of one line that names the file or the key. Keys and file formats
+are an interface to operators. The platform's own configuration (``NODE_CONFIG``) is JSON, all other files are TOML.
 """
 
 from lapishaven.config.contracts import load_contracts
--- a/lapishaven/config/contracts.py
+++ b/lapishaven/config/contracts.py
@@ -1,4 +1,4 @@
-"""The file of ``serve --contracts``: what each team's service may ask for, how much of it, and by when."""
+"""The file of ``serve --contracts``: the request rate, the deadline and the route of each team's service and class."""
 
 from __future__ import annotations
 
@@ -10,36 +10,40 @@
 from lapishaven.core.contracts import Contract
 
 KEYS = {"team", "service", "class", "deadline_s", "route", "rate", "burst"}
-MIN_BURST = 1  # a bucket that holds less than one token would never admit a request
+MIN_BURST = 1  # requests; a token bucket that holds less than one token never admits a request
 
 
 def load_contracts(path: str, settings: Settings, routes: set[str]) -> list[Contract]:
-    """The contracts of a file, checked against the request classes and the backends (``routes``) that there are.
+    """Load the contracts of a file. Their classes must be in ``settings``, their backends in ``routes``.
 
     Raises ``ConfigError``.
     """
     rows = read_toml(path).get("contract")
     if not isinstance(rows, list) or not rows:
-        raise ConfigError(f"{path}: there is no [[contract]]")
+        raise ConfigError(f"{path}: at least one [[contract]] table is required")
     contracts: dict[tuple[str, str, int], Contract] = {}
     for number, row in enumerate(rows, 1):
         where = f"{path}: contract {number}"
         contract = _parse_contract(row, where, settings, routes)
         party = (contract.team, contract.service, contract.class_index)
         if party in contracts:
-            raise ConfigError(f"{where}: team, service and class have a contract already")
+            raise ConfigError(
+                f"{where}: team {contract.team!r:.60}, service {contract.service!r:.60} has a contract for this class"
+            )
         contracts[party] = contract
     return list(contracts.values())
 
 
 def _parse_contract(row: Mapping[str, Any], where: str, settings: Settings, routes: set[str]) -> Contract:
     if set(row) != KEYS:
-        raise ConfigError(f"{where} needs exactly team, service, class, deadline_s, route, rate, burst")
+        raise ConfigError(
+            f"{where}: expected exactly the keys {', '.join(sorted(KEYS))}, found {', '.join(map(str, row)):.200}"
+        )
     class_indexes = {request_class.name: index for index, request_class in enumerate(settings.classes)}
     if row["class"] not in class_indexes:
-        raise ConfigError(f"{where}: no class {row['class']!r}")
+        raise ConfigError(f"{where}: unknown class {row['class']!r:.60}, expected one of {', '.join(class_indexes)}")
     if row["route"] not in routes:
-        raise ConfigError(f"{where}: no backend {row['route']!r} is configured")
+        raise ConfigError(f"{where}: unknown route {row['route']!r:.60}, expected one of {', '.join(sorted(routes))}")
     class_index = class_indexes[row["class"]]
     class_deadline = settings.classes[class_index].deadline
     try:
@@ -49,5 +53,8 @@
     except ConfigError as error:
         raise ConfigError(f"{where}: {error}") from None
     if deadline > class_deadline or burst < MIN_BURST:
-        raise ConfigError(f"{where}: deadline_s is past the class's {class_deadline:g}, or burst is under 1")
+        raise ConfigError(
+            f"{where}: deadline_s {deadline:g} exceeds the class's {class_deadline:g}"
+            f" or burst {burst:g} is below {MIN_BURST}"
+        )
     return Contract(str(row["team"]), str(row["service"]), class_index, deadline, row["route"], rate, burst)
--- a/lapishaven/config/files.py
+++ b/lapishaven/config/files.py
@@ -1,4 +1,4 @@
-"""All files of one start, or of one reload, read and checked against each other."""
+"""Loads all files of a start or a reload and checks them against each other."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigFiles:
-    """The content of all files; ``None`` where a part is off."""
+    """The content of all files; ``None`` for a feature that is off."""
 
     config: NodeConfig
     front: UwsgiFrontendConfig | None = None
@@ -36,11 +36,13 @@
     pools_path: str | None = None,
     spread_path: str | None = None,
 ) -> ConfigFiles:
-    """Every file that a command names, checked against the others. Raises ``ConfigError``."""
+    """Load the given files and check them against each other. Raises ``ConfigError``."""
     config = load_config(config_path)
     front, backend = load_uwsgi(uwsgi_path) if uwsgi_path else (None, None)
     if spread_path and backend:
-        raise ConfigError(f"{uwsgi_path} has a backend, and {spread_path} names several: only one may")
+        raise ConfigError(
+            f"{uwsgi_path} has a uwsgi backend and {spread_path} lists several; only one file may name any"
+        )
     routes = {"interpreter"}
     if backend or spread_path:
         routes.add("uwsgi")
--- a/lapishaven/config/uwsgi.py
+++ b/lapishaven/config/uwsgi.py
@@ -1,4 +1,4 @@
-"""The file of ``serve --uwsgi``: the uwsgi frontend and the uwsgi backend, each in a table of its own."""
+"""The file of ``serve --uwsgi``: one table for the uwsgi frontend, one for the uwsgi backend."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     """The uwsgi frontend."""
 
     listen: Address
-    path: str  # prefix of PATH_INFO; the class follows it
-    queued_kb: float  # memory booked for a queued request
-    load_reports: bool = False  # whether answers carry the server's load, and UDP probes on the same port are answered
+    path: str  # prefix of PATH_INFO, followed by the class
+    queued_kb: float  # memory that is accounted for each queued request
+    load_reports: bool = False  # whether responses carry a load report and UDP probes on the same port are answered
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,17 +26,17 @@
     """The uwsgi server that attempts are sent to."""
 
     address: Address
-    path: str  # prefix of PATH_INFO; the class follows it
+    path: str  # prefix of PATH_INFO, followed by the class
 
 
 def load_uwsgi(path: str) -> tuple[UwsgiFrontendConfig | None, UwsgiBackendConfig | None]:
-    """The frontend and the backend that a file names; a table that is missing leaves that side off.
+    """Load the frontend and the backend from a file; each is ``None`` if its table is missing.
 
     Raises ``ConfigError``.
     """
     tables = read_toml(path)
     if unknown := set(tables) - {"front", "backend"}:
-        raise ConfigError(f"{path}: unknown table {sorted(unknown)[0]}")
+        raise ConfigError(f"{path}: unknown table {sorted(unknown)[0]!r:.60}, expected front or backend")
     frontend = tables.get("front")
     backend = tables.get("backend")
     if frontend is not None:
@@ -44,21 +44,25 @@
     if backend is not None:
         _check_table(backend, "backend", BACKEND_KEYS, path)
     return (
-        _frontend(frontend) if frontend is not None else None,
-        _backend(backend) if backend is not None else None,
+        _parse_frontend(frontend) if frontend is not None else None,
+        _parse_backend(backend) if backend is not None else None,
     )
 
 
 def _check_table(table: Any, name: str, keys: set[str], path: str) -> None:
     if not isinstance(table, dict) or set(table) - {"load"} != keys:
-        raise ConfigError(f"{path}: {name} needs exactly {', '.join(sorted(keys))}")
+        raise ConfigError(
+            f"{path}: {name} must be a table of exactly the keys {', '.join(sorted(keys))}, found {table!r:.120}"
+        )
     if "load" in table and (name != "front" or not isinstance(table["load"], bool)):
-        raise ConfigError(f"{path}: {name}.load is neither true nor false, or not the front's")
+        raise ConfigError(
+            f"{path}: {name}.load must be true or false, and only front may have it, found {table['load']!r:.60}"
+        )
     if not str(table["path"]).startswith("/"):
-        raise ConfigError(f"{path}: {name}.path does not start with /")
+        raise ConfigError(f"{path}: {name}.path must start with /, found {table['path']!r:.80}")
 
 
-def _frontend(table: dict[str, Any]) -> UwsgiFrontendConfig:
+def _parse_frontend(table: dict[str, Any]) -> UwsgiFrontendConfig:
     return UwsgiFrontendConfig(
         listen=parse_address(table["listen"], "front.listen"),
         path=table["path"],
@@ -67,5 +71,5 @@
     )
 
 
-def _backend(table: dict[str, Any]) -> UwsgiBackendConfig:
+def _parse_backend(table: dict[str, Any]) -> UwsgiBackendConfig:
     return UwsgiBackendConfig(parse_address(table["address"], "backend.address"), table["path"])
--- a/lapishaven/config/values.py
+++ b/lapishaven/config/values.py
@@ -1,4 +1,4 @@
-"""Readers of single values, shared by all configuration files."""
+"""Parsers and readers that all configuration files share."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 
 class ConfigError(ValueError):
-    """A configuration file is wrong; the message is one plain line for the operator."""
+    """A configuration file is invalid; the message is one line for the operator."""
 
 
 def parse_address(value: Any, name: str) -> Address:
-    """Parse ``HOST:PORT``. Raises ``ConfigError`` that names ``name``."""
+    """Parse ``HOST:PORT``. Raises ``ConfigError`` with ``name``, the setting of the value."""
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not host or not port.isdigit() or int(port) > MAX_PORT:
-        raise ConfigError(f"{name} is not HOST:PORT")
+        raise ConfigError(f"{name}: {value!r:.60} is not HOST:PORT with a port from 0 to {MAX_PORT}")
     return host, int(port)
 
 
 def positive_number(table: Mapping[str, Any], key: str) -> float:
-    """The number above 0 at ``key``. Raises ``ConfigError`` where there is none."""
+    """The positive number at ``key``. Raises ``ConfigError`` if it is missing or invalid."""
     value = table.get(key)
     if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
-        raise ConfigError(f"{key} is not a number above 0")
+        raise ConfigError(f"{key} must be a number above 0, found {value!r:.60}")
     return float(value)
 
 
 def read_text(path: str) -> str:
-    """The text of a file. Raises ``ConfigError`` where it cannot be read."""
+    """The text of a file. Raises ``ConfigError`` if it cannot be read."""
     try:
         return Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -41,7 +41,7 @@
 
 
 def read_toml(path: str) -> dict[str, Any]:
-    """The tables of a TOML file. Raises ``ConfigError`` where it cannot be read or is not TOML."""
+    """The content of a TOML file. Raises ``ConfigError`` if it cannot be read or parsed."""
     try:
         return tomllib.loads(Path(path).read_text())
     except (OSError, ValueError) as error:
--- a/lapishaven/server/config_reload.py
+++ b/lapishaven/server/config_reload.py
@@ -72,10 +72,10 @@
             before,
             interpreter=files.config.interpreter,
             catalog=files.config.catalog,
-            stop_span=files.config.stop_span,
+            stop_timeout_s=files.config.stop_timeout_s,
             settings=settings,
         )
-        self._shutdown.shorten(files.config.stop_span)
+        self._shutdown.shorten(files.config.stop_timeout_s)
         self._log_completed(before, files.config)
 
     def _read(self) -> ConfigFiles:
--- a/lapishaven/server/server.py
+++ b/lapishaven/server/server.py
@@ -111,8 +111,8 @@
         def platform_session(sock: socket.socket) -> Session:
             return platform.Session(self, sock)
 
-        self.listeners = [self._listen(config.listen, platform_session, config.inherited)]
-        if config.inherited is not None:
+        self.listeners = [self._listen(config.listen, platform_session, config.inherited_fd)]
+        if config.inherited_fd is not None:
             # Until its backend is up this process could only reject requests, while the old process can serve them.
             self.loop.at(self.loop.now + INHERITED_SOCKET_DELAY_S, self.listeners[0].open)
         self.load_endpoint = build_load_endpoint(files, self.loop, lambda: self.broker, self.counters)
@@ -253,12 +253,12 @@
             self.fleet.drain()
         if self.load_endpoint is not None:
             self.load_endpoint.drain()
-        if self.config.inherited is not None:
+        if self.config.inherited_fd is not None:
             # An upgrade: from now on the new process accepts on the shared socket and reports to the registry.
             self.listeners[0].close()
             self.reporter.close()
         began_at = self.loop.now if noticed_at is None else noticed_at
-        self.shutdown.begin(began_at, self.config.stop_span, self.config.settings.drain_grace)
+        self.shutdown.begin(began_at, self.config.stop_timeout_s, self.config.settings.drain_grace)
 
     def _close_components(self) -> None:
         """Close all components, the admin server first as its metrics read the others, and log the counters."""
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -98,8 +98,8 @@
     got = config.parse_config(
         configuration(control="127.0.0.1:9"), {"NODE_CONTROL": "127.0.0.1:10", "NODE_INHERITED_FD": "3"}
     )
-    assert (got.control, got.inherited) == (("127.0.0.1", 10), 3)
-    with pytest.raises(config.ConfigError, match="NODE_INHERITED_FD"):
+    assert (got.control, got.inherited_fd) == (("127.0.0.1", 10), 3)
+    with pytest.raises(config.ConfigError, match="NODE_INHERITED_FD must be a descriptor of 3 or more, found 'x'"):
         config.parse_config(configuration(), {"NODE_INHERITED_FD": "x"})
 
 
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -252,17 +252,17 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ("", "it needs exactly directory, life_s, limit, total_mb"),
-        ('directory = "x"\nlife_s = 900\ntotal_mb = 1\nlimit = 1\n', "directory is no path from the root"),
-        ('directory = "/x"\nlife_s = 9\ntotal_mb = 1\nlimit = 1\n', "life_s is under the 900 s"),
-        ('directory = "/x"\nlife_s = 900\ntotal_mb = 0\nlimit = 1\n', "total_mb is not a number above 0"),
+        ("", "expected exactly the keys directory, life_s, limit, total_mb, found none"),
+        ('directory = "x"\nlife_s = 900\ntotal_mb = 1\nlimit = 1\n', "directory must be an absolute path, found 'x'"),
+        ('directory = "/x"\nlife_s = 9\ntotal_mb = 1\nlimit = 1\n', "life_s is 9, must be at least 900"),
+        ('directory = "/x"\nlife_s = 900\ntotal_mb = 0\nlimit = 1\n', "total_mb must be a number above 0, found 0"),
     ],
 )
 def test_an_invalid_setting_is_reported_in_one_line(text: str, message: str, tmp_path: Path) -> None:
     (tmp_path / "s.toml").write_text(text)
     with pytest.raises(config.ConfigError, match=message):
         config.load_storage_rules(str(tmp_path / "s.toml"))
-    assert config.load_storage_rules(str(ROOT / "deploy/storage.toml")).result_ttl == 3600
+    assert config.load_storage_rules(str(ROOT / "deploy/storage.toml")).result_ttl_s == 3600
     assert "--storage" not in (ROOT / "deploy/balancer.toml").read_text()  # off in the platform's deployment
 
 
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -122,13 +122,13 @@
     # Guards against a traceback, or a successful start, when a configuration file is invalid.
     def test_invalid_configuration_is_reported_in_one_line_with_exit_code_2(self) -> None:
         cases = [
-            ("nonsense", "not JSON"),
-            (configuration(listen="here"), "listen is not HOST:PORT"),
-            (configuration(control="x"), "control is not HOST:PORT"),
-            (configuration(seed="xyz"), "seed is not a hex number"),
+            ("nonsense", "the configuration is not JSON: 'nonsense'"),
+            (configuration(listen="here"), "listen: 'here' is not HOST:PORT with a port from 0 to 65535"),
+            (configuration(control="x"), "control: 'x' is not HOST:PORT with a port from 0 to 65535"),
+            (configuration(seed="xyz"), "seed must be a hex string or a number above 0, found 'xyz'"),
             (configuration(settings={}), "settings: extra must be a JSON object, found None"),
-            (configuration(limits={"sockets": 9, "memory_mb": 192}), "limits.sockets is under 64"),
-            (configuration(stop_ms=-1), "stop_ms is not a number above 0"),
+            (configuration(limits={"sockets": 9, "memory_mb": 192}), "limits.sockets is 9, must be at least 64"),
+            (configuration(stop_ms=-1), "stop_ms must be a number above 0, found -1"),
         ]
         for text, line in cases:
             code, out = self.run_with(text)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -270,7 +270,8 @@
         """)
         self.assertEqual(
             self.log_lines[-1],
-            "configuration reload failed, the previous configuration stays in force: the configuration is not JSON",
+            "configuration reload failed, the previous configuration stays in force: "
+            "the configuration is not JSON: '{'",
         )
         self.assertEqual(sorted(self.dialled), [4, 5])
 
