--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,11 +1,11 @@
-"""The tests that are known to fail for a real fault: read, checked and printed for the test run.
+"""Reads the list of tests that are known to fail because of an open fault, and deselects them in the test run.
 
-``KNOWN-RED.txt`` at the root has one line for each, ``TEST | COMMAND AND SEED | SEEN | ISSUE``: the test's id as pytest
-prints it, the command and seed that show the failure, what was seen, and the number of an open issue.
-Empty lines do not count. At most three may stand there. The file may be empty or absent.
+``KNOWN-RED.txt`` in the root directory has one line per test, ``TEST | COMMAND AND SEED | SEEN | ISSUE``: the pytest
+id, the command and seed that reproduce the failure, the failure that was seen, and the number of an open issue. Empty
+lines are ignored. At most three tests may be listed. The file may be empty or absent.
 
-Prints what stands there on standard error and the arguments for pytest, one a line, on standard output. Exits 2 where
-the file is wrong, names a test that is not there, or names more tests than may be.
+Prints the entries to standard error, and one ``--deselect`` argument for pytest per line to standard output. Exits with
+code 2 if a line is malformed, a listed test does not exist, or too many tests are listed.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-MOST = 3
-FILE = "KNOWN-RED.txt"
+MAX_ENTRIES = 3
+FILE_NAME = "KNOWN-RED.txt"
 
 
 class KnownRedError(Exception):
-    """The file is wrong; the text says how."""
+    """The file is invalid; the message names the line or the test."""
 
 
 @dataclass(frozen=True)
 class Entry:
-    """One test that is passed over."""
+    """One test to deselect."""
 
     test: str
     command: str
@@ -35,48 +35,50 @@
 
 
 def parse(text: str) -> list[Entry]:
-    """The entries of a file's text."""
+    """Parse the text of the file. Raises ``KnownRedError``."""
     entries = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
-        words = [word.strip() for word in line.split("|")]
-        if len(words) != 4 or not all(words) or not re.fullmatch(r"#?\d+", words[3]):
-            raise KnownRedError(f"{FILE}:{number}: not TEST | COMMAND AND SEED | SEEN | ISSUE")
-        entries.append(Entry(words[0], words[1], words[2], int(words[3].lstrip("#"))))
-    if len(entries) > MOST:
-        raise KnownRedError(f"{FILE}: {len(entries)} tests, and at most {MOST} may be known to fail")
+        fields = [field.strip() for field in line.split("|")]
+        if len(fields) != 4 or not all(fields) or not re.fullmatch(r"#?\d+", fields[3]):
+            raise KnownRedError(
+                f"{FILE_NAME}:{number}: expected TEST | COMMAND AND SEED | SEEN | ISSUE, found {line[:120]!r}"
+            )
+        entries.append(Entry(fields[0], fields[1], fields[2], int(fields[3].lstrip("#"))))
+    if len(entries) > MAX_ENTRIES:
+        raise KnownRedError(f"{FILE_NAME}: {len(entries)} tests are listed, at most {MAX_ENTRIES} are allowed")
     if len({entry.test for entry in entries}) != len(entries):
-        raise KnownRedError(f"{FILE}: a test stands there twice")
+        raise KnownRedError(f"{FILE_NAME}: a test is listed twice: {', '.join(entry.test for entry in entries)}")
     return entries
 
 
-def unknown(entries: list[Entry], collected: set[str]) -> list[str]:
-    """The named tests that are not there. A whole file or class is no test."""
+def find_missing(entries: list[Entry], collected: set[str]) -> list[str]:
+    """The listed tests that were not collected. Whole files and classes are not accepted."""
     return [entry.test for entry in entries if entry.test not in collected]
 
 
 def collect(root: Path) -> set[str]:
-    """The ids of all tests."""
+    """The pytest ids of all tests below ``root``."""
     command = [sys.executable, "-m", "pytest", "--collect-only", "-q", "-o", "addopts="]
-    done = subprocess.run(command, cwd=root, capture_output=True, text=True, check=True)
-    return {line for line in done.stdout.splitlines() if "::" in line}
+    process = subprocess.run(command, cwd=root, capture_output=True, text=True, check=True)
+    return {line for line in process.stdout.splitlines() if "::" in line}
 
 
 def main(root: Path) -> int:
-    """Check the file and print what the run needs."""
-    path = root / FILE
+    """Validate the file and print the arguments for pytest."""
+    path = root / FILE_NAME
     try:
         entries = parse(path.read_text()) if path.exists() else []
-        missing = unknown(entries, collect(root)) if entries else []
+        missing = find_missing(entries, collect(root)) if entries else []
         if missing:
-            raise KnownRedError(f"{FILE}: no such test: {', '.join(missing)}")
+            raise KnownRedError(f"{FILE_NAME}: no such test: {', '.join(missing)}")
     except KnownRedError as error:
         print(error, file=sys.stderr)
         return 2
     for entry in entries:
         print(
-            f"known red, passed over: {entry.test} (issue {entry.issue}): {entry.seen}; {entry.command}",
+            f"known to fail, deselected: {entry.test} (issue {entry.issue}): {entry.seen}; {entry.command}",
             file=sys.stderr,
         )
         print(f"--deselect={entry.test}")
--- a/lapishaven/__main__.py
+++ b/lapishaven/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m lapishaven``."""
+"""Entry point of ``python -m lapishaven``."""
 
 from lapishaven.cli import app
 
--- a/lapishaven/admin/__init__.py
+++ b/lapishaven/admin/__init__.py
@@ -1,6 +1,6 @@
-"""The admin server: ``/v1/readyz``, ``/v1/metrics`` and ``/v1/spread`` on an address of its own (``server``).
+"""The admin server: ``/v1/readyz``, ``/v1/metrics`` and ``/v1/spread`` on a separate address.
 
-The metrics are in the Prometheus text format (``metrics``).
+``server`` answers the requests; ``metrics`` renders the Prometheus text format.
 """
 
 from lapishaven.admin.server import AdminServer, Host
--- a/lapishaven/admin/metrics.py
+++ b/lapishaven/admin/metrics.py
@@ -1,7 +1,7 @@
-"""The metrics of ``GET /v1/metrics`` in the Prometheus text format (version 0.0.4), from the counters alone.
+"""The response to ``GET /v1/metrics`` in the Prometheus text format (version 0.0.4), rendered from ``Counters``.
 
-Written by hand rather than through prometheus-client, whose import would add half of the process's memory for five
-metric families, with a second set of counts beside ``Counters``.
+prometheus-client is not used: its import would add half of the process's memory for five metric families, and it would
+keep a second set of counts beside ``Counters``.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from lapishaven.counters import Counters
 
 PREFIX = "server_"
-OWNERSHIP_GAUGES = ("shards", "members", "in")  # figures of ownership that are gauges; all others are counters
-STANDINGS = ("ok", "silent", "out", "pushed back", "leaves")  # states of endpoints, as ``/v1/spread`` names them
+OWNERSHIP_GAUGES = ("shards", "members", "in")  # ownership metrics that are gauges; all others are counters
+ENDPOINT_STATUSES = ("ok", "silent", "out", "pushed back", "leaves")  # as named in ``/v1/spread``
 CLASS_METRICS = {
     FULFILLED: "requests served",
     THROTTLED: "requests refused, which never ran",
     FAULTED: "requests failed, or failed as their due time came",
     RELAYED: "runs handed to the backend",
 }
-"""The metrics by request class, with their help texts; each is a group of the counters too."""
+"""The metrics by request class, with their help texts; each has the name of its group in ``Counters``."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,14 +31,14 @@
     """One metric family."""
 
     name: str
-    kind: str  # "counter" or "gauge"
+    metric_type: str  # "counter" or "gauge"
     help_text: str
-    samples: list[tuple[str, object]] = field(default_factory=list)  # labels in braces, or an empty string; values
+    samples: list[tuple[str, object]] = field(default_factory=list)  # labels in braces (or ""), and value
 
     def lines(self) -> list[str]:
-        """The family in the text format."""
+        """The lines of the family in the text format."""
         samples = [f"{self.name}{labels} {value}" for labels, value in self.samples]
-        return [f"# HELP {self.name} {self.help_text}", f"# TYPE {self.name} {self.kind}", *samples]
+        return [f"# HELP {self.name} {self.help_text}", f"# TYPE {self.name} {self.metric_type}", *samples]
 
 
 def render(
@@ -49,22 +49,22 @@
     fleet: Mapping[str, int] | None = None,
     spread: Mapping[str, Any] | None = None,
 ) -> bytes:
-    """The exposition text.
+    """Render all metrics.
 
     Args:
         counters: the counts of requests and reloads.
-        classes: names of the classes that are served now; those that were counted before a reload are added.
-        open_requests: how many requests are in the table.
+        classes: names of the classes that are configured now; classes counted before a reload are added.
+        open_requests: the number of requests that have not ended.
         ready: whether the process is ready to serve.
-        fleet: the figures of ownership by name; ``None`` where it is off.
-        spread: the state of the processes that attempts are balanced over; ``None`` where they are not.
+        fleet: the ownership metrics by name; ``None`` if ownership is off.
+        spread: the state of the endpoints that attempts are balanced over; ``None`` if load balancing is off.
     """
     metrics = _class_metrics(counters, classes)
     metrics += _server_metrics(counters, open_requests, ready)
     for name, value in (fleet or {}).items():
-        kind = "gauge" if name in OWNERSHIP_GAUGES else "counter"
+        metric_type = "gauge" if name in OWNERSHIP_GAUGES else "counter"
         help_text = f"{name.replace('_', ' ')}, see docs/operators/ownership.md"
-        metrics.append(Metric(f"{PREFIX}ownership_{name}", kind, help_text, [("", value)]))
+        metrics.append(Metric(f"{PREFIX}ownership_{name}", metric_type, help_text, [("", value)]))
     if spread is not None:
         metrics += _spread_metrics(spread)
     lines = [line for metric in metrics for line in metric.lines()]
@@ -98,19 +98,19 @@
 
 
 def _spread_metrics(state: Mapping[str, Any]) -> list[Metric]:
-    """How many processes are in each state, and the counts of the load balancer's choices."""
-    see = "see docs/operators/spread.md"
-    standings = Counter(row["standing"] for row in state["processes"])
-    samples: list[tuple[str, object]] = [(f'{{standing="{name}"}}', standings[name]) for name in STANDINGS]
+    """The number of endpoints by status, and the counters of the load balancer."""
+    reference = "see docs/operators/spread.md"
+    counts = Counter(row["standing"] for row in state["processes"])
+    samples: list[tuple[str, object]] = [(f'{{standing="{name}"}}', counts[name]) for name in ENDPOINT_STATUSES]
     metrics = [
-        Metric(f"{PREFIX}spread_processes", "gauge", f"processes behind this server by standing, {see}", samples)
+        Metric(f"{PREFIX}spread_processes", "gauge", f"processes behind this server by standing, {reference}", samples)
     ]
     for name, value in sorted(state["counts"].items()):
         metric_name = f"{PREFIX}spread_{name.replace(' ', '_')}"
-        metrics.append(Metric(metric_name, "counter", f"{name}, {see}", [("", value)]))
+        metrics.append(Metric(metric_name, "counter", f"{name}, {reference}", [("", value)]))
     return metrics
 
 
 def _escape_label(value: str) -> str:
-    """A label's value with the escapes of the text format."""
+    """Escape a label value for the text format."""
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/lapishaven/cli/__init__.py
+++ b/lapishaven/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line interface."""
 
 from __future__ import annotations
 
--- a/lapishaven/cli/common.py
+++ b/lapishaven/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share."""
+"""Options and error output that all commands share."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 import typer
 
-Json = Annotated[bool, typer.Option("--json", help="A JSON object a line.")]
+Json = Annotated[bool, typer.Option("--json", help="Print one JSON object per line.")]
 
 
-def fail(text: str) -> NoReturn:
-    """One plain line, and exit code 2."""
-    print(f"lapishaven: {text}", file=sys.stderr)
+def fail(message: str) -> NoReturn:
+    """Print one line to standard error and exit with code 2."""
+    print(f"lapishaven: {message}", file=sys.stderr)
     raise typer.Exit(2)
--- a/lapishaven/cli/lab.py
+++ b/lapishaven/cli/lab.py
@@ -1,4 +1,4 @@
-"""Stand-ins and trials, on loopback."""
+"""``lapishaven lab``: stand-in services and trials on loopback."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 from lapishaven.cli.common import fail
 
-app = typer.Typer(help="Stand-ins to try the program against, on loopback.", no_args_is_help=True)
+app = typer.Typer(help="Run stand-in services and trials on loopback.", no_args_is_help=True)
 
 
 @app.command()
 def fleet(
-    servers: Annotated[int, typer.Option("--servers", min=1, max=64, help="Match servers to start.")] = 4,
+    servers: Annotated[int, typer.Option("--servers", min=1, max=64, help="Number of match servers.")] = 4,
     script: Annotated[
-        str | None, typer.Option("--script", help="File of troubles; see docs/operators/client.md.")
+        str | None, typer.Option("--script", help="File of faults to inject; see docs/operators/client.md.")
     ] = None,
-    catalog_port: Annotated[int, typer.Option("--catalog-port", help="Where clients ask for the list.")] = 7946,
-    seconds: Annotated[float, typer.Option("--seconds", min=1, help="It stops by itself after this.")] = 3600.0,
-    seed: Annotated[int, typer.Option("--seed", help="For boxes, work and troubles.")] = 1,
+    catalog_port: Annotated[int, typer.Option("--catalog-port", help="Port of the stand-in catalog.")] = 7946,
+    seconds: Annotated[float, typer.Option("--seconds", min=1, help="Stop after this many seconds.")] = 3600.0,
+    seed: Annotated[int, typer.Option("--seed", help="Seed for machines, run times and faults.")] = 1,
 ) -> None:
-    """Start real match servers with stand-in interpreters and a catalog, until Ctrl-C."""
+    """Run real match servers with stand-in interpreters and a stand-in catalog until Ctrl-C."""
     from lapishaven.lab.command import fleet as start
 
     try:
@@ -33,14 +33,17 @@
 @app.command()
 def handover(
     mode: Annotated[
-        str, typer.Option("--mode", help="upgrade, restart (the naive way) or burst (SIGTERM in one).")
+        str, typer.Option("--mode", help="upgrade, restart (without handover) or burst (SIGTERM in a burst).")
     ] = "upgrade",
-    seed: Annotated[int, typer.Option("--seed", help="For arrivals, classes and work.")] = 1,
-    rate: Annotated[float, typer.Option("--rate", min=1, max=500, help="Requests a second.")] = 30.0,
-    seconds: Annotated[float, typer.Option("--seconds", min=2, max=600, help="Of load.")] = 6.0,
-    at: Annotated[float, typer.Option("--at", min=0.5, help="Seconds into the load of the upgrade or SIGTERM.")] = 1.5,
+    seed: Annotated[int, typer.Option("--seed", help="Seed for arrivals, classes and run times.")] = 1,
+    rate: Annotated[float, typer.Option("--rate", min=1, max=500, help="Requests per second.")] = 30.0,
+    seconds: Annotated[float, typer.Option("--seconds", min=2, max=600, help="Duration of the load in seconds.")] = 6.0,
+    at: Annotated[
+        float,
+        typer.Option("--at", min=0.5, help="Time of the upgrade or SIGTERM, in seconds from the start of the load."),
+    ] = 1.5,
 ) -> None:
-    """Hand a loaded server over to a new process on real sockets; print what callers met, exit 1 if not clean."""
+    """Replace a server under load on real sockets; print the results of callers; exit 1 if any call was disturbed."""
     import asyncio
     import json
 
@@ -57,6 +60,6 @@
     except PlatformError as error:
         fail(str(error))
     except OSError as error:
-        fail(f"cannot start the trial: {error.strerror or error}")
+        fail(f"cannot run the {mode} trial: {error.strerror or error}")
     print(json.dumps({**report.figures(), "reasons": report.verdict.reasons}))
     raise typer.Exit(0 if report.verdict.clean and not report.crashes else 1)
--- a/lapishaven/cli/ownership.py
+++ b/lapishaven/cli/ownership.py
@@ -1,4 +1,4 @@
-"""``lapishaven ownership``: who owns the fleet's duties."""
+"""``lapishaven ownership``: shows and changes the owners of the fleet's duties."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 DEFAULT_FILE = "deploy/ownership.toml"
 
-app = typer.Typer(help="See and change who owns the fleet's duties.", no_args_is_help=True)
-SettingsFile = Annotated[str, typer.Option("--file", help="The settings of ownership.")]
+app = typer.Typer(help="Show and change the owners of the fleet's duties.", no_args_is_help=True)
+SettingsFile = Annotated[str, typer.Option("--file", help="Ownership settings file.")]
 DutyName = Annotated[str, typer.Argument(metavar="DUTY", help="periods, budgets or restart.")]
-ShardNumber = Annotated[int, typer.Argument(metavar="SHARD", min=0, help="Its number.")]
+ShardNumber = Annotated[int, typer.Argument(metavar="SHARD", min=0, help="Number of the shard.")]
 
 Arguments = ParamSpec("Arguments")
 
 
 def _run(command: Callable[Arguments, int], *args: Arguments.args, **kwargs: Arguments.kwargs) -> NoReturn:
-    """Run a command and exit with its code; ``OwnershipError`` is one plain line."""
+    """Run a command and exit with its code; an ``OwnershipError`` is printed as one line."""
     from lapishaven.ownership.settings import OwnershipError
 
     try:
@@ -29,10 +29,11 @@
         fail(str(error))
 
 
-# The commands' module is imported only where it is used, as it brings in the libraries of the coordinators.
+# ``ownership.command`` is imported by the commands that need it, because it imports the coordinators' optional
+# libraries.
 @app.command("status")
 def ownership_status(file: SettingsFile = DEFAULT_FILE, as_json: Json = False) -> None:
-    """Every shard with its owner, token and what its receiver holds; exit 1 where one has no owner."""
+    """Show each shard with its owner, its fencing token and the receiver's token; exit 1 if one has no owner."""
     from lapishaven.ownership import command
 
     _run(command.status, file, as_json)
@@ -40,7 +41,7 @@
 
 @app.command("members")
 def ownership_members(file: SettingsFile = DEFAULT_FILE, as_json: Json = False) -> None:
-    """The living members, with what they own."""
+    """Show the live members and the shards that they own."""
     from lapishaven.ownership import command
 
     _run(command.members, file, as_json)
@@ -48,7 +49,7 @@
 
 @app.command("release")
 def ownership_release(duty: DutyName, shard: ShardNumber, file: SettingsFile = DEFAULT_FILE) -> None:
-    """Take a shard from its owner, for another member to claim."""
+    """Release a shard from its owner, so that another member claims it."""
     from lapishaven.ownership import command
 
     _run(command.release, file, duty, shard)
@@ -59,9 +60,9 @@
     duty: DutyName,
     shard: ShardNumber,
     file: SettingsFile = DEFAULT_FILE,
-    span: Annotated[float, typer.Option("--for", min=1, max=86_400, help="Seconds.")] = 60.0,
+    span: Annotated[float, typer.Option("--for", min=1, max=86_400, help="Duration in seconds.")] = 60.0,
 ) -> None:
-    """Hold a shard yourself, so that nobody works on it, until Ctrl-C or its time."""
+    """Own a shard until Ctrl-C or for a duration, so that no member works on it."""
     from lapishaven.ownership import command
 
     _run(command.claim, file, duty, shard, span)
@@ -69,12 +70,12 @@
 
 @app.command("history")
 def ownership_history(
-    duty: Annotated[str | None, typer.Argument(help="One duty; else all.")] = None,
-    last: Annotated[int, typer.Option("--last", min=1, max=100_000, help="Effects.")] = 50,
+    duty: Annotated[str | None, typer.Argument(help="Duty to show; default: all.")] = None,
+    last: Annotated[int, typer.Option("--last", min=1, max=100_000, help="Number of effects.")] = 50,
     file: SettingsFile = DEFAULT_FILE,
     as_json: Json = False,
 ) -> None:
-    """The last effects that took hold, with their tokens."""
+    """Show the latest effects that were applied, with their fencing tokens."""
     from lapishaven.ownership import command
 
     _run(command.history, file, duty, last, as_json)
@@ -82,7 +83,7 @@
 
 @app.command("verify")
 def ownership_verify(file: SettingsFile = DEFAULT_FILE) -> None:
-    """Check the receiver's book: order of tokens, marks, statements; exit 1 if anything does not hold."""
+    """Verify the receiver's store: order of tokens, marks and statements; exit 1 at a violation."""
     from lapishaven.ownership import command
 
     _run(command.verify, file)
@@ -90,7 +91,7 @@
 
 @app.command("permitted")
 def ownership_permitted(file: SettingsFile = DEFAULT_FILE, as_json: Json = False) -> None:
-    """Members that a rolling restart lets go now, for a supervisor that upgrades them; exit 1 if there are none."""
+    """Show the members that may restart now in a rolling restart, for their supervisor; exit 1 if there are none."""
     from lapishaven.ownership import command
 
     _run(command.permitted, file, as_json)
@@ -98,12 +99,16 @@
 
 @app.command("restart")
 def ownership_restart(
-    name: Annotated[str, typer.Argument(help="A new name for this rollout.")],
-    at_once: Annotated[int, typer.Option("--at-once", min=1, help="Members away at one time at most.")] = 1,
-    share: Annotated[float, typer.Option("--share", min=0.01, max=1.0, help="Of the capacity, at most.")] = 0.25,
+    name: Annotated[str, typer.Argument(help="Name of the rollout, not used before.")],
+    at_once: Annotated[
+        int, typer.Option("--at-once", min=1, help="Maximum number of members that restart at once.")
+    ] = 1,
+    share: Annotated[
+        float, typer.Option("--share", min=0.01, max=1.0, help="Maximum share of the capacity that restarts at once.")
+    ] = 0.25,
     file: SettingsFile = DEFAULT_FILE,
 ) -> None:
-    """Order a rolling restart of all members that obey."""
+    """Order a rolling restart of all members that take part in it."""
     from lapishaven.ownership import command
 
     _run(command.rollout, file, name, at_once, share)
--- a/lapishaven/cli/serve.py
+++ b/lapishaven/cli/serve.py
@@ -1,4 +1,4 @@
-"""The server's own commands: ``serve`` and ``check-config``. A mistake in a file is one plain line and exit code 2."""
+"""The commands ``serve`` and ``check-config``. An invalid file is reported in one line with exit code 2."""
 
 from __future__ import annotations
 
@@ -19,30 +19,38 @@
     from lapishaven.ownership.participant import Participant
 
 BYTES_PER_MB = 1024 * 1024
-LEDGER_SETTINGS_SUFFIX = (
-    ".toml"  # ``--record`` takes a settings file of the ledger, or the SQLite file of an attempt log
-)
+# ``--record`` takes a settings file of the ledger, which has this suffix, or else the SQLite file of an attempt log.
+LEDGER_SETTINGS_SUFFIX = ".toml"
 
-ConfigFile = Annotated[str | None, typer.Option("--config", help="Configuration file; else NODE_CONFIG names it.")]
-UwsgiFile = Annotated[str | None, typer.Option("--uwsgi", help="File that turns uwsgi on; else it is off.")]
+ConfigFile = Annotated[
+    str | None, typer.Option("--config", help="Configuration file; default: the path in NODE_CONFIG.")
+]
+UwsgiFile = Annotated[
+    str | None, typer.Option("--uwsgi", help="Settings of the uwsgi frontend and backend; default: off.")
+]
 ContractsFile = Annotated[
-    str | None, typer.Option("--contracts", help="File of contracts and budgets; else none are checked.")
+    str | None,
+    typer.Option("--contracts", help="File of contracts; default: requests are not checked against contracts."),
 ]
 RecordFile = Annotated[
     str | None,
-    typer.Option("--record", help="Settings of the store of record (.toml), or a SQLite file written behind."),
-]
-PoolsFile = Annotated[
-    str | None, typer.Option("--pools", help="File of pools by class; else the module decides without them.")
+    typer.Option(
+        "--record", help="Ledger settings (.toml), or a SQLite file for an asynchronous log of attempts; default: off."
+    ),
 ]
+PoolsFile = Annotated[str | None, typer.Option("--pools", help="File of pools of classes; default: no pools.")]
 SpreadFile = Annotated[
-    str | None, typer.Option("--spread", help="File of processes that attempts are spread over; else off.")
+    str | None, typer.Option("--spread", help="File of the endpoints over which attempts are balanced; default: off.")
 ]
 StorageFile = Annotated[
-    str | None, typer.Option("--storage", help="File that has keyed results kept over restarts; else they are not.")
+    str | None,
+    typer.Option(
+        "--storage", help="File of the store that keeps results with an idempotency key across restarts; default: off."
+    ),
 ]
 OwnershipFile = Annotated[
-    str | None, typer.Option("--ownership", help="File that has it share the fleet's duties; else off.")
+    str | None,
+    typer.Option("--ownership", help="Ownership settings, to share the fleet's duties as a member; default: off."),
 ]
 
 
@@ -63,22 +71,22 @@
 
 
 def _open_result_store(path: str) -> DurableResults:
-    """The results that earlier processes stored, from the embedded store that the file names."""
+    """Open the store that the file configures, with the results that earlier processes stored."""
     rules = _load_storage_rules(path)
     try:
         from lapishaven.idempotency import DurableResults
         from lapishaven.storage import Limits, Store, StoreError
     except ImportError:
-        fail("keeping results needs lapishaven[storage]")
+        fail("--storage needs optional libraries, install lapishaven[storage]")
     try:
         store = Store.open(rules.directory, Limits(total_bytes=int(rules.max_size_mb * BYTES_PER_MB)))
     except (StoreError, OSError) as error:
-        fail(f"cannot open {rules.directory}: {error}")
+        fail(f"cannot open the result store {rules.directory}: {error}")
     return DurableResults(store, rules.result_ttl_s, rules.max_results)
 
 
 def _open_ledger(path: str, server_name: str) -> Recorder:
-    """The ledger that the file names, for this start of the server."""
+    """Open the ledger that the file configures, under a new incarnation."""
     import os
     import time
 
@@ -103,12 +111,12 @@
     try:
         return SqliteAttemptLog(path, lambda: counters.add("store", "dropped"))
     except sqlite3.Error as error:
-        fail(f"cannot open {path}: {error}")
+        fail(f"cannot open the attempt log {path}: {error}")
 
 
 @dataclass(slots=True)
 class Stores:
-    """The stores that the options turn on."""
+    """The stores that the options enable."""
 
     attempt_log: AttemptLog | None = None
     result_store: DurableResultStore | None = None
@@ -118,7 +126,7 @@
     stores = Stores()
     if record is not None and record.endswith(LEDGER_SETTINGS_SUFFIX):
         if storage is not None:
-            fail("--storage and --record both keep results: only one may")
+            fail(f"--storage {storage} and --record {record} both configure a result store, only one is allowed")
         stores.result_store = _open_ledger(record, server_name)
     elif record is not None:
         stores.attempt_log = _open_attempt_log(record, counters)
@@ -128,11 +136,11 @@
 
 
 def _join_fleet(path: str, files: config.ConfigFiles) -> Participant:
-    """This server as a member that shares the fleet's duties."""
+    """Create this server's membership in the fleet that shares duties."""
     try:
         from lapishaven.ownership.participant import Participant
     except ImportError:
-        fail("ownership needs lapishaven[ownership]")
+        fail("--ownership needs optional libraries, install lapishaven[ownership]")
     from lapishaven.ownership.settings import OwnershipError, load
 
     try:
@@ -152,12 +160,12 @@
     ownership: OwnershipFile = None,
     spread: SpreadFile = None,
 ) -> None:
-    """Serve until SIGTERM; SIGHUP reads the files again, SIGUSR1 prints the counters."""
+    """Serve until SIGTERM. SIGHUP reloads the files, SIGUSR1 prints the counters."""
     from lapishaven.counters import Counters
     from lapishaven.server import Server, ServerOptions
     from lapishaven.server.signals import Signals
 
-    signals = Signals()  # before the first caller can connect
+    signals = Signals()  # first, so that no signal is lost once callers can connect
     files = _load_files(path, uwsgi, contracts, pools, spread)
     counters = Counters()
     stores = _open_stores(record, storage, files.config.name, counters)
@@ -172,7 +180,10 @@
     try:
         server = Server(files, options)
     except OSError as error:
-        fail(f"cannot listen: {error.strerror or error}")
+        fail(
+            f"cannot listen (platform {files.config.listen}, uwsgi {files.front.listen if files.front else 'off'},"
+            f" admin {files.config.control or 'off'}): {error.strerror or error}"
+        )
     if fleet is not None:
         fleet.start()
     raise typer.Exit(server.run(signals))
@@ -188,7 +199,7 @@
     spread: SpreadFile = None,
     record: RecordFile = None,
 ) -> None:
-    """Check the files and say what they hold."""
+    """Validate the files and print a summary."""
     files = _load_files(path, uwsgi, contracts, pools, spread)
     _print_node(files)
     _print_load_balancing(files)
@@ -206,7 +217,7 @@
     node = files.config
     host, port = node.listen
     print(f"{node.name}: listens on {host}:{port}")
-    classes = [f"{each.name} ({each.idempotency.value}, {each.deadline:g} s)" for each in node.settings.classes]
+    classes = [f"{spec.name} ({spec.idempotency.value}, {spec.deadline:g} s)" for spec in node.settings.classes]
     print("classes " + ", ".join(classes))
     front = files.front.listen if files.front else "off"
     backend = files.backend.address if files.backend else "off"
@@ -221,7 +232,7 @@
         return
     rules = files.spread.rules
     print(
-        f"spread over {len(files.spread.addresses)} processes, {rules.probes_per_choice} questions a choice, "
+        f"spread over {len(files.spread.addresses)} processes, {rules.probes_per_choice} probes per choice, "
         f"silent after {rules.probe_timeout_s:g} s, {files.spread.attempts} attempts at once"
     )
 
--- a/lapishaven/connection_end.py
+++ b/lapishaven/connection_end.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection can end, and the outcome of an attempt that was carried by it."""
+"""The reasons for which connections end, and the resulting outcome of an attempt on the connection."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class ConnectionEnd(Enum):
-    """How a connection ended. The values are counted, so they are part of the interface."""
+    """The reason why a connection ended. The values are labels of counters, so they are part of the interface."""
 
     PEER_CLOSED = "peer closed"
     RESET = "reset"  # by the peer, or by the network
     PROTOCOL_ERROR = "protocol error"
-    TOO_LARGE = "too large"  # a message, or the bytes that the peer does not read
+    TOO_LARGE = "too large"  # a message exceeds its size limit
     IDLE = "idle"  # unused for longer than the idle timeout
-    EVICTED = "evicted"  # closed to free its descriptor
+    EVICTED = "evicted"  # closed to free its descriptor or its memory
     TIMED_OUT = "timed out"
-    UNREACHED = "unreached"  # it was never established
-    DRAINED = "drained"  # closed in a graceful shutdown
-    FINISHED = "finished"  # its last exchange was complete
-    ABANDONED = "abandoned"  # this side no longer needs what it waited for
-    SHUTDOWN = "shutdown"  # the process ended
+    UNREACHED = "unreached"  # never established
+    DRAINED = "drained"  # closed by a graceful shutdown
+    FINISHED = "finished"  # the last response was complete
+    ABANDONED = "abandoned"  # this side no longer needs the response
+    SHUTDOWN = "shutdown"  # the process exits
     MOVED = "moved"  # the peer has a new address
-    FAULT = "fault"  # a fault of this program
+    FAULT = "fault"  # an unexpected exception in this program
 
 
 OUTCOMES: dict[ConnectionEnd, Outcome] = {
@@ -42,13 +42,13 @@
     ConnectionEnd.MOVED: Outcome.RESET,
     ConnectionEnd.FAULT: Outcome.RESET,
 }
-"""What the end of a backend's connection proves about the attempt that it carried.
+"""The outcome of an attempt whose backend connection ended before its response.
 
-Only ``UNREACHED`` proves that nothing ran. Every other end leaves that open, so an attempt that is not idempotent is
-never started again after it.
+Only ``UNREACHED`` proves that the attempt did not run. After any other end it may have run, so an attempt that is not
+idempotent is never retried.
 """
 
 
 def outcome_of(end: ConnectionEnd) -> Outcome:
-    """The outcome of an attempt whose connection ended so."""
+    """The outcome of an attempt whose connection ended for this reason."""
     return OUTCOMES[end]
--- a/lapishaven/counters.py
+++ b/lapishaven/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what the program reads, sends and answers, logged on request and at exit."""
+"""Counters of requests, responses, connections and errors, logged on SIGUSR1 and at exit."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class Counters:
-    """Groups of named counts; a group appears with its first count."""
+    """Groups of named counters. Groups and counters are created at their first use."""
 
     def __init__(self) -> None:
-        self.groups: dict[str, Counter[str]] = {}  # by name of the group
+        self.groups: dict[str, Counter[str]] = {}
 
     def add(self, group: str, name: str, amount: int = 1) -> None:
-        """Add to a count, which is 0 before."""
+        """Add ``amount`` to a counter."""
         self.groups.setdefault(group, Counter())[name] += amount
 
     def get(self, group: str, name: str) -> int:
-        """A count; 0 if it was never added to."""
+        """The value of a counter; 0 if it was never used."""
         return self.groups.get(group, Counter())[name]
 
     def line(self) -> str:
-        """All counts as one line of JSON, sorted by name."""
+        """All counters as one line of JSON, sorted by name."""
         groups = {group: dict(sorted(counts.items())) for group, counts in sorted(self.groups.items())}
         return "counters " + json.dumps(groups)
--- a/lapishaven/simulator/__init__.py
+++ b/lapishaven/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Admission control under the simulator: the binary codec and the adapter process."""
+"""Runs admission control under the simulator: a binary codec and an adapter process."""
--- a/lapishaven/simulator/adapter.py
+++ b/lapishaven/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter process: reads batches on standard input, lets a ``Controller`` decide for each instance, replies."""
+"""The adapter process: reads batches from standard input, and replies with the actions of a controller per instance."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Instance:
-    """One incarnation of one instance; nothing is shared with others."""
+    """One incarnation of a simulated instance. Instances share no state."""
 
     __slots__ = ("controller", "gauge_names")
 
@@ -22,13 +22,13 @@
 
 
 class Host:
-    """Splits each batch among its instances and builds the reply."""
+    """Dispatches each batch to its instances and builds the reply."""
 
     def __init__(self) -> None:
         self._instances: dict[int, Instance] = {}
 
     def handle_batch(self, number: int, now: float, record_count: int, body: memoryview) -> bytes:
-        """The reply frame to a batch; ``body`` is what follows its header. ``WireError`` if it is malformed."""
+        """The reply frame to a batch; ``body`` follows its header. Raises ``WireError`` if the batch is malformed."""
         reply = codec.Reply()
         for instance_number, events in self._read_events(record_count, body).items():
             try:
@@ -36,7 +36,7 @@
             except Exception as error:
                 traceback.print_exc(file=sys.stderr)
                 reply.select(instance_number)
-                reply.add_death(f"{type(error).__name__}: {error}")
+                reply.add_failure(f"{type(error).__name__}: {error}")
                 continue
             if actions:
                 reply.select(instance_number)
@@ -45,7 +45,7 @@
         return reply.frame(number)
 
     def _read_events(self, record_count: int, body: memoryview) -> dict[int, list[Event]]:
-        """Start and end instances, and collect the events of each that has any or has just started."""
+        """Start and end instances; returns the events of each instance that has any or was started."""
         instances = self._instances
         events_by_instance: dict[int, list[Event]] = {}
         selected: int | None = None
@@ -53,13 +53,13 @@
             if code == EventCode.SELECT:
                 selected = codec.decode_select(body, offset)
             elif selected is None:
-                raise WireError(f"{_describe(code, offset)}: no SELECT before it")
+                raise WireError(f"{_describe(code, offset)}: no SELECT record precedes it")
             elif code == EventCode.BORN:
                 seed, settings_text = codec.decode_born(body, offset, record_count)
                 instances[selected] = Instance(seed, settings_text)
                 events_by_instance[selected] = []
             elif selected not in instances:
-                raise WireError(f"{_describe(code, offset)}: instance {selected} was never born")
+                raise WireError(f"{_describe(code, offset)}: instance {selected} has no BORN record")
             elif code == EventCode.DOWN:
                 del instances[selected]
                 events_by_instance.pop(selected, None)
@@ -87,29 +87,29 @@
     """Read ``size`` bytes, or fewer at the end of the input."""
     data = source.read(size)
     while len(data) < size:
-        more = source.read(size - len(data))
-        if not more:
+        chunk = source.read(size - len(data))
+        if not chunk:
             break
-        data += more
+        data += chunk
     return data
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends; ``WireError`` at a malformed one."""
+    """Answer batches until the input ends. Raises ``WireError`` if one is malformed."""
     host = Host()
     while header := read_up_to(source, codec.BATCH_HEADER.size):
         if len(header) < codec.BATCH_HEADER.size:
-            raise WireError(f"frame header: {len(header)} bytes of {codec.BATCH_HEADER.size}")
+            raise WireError(f"frame header truncated: {len(header)} of {codec.BATCH_HEADER.size} bytes")
         number, length, now, record_count = codec.BATCH_HEADER.unpack(header)
         body = read_up_to(source, length)
         if len(body) < length:
-            raise WireError(f"frame length: {len(body)} bytes of {length}")
+            raise WireError(f"frame body of batch {number} truncated: {len(body)} of {length} bytes")
         sink.write(host.handle_batch(number, now, record_count, memoryview(body)))
         sink.flush()
 
 
 def main() -> int:
-    """Run on standard input and output; a malformed frame ends it with one plain line."""
+    """Serve standard input and output. A malformed frame is reported in one line, with exit code 2."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except ValueError as error:
--- a/lapishaven/simulator/codec.py
+++ b/lapishaven/simulator/codec.py
@@ -1,8 +1,8 @@
-"""The binary codec of the simulator's frames: events in, actions out. It holds no decision.
+"""The binary codec of the simulator's frames: decodes events and encodes actions.
 
-A batch is a header, event records of fixed size, and a tail for data of variable size; a reply has the same
-form. The codes and the field names are those of the adapter protocol. A malformed frame raises ``WireError``
-with the record and the field.
+A batch consists of a header, event records of a fixed size, and a tail for data of variable size; a reply has the same
+structure. The codes and the field names in comments are those of the adapter protocol. A malformed frame raises
+``WireError`` with the record and the field.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class EventCode:
-    """First byte of a record in a batch. Plain numbers: an enum costs too much for each record."""
+    """The first byte of a record in a batch. Plain integers, because an enum is too slow for each record."""
 
     BORN = 10
     ARRIVAL = 20
@@ -63,7 +63,7 @@
 
 
 class ActionCode:
-    """First byte of a record in a reply."""
+    """The first byte of a record in a reply."""
 
     SERVE = 10
     REFUSE = 20
@@ -84,18 +84,18 @@
 
 
 class WireError(ValueError):
-    """A frame or its settings text breaks the rules of the wire."""
+    """A frame, or the settings text in it, violates the adapter protocol."""
 
 
 def decode_settings(text: bytes) -> InstanceSettings:
-    """The settings of a BORN record."""
+    """Parse the settings text of a BORN record."""
     try:
         return parse_settings(text)
     except SettingsError as error:
         raise WireError(f"BORN profile-data: {error}") from None
 
 
-# Events. The layouts leave out the code.
+# Events. The layouts start after the code.
 _SELECT = Struct(">H")  # i
 _BORN = Struct(">QII")  # random-seed, offset and length of profile-data
 _ARRIVAL = Struct(">IfHdHdBBfQdI")  # xid, footprint, account, valid-until, src, queued-for, opts, category, prio,
@@ -103,11 +103,11 @@
 _FINISHED = Struct(">IdH")  # xid, spent, result
 _XID = Struct(">I")
 _DOWNSTREAM = Struct(">IHd")  # xid, result, spent
-_WIND_DOWN = Struct(">d")  # when the process is stopped
+_WIND_DOWN = Struct(">d")  # time at which the process is stopped
 _TIMER = Struct(">IB")  # mark, number of gauges
 _GAUGES_OFFSET = 6
 _GAUGE_SIZE = 4
-_GAUGES = ("core_use", "on_cores", "heap_share", "links")  # those of a ``LoadSample``, in its order
+_GAUGES = ("core_use", "on_cores", "heap_share", "links")  # the gauges of a ``LoadSample``, in the order of its fields
 
 _OPT_HINT_VALID = 1
 _OPT_IS_RETRY = 2
@@ -115,15 +115,15 @@
 
 
 def split_records(body: memoryview, count: int) -> Iterator[tuple[int, int]]:
-    """The code and the offset of each record of a batch."""
+    """Yield the code and the offset of each record of a batch."""
     if count * EVENT_RECORD_SIZE > len(body):
-        raise WireError(f"frame length: {len(body)} bytes do not hold {count} records")
+        raise WireError(f"frame body has {len(body)} bytes, too few for {count} records of {EVENT_RECORD_SIZE} bytes")
     for offset in range(0, count * EVENT_RECORD_SIZE, EVENT_RECORD_SIZE):
         yield body[offset], offset
 
 
 def decode_select(body: memoryview, offset: int) -> int:
-    """The number of the instance that a SELECT record names."""
+    """The instance number in a SELECT record."""
     instance: int = _SELECT.unpack_from(body, offset + 1)[0]
     return instance
 
@@ -133,14 +133,16 @@
     seed, tail_offset, length = _BORN.unpack_from(body, offset + 1)
     start = record_count * EVENT_RECORD_SIZE + tail_offset
     if start + length > len(body):
-        raise WireError("BORN profile-data: tail out of range")
+        raise WireError(
+            f"BORN profile-data: bytes {start} to {start + length} exceed the frame body of {len(body)} bytes"
+        )
     return seed, bytes(body[start : start + length])
 
 
 def decode_event(code: int, body: memoryview, offset: int, gauge_names: tuple[str, ...]) -> Event | None:
-    """The event of a record at ``offset``; ``None`` for an unknown code.
+    """The event in the record at ``offset``; ``None`` if the code is unknown.
 
-    ``gauge_names`` are those of the instance's settings.
+    ``gauge_names`` are the gauges of a TIMER record, from the instance's settings.
     """
     decoder = _EVENT_DECODERS.get(code)
     if decoder is not None:
@@ -205,7 +207,7 @@
 def _decode_timer(body: memoryview, offset: int, gauge_names: tuple[str, ...]) -> LoadSample:
     timer_id, count = _TIMER.unpack_from(body, offset)
     if _GAUGES_OFFSET + _GAUGE_SIZE * count > EVENT_RECORD_SIZE:
-        raise WireError(f"TIMER pressure: {count} values do not fit a record")
+        raise WireError(f"TIMER pressure: {count} values do not fit in a record of {EVENT_RECORD_SIZE} bytes")
     values = Struct(f">{count}f").unpack_from(body, offset + _TIMER.size)
     gauges = dict(zip(gauge_names, values, strict=False))
     return LoadSample(timer_id, *(gauges.get(name) for name in _GAUGES))
@@ -215,7 +217,7 @@
     try:
         return Outcome(code)
     except ValueError:
-        raise WireError(f"{record} result: {code} is no outcome") from None
+        raise WireError(f"{record} result: {code} is not the code of an outcome") from None
 
 
 _EVENT_DECODERS: dict[int, Callable[[memoryview, int], Event]] = {
@@ -228,7 +230,7 @@
 }
 
 
-# Actions. The layouts include the code and fill the record.
+# Actions. The layouts include the code and the padding of the record.
 _CODE_XID = Struct(">BI11x")
 _REFUSE = Struct(">BIdB2x")  # xid, wait, last
 _CODE_XID_SECONDS = Struct(">BId3x")
@@ -241,7 +243,7 @@
 
 
 def _request_encoder(code: int) -> Callable[[Any], bytes]:
-    """Encodes actions that carry a request id only."""
+    """Make an encoder for actions whose only field is the request id."""
     return lambda action: _CODE_XID.pack(code, action.request_id)
 
 
@@ -301,25 +303,25 @@
         self._tail_size = 0
 
     def select(self, instance: int) -> None:
-        """Name the instance of the records that follow."""
+        """Begin the records of an instance."""
         self._records.append(_FOR.pack(ActionCode.FOR, instance))
 
     def add(self, action: Action) -> None:
-        """Add an action; ``TypeError`` if the wire has no form for it."""
+        """Add an action. Raises ``TypeError`` if the adapter protocol has no record for it."""
         encoder = _ACTION_ENCODERS.get(type(action))
         if encoder is not None:
             self._records.append(encoder(action))
         elif isinstance(action, Log):
             self._add_text(ActionCode.REMARK, action.text)
         else:
-            raise TypeError(f"no wire form for {type(action).__name__}")
+            raise TypeError(f"the adapter protocol has no record for the action {type(action).__name__}")
 
-    def add_death(self, text: str) -> None:
-        """Say that the instance has failed."""
+    def add_failure(self, text: str) -> None:
+        """Report that the instance has failed."""
         self._add_text(ActionCode.DIE, text)
 
     def frame(self, number: int) -> bytes:
-        """The whole frame, as the answer to batch ``number``."""
+        """Encode the reply frame to batch ``number``."""
         size = len(self._records) * ACTION_RECORD_SIZE + self._tail_size
         header = REPLY_HEADER.pack(number, len(self._records), size)
         return b"".join((header, *self._records, *self._tail))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: what it may hold, and that only those are passed over."""
+"""The list of tests that are known to fail: its validation, and that only the listed tests are deselected."""
 
 from __future__ import annotations
 
@@ -26,6 +26,7 @@
 
 
 def run(folder: Path, text: str | None) -> subprocess.CompletedProcess[str]:
+    """Run the script on a project with one passing and one failing test and the given list."""
     (folder / "tests").mkdir(exist_ok=True)
     (folder / "tests" / "test_here.py").write_text(TESTS)
     if text is not None:
@@ -34,47 +35,56 @@
 
 
 @pytest.mark.parametrize("text", [None, "", "\n\n"])
-def test_an_absent_or_empty_list_passes_over_nothing(tmp_path: Path, text: str | None) -> None:
-    done = run(tmp_path, text)
-    assert (done.returncode, done.stdout, done.stderr) == (0, "", "")
-
-
-def test_what_stands_there_is_passed_over_and_printed_and_no_more(tmp_path: Path) -> None:
-    done = run(tmp_path, "tests/test_here.py::test_bad | pytest -k bad, seed 1 | the clock of the box | #30\n")
-    assert done.returncode == 0
-    assert "tests/test_here.py::test_bad (issue 30): the clock of the box; pytest -k bad, seed 1" in done.stderr
-    command = [sys.executable, "-m", "pytest", "-q", *done.stdout.split()]
+def test_an_absent_or_empty_list_deselects_nothing(tmp_path: Path, text: str | None) -> None:
+    process = run(tmp_path, text)
+    assert (process.returncode, process.stdout, process.stderr) == (0, "", "")
+
+
+def test_only_listed_tests_are_deselected_and_they_are_printed(tmp_path: Path) -> None:
+    process = run(tmp_path, "tests/test_here.py::test_bad | pytest -k bad, seed 1 | the clock of the box | #30\n")
+    assert process.returncode == 0
+    assert (
+        "known to fail, deselected: tests/test_here.py::test_bad (issue 30): "
+        "the clock of the box; pytest -k bad, seed 1" in process.stderr
+    )
+    command = [sys.executable, "-m", "pytest", "-q", *process.stdout.split()]
     assert subprocess.run(command, cwd=tmp_path, capture_output=True).returncode == 0
     assert subprocess.run(command[:-1], cwd=tmp_path, capture_output=True).returncode == 1
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         ("tests/test_here.py::test_gone | pytest | why | 30\n", "no such test: tests/test_here.py::test_gone"),
-        ("tests/test_here.py | pytest | a whole file | 30\n", "no such test"),
-        ("tests/test_here.py::test_bad | why | 30\n", "KNOWN-RED.txt:1: not TEST | COMMAND AND SEED | SEEN | ISSUE"),
-        ("tests/test_here.py::test_bad\n", "KNOWN-RED.txt:1: not TEST | COMMAND AND SEED | SEEN | ISSUE"),
-        ("\ntests/test_here.py::test_bad | pytest | why | soon\n", "KNOWN-RED.txt:2: not TEST"),
-        ("tests/test_here.py::test_bad | pytest | | 30\n", "not TEST"),
+        ("tests/test_here.py | pytest | a whole file | 30\n", "no such test: tests/test_here.py"),
+        (
+            "tests/test_here.py::test_bad | why | 30\n",
+            "KNOWN-RED.txt:1: expected TEST | COMMAND AND SEED | SEEN | ISSUE",
+        ),
+        ("tests/test_here.py::test_bad\n", "KNOWN-RED.txt:1: expected TEST | COMMAND AND SEED | SEEN | ISSUE"),
+        ("\ntests/test_here.py::test_bad | pytest | why | soon\n", "KNOWN-RED.txt:2: expected TEST"),
+        ("tests/test_here.py::test_bad | pytest | | 30\n", "KNOWN-RED.txt:1: expected TEST"),
         (
             "tests/test_here.py::test_bad | pytest | a | 1\ntests/test_here.py::test_bad | pytest | b | 2\n",
-            "stands there twice",
+            "a test is listed twice: tests/test_here.py::test_bad",
+        ),
+        (
+            "".join(f"tests/test_here.py::test_{n} | pytest | why | 30\n" for n in range(4)),
+            "4 tests are listed, at most 3 are allowed",
         ),
-        ("".join(f"tests/test_here.py::test_{n} | pytest | why | 30\n" for n in range(4)), "4 tests, and at most 3"),
     ],
 )
-def test_a_wrong_list_ends_the_run(tmp_path: Path, text: str, told: str) -> None:
-    done = run(tmp_path, text)
-    assert done.returncode == 2 and told in done.stderr and done.stdout == ""
+def test_an_invalid_list_exits_with_code_2(tmp_path: Path, text: str, message: str) -> None:
+    process = run(tmp_path, text)
+    assert process.returncode == 2 and message in process.stderr and process.stdout == ""
 
 
-def test_three_are_allowed(known_red: ModuleType) -> None:
+def test_three_tests_may_be_listed(known_red: ModuleType) -> None:
     assert len(known_red.parse("".join(f"t.py::t{n} | pytest | why | 1\n" for n in range(3)))) == 3
 
 
-def test_the_project_s_own_list_is_right() -> None:
-    """Guards against a line that outlives its test; the run itself would be refused."""
+def test_the_list_of_this_project_is_valid() -> None:
+    """Guards against a line whose test was removed or renamed, at which the test run refuses to start."""
     path = ROOT / "KNOWN-RED.txt"
     if path.exists():
         assert subprocess.run([sys.executable, str(SCRIPT), str(ROOT)], capture_output=True).returncode == 0
--- a/tests/test_packaging.py
+++ b/tests/test_packaging.py
@@ -1,4 +1,4 @@
-"""The built wheel holds the whole program, and its modules import with nothing of the checkout beside them."""
+"""The built wheel contains the whole program, and its modules can be imported without the checkout."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 
 def sources(root: Path) -> set[str]:
-    """The program's modules, as paths below ``root``."""
+    """The paths of the program's modules, relative to ``root``."""
     return {str(path.relative_to(root)) for package in PACKAGES for path in (root / package).rglob("*.py")}
 
 
 @pytest.fixture(scope="module")
 def wheel(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """A wheel built from a copy of the sources, without a network."""
-    copy, built = tmp_path_factory.mktemp("copy"), tmp_path_factory.mktemp("built")
+    """A wheel that is built from a copy of the sources, without network access."""
+    source_copy, output = tmp_path_factory.mktemp("copy"), tmp_path_factory.mktemp("built")
     for package in PACKAGES:
-        shutil.copytree(ROOT / package, copy / package, ignore=shutil.ignore_patterns("__pycache__"))
-    shutil.copy(ROOT / "pyproject.toml", copy)
+        shutil.copytree(ROOT / package, source_copy / package, ignore=shutil.ignore_patterns("__pycache__"))
+    shutil.copy(ROOT / "pyproject.toml", source_copy)
     command = [
         sys.executable,
         "-m",
@@ -44,23 +44,23 @@
         "--no-build-isolation",
         "--no-index",
         "-w",
-        str(built),
-        str(copy),
+        str(output),
+        str(source_copy),
     ]
     subprocess.run(command, check=True, timeout=120)
-    (path,) = built.glob("*.whl")
+    (path,) = output.glob("*.whl")
     return path
 
 
-# Guards against a package that a hand-kept list leaves out: an editable install hides that.
-def test_the_wheel_has_every_module(wheel: Path) -> None:
+# Guards against a module that the build leaves out, which an editable install hides.
+def test_the_wheel_contains_every_module(wheel: Path) -> None:
     names = set(zipfile.ZipFile(wheel).namelist())
     assert sources(ROOT) - names == set()
     assert "lapishaven/py.typed" in names
 
 
-# Guards against a module that only imports beside the checkout, or needs what the install list lacks.
-def test_every_module_of_the_wheel_imports(wheel: Path, tmp_path: Path) -> None:
+# Guards against a module that can only be imported from the checkout, or needs a dependency that is not declared.
+def test_every_module_of_the_wheel_can_be_imported(wheel: Path, tmp_path: Path) -> None:
     zipfile.ZipFile(wheel).extractall(tmp_path / "site")
     modules = sorted(
         name.removesuffix(".py").removesuffix("/__init__").replace("/", ".")
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The examples of the README and the guides run as they stand."""
+"""The code examples of the README and of the client guide run unchanged."""
 
 from __future__ import annotations
 
@@ -14,37 +14,39 @@
 ROOT = Path(__file__).parent.parent
 
 
-def examples(page: str) -> list[str]:
+def code_blocks(page: str) -> list[str]:
+    """The Python code blocks of a page."""
     return re.findall(r"```python\n(.*?)```", (ROOT / page).read_text(), re.S)
 
 
-def test_the_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
-    exec(compile(examples("README.md")[0], "README.md", "exec"), {})
+def test_the_readme_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
+    exec(compile(code_blocks("README.md")[0], "README.md", "exec"), {})
     assert capsys.readouterr().out == "run 7\n"
 
 
-# Guards against a guide that shows what does not run: one server on a thread, which loses every commit's answer.
-def test_the_client_guide_runs(capsys: pytest.CaptureFixture[str]) -> None:
-    loop, ready, where = asyncio.new_event_loop(), threading.Event(), list[str]()
+# Guards against guide examples that do not run. A server on a thread answers all requests but commits, at which it
+# closes the connection.
+def test_the_client_guide_examples_run(capsys: pytest.CaptureFixture[str]) -> None:
+    loop, ready, addresses = asyncio.new_event_loop(), threading.Event(), list[str]()
 
-    async def one(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             if b"approve-commit" in line:
                 break
             writer.write(jsonrpc.encode_result(int(re.findall(rb'"id":(\d+)', line)[0]), b"match"))
         writer.close()
 
-    async def host() -> None:
-        server = await asyncio.start_server(one, "127.0.0.1", 0)
-        where.append("{}:{}".format(*server.sockets[0].getsockname()))
+    async def start() -> None:
+        server = await asyncio.start_server(serve_connection, "127.0.0.1", 0)
+        addresses.append("{}:{}".format(*server.sockets[0].getsockname()))
         ready.set()
 
-    thread = threading.Thread(target=lambda: (loop.create_task(host()), loop.run_forever()))
+    thread = threading.Thread(target=lambda: (loop.create_task(start()), loop.run_forever()))
     thread.start()
     ready.wait()
-    names = {"SERVER": where[0]}
-    for text in examples("docs/client.md"):
-        exec(compile(text, "docs/client.md", "exec"), names)
+    namespace = {"SERVER": addresses[0]}
+    for code in code_blocks("docs/client.md"):
+        exec(compile(code, "docs/client.md", "exec"), namespace)
     loop.call_soon_threadsafe(loop.stop)
     thread.join()
     loop.close()
--- a/tests/test_simulator_codec.py
+++ b/tests/test_simulator_codec.py
@@ -1,4 +1,4 @@
-"""The codec on frames built here: round trips, limits of a frame, and errors that name what is malformed."""
+"""The codec and the adapter on frames built here: round trips, frame limits, and the errors of malformed frames."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 )
 from lapishaven.simulator import adapter, codec
 
-INFO: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "customers": [{"name": "t", "allowance-per-s": 10.0, "portion": 1.0}],
     "callers": {"marks-retry": True},
     "extra": {
@@ -104,27 +104,28 @@
 
 
 def run(data: bytes) -> list[tuple[int, list[bytes], bytes]]:
+    """Feed batches to the adapter; returns the number, the records and the tail of each reply."""
     sink = io.BytesIO()
     adapter.serve(io.BytesIO(data), sink)
-    out, raw = [], sink.getvalue()
+    replies, raw = [], sink.getvalue()
     while raw:
         number, count, length = struct.unpack_from(">III", raw)
         body = raw[12 : 12 + length]
-        out.append((number, [body[16 * n : 16 * n + 16] for n in range(count)], body[16 * count :]))
+        replies.append((number, [body[16 * n : 16 * n + 16] for n in range(count)], body[16 * count :]))
         raw = raw[12 + length :]
-    return out
+    return replies
 
 
-TEXT = json.dumps(INFO).encode()
+SETTINGS_TEXT = json.dumps(SETTINGS).encode()
 
 
 def test_an_empty_batch_has_an_empty_reply() -> None:
     assert run(frame([])) == [(7, [], b"")]
 
 
-def test_an_arrival_is_answered_for_its_own_instance_only() -> None:
+def test_a_reply_has_records_only_of_instances_with_events() -> None:
     first, second = run(
-        frame([select(3), born(0, len(TEXT)), select(4), born(0, len(TEXT))], TEXT)
+        frame([select(3), born(0, len(SETTINGS_TEXT)), select(4), born(0, len(SETTINGS_TEXT))], SETTINGS_TEXT)
         + frame([select(4), arrival(99)], now=1.1)
     )
     assert {r[1:3] for r in first[1] if r[0] == 160} == {b"\0\3", b"\0\4"}
@@ -134,8 +135,8 @@
 
 def test_down_and_born_in_one_batch_restart_the_instance() -> None:
     replies = run(
-        frame([select(3), born(0, len(TEXT))], TEXT)
-        + frame([select(3), record(90), born(0, len(TEXT)), arrival(5)], TEXT)
+        frame([select(3), born(0, len(SETTINGS_TEXT))], SETTINGS_TEXT)
+        + frame([select(3), record(90), born(0, len(SETTINGS_TEXT)), arrival(5)], SETTINGS_TEXT)
         + frame([select(3), record(90)])
     )
     codes = [r[0] for r in replies[1][1]]
@@ -143,12 +144,14 @@
     assert replies[2][1] == []
 
 
-def test_a_long_batch_is_answered_completely() -> None:
-    reply = run(frame([select(1), born(0, len(TEXT))] + [arrival(n) for n in range(1, 5001)], TEXT))[0]
+def test_every_arrival_of_a_batch_of_5000_records_is_read() -> None:
+    reply = run(frame([select(1), born(0, len(SETTINGS_TEXT))] + [arrival(n) for n in range(1, 5001)], SETTINGS_TEXT))[
+        0
+    ]
     assert len({r[1:5] for r in reply[1] if r[0] in (10, 20)}) > 1000
 
 
-def test_arrival_fields_and_absent_values() -> None:
+def test_arrival_fields_are_decoded_and_zeros_mean_absent() -> None:
     body = memoryview(arrival(9, opts=7))
     event = codec.decode_event(20, body, 0, ())
     assert isinstance(event, RequestArrived)
@@ -171,7 +174,7 @@
         (struct.pack(">IB2f", 4, 2, 0.5, 0.25), 80, LoadSample(4, 0.5, None, None, 0.25)),
     ],
 )
-def test_events(packed: bytes, code: int, event: Event) -> None:
+def test_events_are_decoded(packed: bytes, code: int, event: Event) -> None:
     names = ("core_use", "links")
     assert codec.decode_event(code, memoryview(record(code, packed)), 0, names) == event
 
@@ -194,13 +197,13 @@
         (ScheduleTimer(0.5, 77), struct.pack(">BdI", 130, 0.5, 77)),
     ],
 )
-def test_actions(action: Action, packed: bytes) -> None:
+def test_actions_are_encoded(action: Action, packed: bytes) -> None:
     reply = codec.Reply()
     reply.add(action)
     assert reply.frame(1) == struct.pack(">III", 1, 1, 16) + packed.ljust(16, b"\0")
 
 
-def test_log_lines_share_the_tail() -> None:
+def test_texts_of_log_records_are_stored_in_the_tail() -> None:
     reply = codec.Reply()
     reply.add(Log("ab"))
     reply.add(Log("cde"))
@@ -210,46 +213,62 @@
     assert frame_bytes[44:] == b"abcde"
 
 
-def without(path: str) -> bytes:
-    info = json.loads(TEXT)
+def settings_without(path: str) -> bytes:
+    """The settings text without the setting at a dotted path."""
+    settings = json.loads(SETTINGS_TEXT)
     *outer, last = path.split(".")
-    table = info
+    table = settings
     for key in outer:
         table = table[key]
     del table[last]
-    return json.dumps(info).encode()
+    return json.dumps(settings).encode()
 
 
 @pytest.mark.parametrize(
-    ("data", "words"),
+    ("data", "message"),
     [
-        (frame([])[:10], "frame header"),
-        (frame([select(1)])[:-5], "frame length"),
-        (struct.pack(">IIdI", 1, 56, 1.0, 2) + select(1), "do not hold 2 records"),
-        (frame([arrival(1)]), "no SELECT"),
-        (frame([select(1), arrival(1)]), "never born"),
-        (frame([select(1), born(0, 50)], b"{}"), "tail out of range"),
-        (frame([select(1), born(0, 2)], b"{]"), "not JSON"),
-        (frame([select(1), born(0, len(without("extra.cores")))], without("extra.cores")), "extra.cores"),
-        (frame([select(1), born(0, len(TEXT)), record(77)], TEXT), "unknown event code"),
-        (frame([select(1), born(0, len(TEXT)), record(30, struct.pack(">IdH", 1, 0, 9))], TEXT), "FINISHED"),
-        (frame([select(1), born(0, len(TEXT)), record(80, struct.pack(">IB", 1, 40))], TEXT), "TIMER"),
+        (frame([])[:10], "frame header truncated: 10 of 20 bytes"),
+        (frame([select(1)])[:-5], "frame body of batch 7 truncated: 51 of 56 bytes"),
+        (struct.pack(">IIdI", 1, 56, 1.0, 2) + select(1), "frame body has 56 bytes, too few for 2 records of 56 bytes"),
+        (frame([arrival(1)]), "no SELECT record precedes it"),
+        (frame([select(1), arrival(1)]), "instance 1 has no BORN record"),
+        (
+            frame([select(1), born(0, 50)], b"{}"),
+            "BORN profile-data: bytes 112 to 162 exceed the frame body of 114 bytes",
+        ),
+        (frame([select(1), born(0, 2)], b"{]"), "the settings are not JSON: b'{]'"),
+        (
+            frame([select(1), born(0, len(settings_without("extra.cores")))], settings_without("extra.cores")),
+            "extra.cores",
+        ),
+        (
+            frame([select(1), born(0, len(SETTINGS_TEXT)), record(77)], SETTINGS_TEXT),
+            "record 2 (code 77): unknown event code",
+        ),
+        (
+            frame([select(1), born(0, len(SETTINGS_TEXT)), record(30, struct.pack(">IdH", 1, 0, 9))], SETTINGS_TEXT),
+            "record 2: FINISHED result: 9 is not the code of an outcome",
+        ),
+        (
+            frame([select(1), born(0, len(SETTINGS_TEXT)), record(80, struct.pack(">IB", 1, 40))], SETTINGS_TEXT),
+            "record 2: TIMER pressure: 40 values do not fit in a record of 56 bytes",
+        ),
     ],
 )
-def test_malformed_input_is_reported_in_one_line(data: bytes, words: str) -> None:
-    done = subprocess.run(
+def test_malformed_input_is_reported_in_one_line(data: bytes, message: str) -> None:
+    process = subprocess.run(
         [sys.executable, "-m", "lapishaven.simulator.adapter"], input=data, capture_output=True, timeout=30, check=False
     )
-    assert done.returncode == 2 and done.stdout == b""
-    lines = done.stderr.decode().splitlines()
-    assert len(lines) == 1 and words in lines[0]
+    assert process.returncode == 2 and process.stdout == b""
+    lines = process.stderr.decode().splitlines()
+    assert len(lines) == 1 and message in lines[0]
 
 
-def test_an_exception_in_the_controller_becomes_die(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: object, now: float, events: object) -> list[Action]:
+def test_an_exception_in_the_controller_is_reported_as_a_die_record(monkeypatch: pytest.MonkeyPatch) -> None:
+    def failing_handle(self: object, now: float, events: object) -> list[Action]:
         raise IndexError("out of range")
 
-    monkeypatch.setattr(adapter.Controller, "handle", broken)
-    reply = run(frame([select(1), born(0, len(TEXT))], TEXT))[0]
+    monkeypatch.setattr(adapter.Controller, "handle", failing_handle)
+    reply = run(frame([select(1), born(0, len(SETTINGS_TEXT))], SETTINGS_TEXT))[0]
     assert [r[0] for r in reply[1]] == [160, 150]
     assert reply[2] == b"IndexError: out of range"
