--- a/lapishaven/backends/interpreter.py
+++ b/lapishaven/backends/interpreter.py
@@ -314,7 +314,7 @@
     def _process_banner(self, message: proto.Banner) -> None:
         """The interpreter is up on this link: send the waiting commands and queries."""
         self._ready = True
-        self._listener.backend_up(message.slow_start, message.uptime)
+        self._listener.backend_up(message.slow_start, message.uptime_s)
         waiting = self._unsent_commands
         self._unsent_commands = []
         for command in waiting:
@@ -333,7 +333,7 @@
         if resume:
             self.resume(message.attempt_id)
             return
-        self._listener.run_finished(message.attempt_id, outcome, message.elapsed, message.result)
+        self._listener.run_finished(message.attempt_id, outcome, message.elapsed_s, message.result)
 
     def _should_resume(self, attempt_id: str) -> bool:
         """Whether a run was paused only as a probe.
--- a/lapishaven/cli/ownership.py
+++ b/lapishaven/cli/ownership.py
@@ -60,12 +60,12 @@
     duty: DutyName,
     shard: ShardNumber,
     file: SettingsFile = DEFAULT_FILE,
-    span: Annotated[float, typer.Option("--for", min=1, max=86_400, help="Duration in seconds.")] = 60.0,
+    duration_s: Annotated[float, typer.Option("--for", min=1, max=86_400, help="Duration in seconds.")] = 60.0,
 ) -> None:
     """Own a shard until Ctrl-C or for a duration, so that no member works on it."""
     from lapishaven.ownership import command
 
-    _run(command.claim, file, duty, shard, span)
+    _run(command.claim, file, duty, shard, duration_s)
 
 
 @app.command("history")
--- a/lapishaven/config/contracts.py
+++ b/lapishaven/config/contracts.py
@@ -23,27 +23,29 @@
         raise ConfigError(f"{path}: at least one [[contract]] table is required")
     contracts: dict[tuple[str, str, int], Contract] = {}
     for number, row in enumerate(rows, 1):
-        where = f"{path}: contract {number}"
-        contract = _parse_contract(row, where, settings, routes)
+        position = f"{path}: contract {number}"
+        contract = _parse_contract(row, position, settings, routes)
         party = (contract.team, contract.service, contract.class_index)
         if party in contracts:
             raise ConfigError(
-                f"{where}: team {contract.team!r:.60}, service {contract.service!r:.60} has a contract for this class"
+                f"{position}: team {contract.team!r:.60}, service {contract.service!r:.60} has a contract for this class"
             )
         contracts[party] = contract
     return list(contracts.values())
 
 
-def _parse_contract(row: Mapping[str, Any], where: str, settings: Settings, routes: set[str]) -> Contract:
+def _parse_contract(row: Mapping[str, Any], position: str, settings: Settings, routes: set[str]) -> Contract:
     if set(row) != KEYS:
         raise ConfigError(
-            f"{where}: expected exactly the keys {', '.join(sorted(KEYS))}, found {', '.join(map(str, row)):.200}"
+            f"{position}: expected exactly the keys {', '.join(sorted(KEYS))}, found {', '.join(map(str, row)):.200}"
         )
     class_indexes = {request_class.name: index for index, request_class in enumerate(settings.classes)}
     if row["class"] not in class_indexes:
-        raise ConfigError(f"{where}: unknown class {row['class']!r:.60}, expected one of {', '.join(class_indexes)}")
+        raise ConfigError(f"{position}: unknown class {row['class']!r:.60}, expected one of {', '.join(class_indexes)}")
     if row["route"] not in routes:
-        raise ConfigError(f"{where}: unknown route {row['route']!r:.60}, expected one of {', '.join(sorted(routes))}")
+        raise ConfigError(
+            f"{position}: unknown route {row['route']!r:.60}, expected one of {', '.join(sorted(routes))}"
+        )
     class_index = class_indexes[row["class"]]
     class_deadline = settings.classes[class_index].deadline
     try:
@@ -51,10 +53,10 @@
         rate = positive_number(row, "rate")
         burst = positive_number(row, "burst")
     except ConfigError as error:
-        raise ConfigError(f"{where}: {error}") from None
+        raise ConfigError(f"{position}: {error}") from None
     if deadline > class_deadline or burst < MIN_BURST:
         raise ConfigError(
-            f"{where}: deadline_s {deadline:g} exceeds the class's {class_deadline:g}"
+            f"{position}: deadline_s {deadline:g} exceeds the class's {class_deadline:g}"
             f" or burst {burst:g} is below {MIN_BURST}"
         )
     return Contract(str(row["team"]), str(row["service"]), class_index, deadline, row["route"], rate, burst)
--- a/lapishaven/frontends/platform.py
+++ b/lapishaven/frontends/platform.py
@@ -163,7 +163,7 @@
             subject=message.subject,
             idempotency_key=message.idempotency_key,
             body_digest=body_digest,
-            time_left=message.time_left,
+            time_left=message.time_left_s,
             tenant_index=self.host.tenants.get(message.tenant_name or "", len(self.host.tenants)),
         )
 
--- a/lapishaven/proto/interpreter.py
+++ b/lapishaven/proto/interpreter.py
@@ -21,7 +21,7 @@
     """``BANNER``: the first notice on a connection."""
 
     slow_start: bool  # whether the interpreter is still warming up after its start
-    uptime: float  # seconds
+    uptime_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
     number: int  # sequence number of the notice
     attempt_id: str
     outcome: str  # the protocol's keyword
-    elapsed: float  # seconds
+    elapsed_s: float
     result: bytes
 
 
@@ -138,7 +138,7 @@
         if block[size:] != LINE_END:
             raise ProtocolError(f"the result of attempt {run.attempt_id[:40]!r} does not end after its {size} bytes")
         self._incomplete = None
-        return RunEnded(run.number, run.attempt_id, run.outcome, run.elapsed, block[:size])
+        return RunEnded(run.number, run.attempt_id, run.outcome, run.elapsed_s, block[:size])
 
     def _parse_line(self, line: str) -> Message | None:
         """The notice in a line; ``None`` if its result follows."""
--- a/lapishaven/proto/jsonrpc.py
+++ b/lapishaven/proto/jsonrpc.py
@@ -39,7 +39,7 @@
     rank: float = 0.0
     subject: int | None = None
     idempotency_key: str | None = None  # identifies the effect, the same for all attempts
-    time_left: float | None = None  # seconds until the caller's deadline, if callers propagate it
+    time_left_s: float | None = None  # until the caller's deadline, if callers propagate it
     tenant_name: str | None = None
 
 
@@ -82,14 +82,14 @@
     return float(value)
 
 
-def _seconds(params: dict[str, Any], name: str, limit: float) -> float | None:
-    """An optional duration from 0 to ``limit`` seconds, sent in milliseconds."""
+def _seconds(params: dict[str, Any], name: str, limit_s: float) -> float | None:
+    """An optional duration from 0 to ``limit_s``, sent in milliseconds."""
     if params.get(name) is None:
         return None
-    duration = _number(params, name) / 1000
-    if not 0 <= duration <= limit:
+    duration_s = _number(params, name) / 1000
+    if not 0 <= duration_s <= limit_s:
         raise _InvalidParamsError(f"{name} is out of its range")
-    return duration
+    return duration_s
 
 
 def _optional_name(params: dict[str, Any], name: str) -> str | None:
@@ -132,7 +132,7 @@
         rank=float(crit),
         subject=subject,
         idempotency_key=_optional_name(params, "dedupe"),
-        time_left=_seconds(params, "ttl", MAX_TIME_LEFT_S),
+        time_left_s=_seconds(params, "ttl", MAX_TIME_LEFT_S),
         tenant_name=_optional_name(params, "org"),
     )
 
--- a/lapishaven/simulator/adapter.py
+++ b/lapishaven/simulator/adapter.py
@@ -21,7 +21,7 @@
         self.controller = Controller(settings, seed)
 
 
-class Host:
+class Adapter:
     """Dispatches each batch to its instances and builds the reply."""
 
     def __init__(self) -> None:
@@ -96,7 +96,7 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends. Raises ``WireError`` if one is malformed."""
-    host = Host()
+    adapter = Adapter()
     while header := read_up_to(source, codec.BATCH_HEADER.size):
         if len(header) < codec.BATCH_HEADER.size:
             raise WireError(f"frame header truncated: {len(header)} of {codec.BATCH_HEADER.size} bytes")
@@ -104,7 +104,7 @@
         body = read_up_to(source, length)
         if len(body) < length:
             raise WireError(f"frame body of batch {number} truncated: {len(body)} of {length} bytes")
-        sink.write(host.handle_batch(number, now, record_count, memoryview(body)))
+        sink.write(adapter.handle_batch(number, now, record_count, memoryview(body)))
         sink.flush()
 
 
--- a/tests/test_platform_keys.py
+++ b/tests/test_platform_keys.py
@@ -205,7 +205,7 @@
         return next(iter(jsonrpc.ServerParser().feed(line)))
 
     valid = parse(b'"dedupe":"k","ttl":250,"org":"a"')
-    assert isinstance(valid, jsonrpc.RunRequest) and (valid.idempotency_key, valid.time_left, valid.tenant_name) == (
+    assert isinstance(valid, jsonrpc.RunRequest) and (valid.idempotency_key, valid.time_left_s, valid.tenant_name) == (
         "k",
         0.25,
         "a",
