--- a/lapishaven/config/contracts.py
+++ b/lapishaven/config/contracts.py
@@ -28,7 +28,7 @@
         party = (contract.team, contract.service, contract.class_index)
         if party in contracts:
             raise ConfigError(
-                f"{position}: team {contract.team!r:.60}, service {contract.service!r:.60} has a contract for this class"
+                f"{position}: a second contract of team {contract.team!r:.40}, service {contract.service!r:.40} and its class"
             )
         contracts[party] = contract
     return list(contracts.values())
