--- a/lapishaven/config/contracts.py
+++ b/lapishaven/config/contracts.py
@@ -28,7 +28,8 @@
         party = (contract.team, contract.service, contract.class_index)
         if party in contracts:
             raise ConfigError(
-                f"{position}: a second contract of team {contract.team!r:.40}, service {contract.service!r:.40} and its class"
+                f"{position}: team {contract.team!r:.60}, service {contract.service!r:.60} and class"
+                f" {row['class']!r:.60} have a contract already"
             )
         contracts[party] = contract
     return list(contracts.values())
