--- a/lapishaven/config/node.py
+++ b/lapishaven/config/node.py
@@ -40,7 +40,11 @@
     source = path or environ.get("NODE_CONFIG")
     if not source:
         raise ConfigError("NODE_CONFIG is not set and no configuration file was given")
-    return parse_config(read_text(source), environ)
+    text = read_text(source)
+    try:
+        return parse_config(text, environ)
+    except ConfigError as error:
+        raise ConfigError(f"{source}: {error}") from None
 
 
 def parse_config(text: str, environ: Mapping[str, str] | None = None) -> NodeConfig:
@@ -128,7 +132,7 @@
 
 
 def _parse_control(value: Any) -> Address | None:
-    return None if value in (None, "") else parse_address(value, "control")
+    return None if value in (None, "") else parse_address(value, "control (or NODE_CONTROL)")
 
 
 def _parse_inherited_fd(value: str | None) -> int | None:
--- a/lapishaven/config/uwsgi.py
+++ b/lapishaven/config/uwsgi.py
@@ -43,10 +43,13 @@
         _check_table(frontend, "front", FRONTEND_KEYS, path)
     if backend is not None:
         _check_table(backend, "backend", BACKEND_KEYS, path)
-    return (
-        _parse_frontend(frontend) if frontend is not None else None,
-        _parse_backend(backend) if backend is not None else None,
-    )
+    try:
+        return (
+            _parse_frontend(frontend) if frontend is not None else None,
+            _parse_backend(backend) if backend is not None else None,
+        )
+    except ConfigError as error:
+        raise ConfigError(f"{path}: {error}") from None
 
 
 def _check_table(table: Any, name: str, keys: set[str], path: str) -> None:
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -124,7 +124,7 @@
         cases = [
             ("nonsense", "the configuration is not JSON: 'nonsense'"),
             (configuration(listen="here"), "listen: 'here' is not HOST:PORT with a port from 0 to 65535"),
-            (configuration(control="x"), "control: 'x' is not HOST:PORT with a port from 0 to 65535"),
+            (configuration(control="x"), "control (or NODE_CONTROL): 'x' is not HOST:PORT with a port from 0 to 65535"),
             (configuration(seed="xyz"), "seed must be a hex string or a number above 0, found 'xyz'"),
             (configuration(settings={}), "settings: extra must be a JSON object, found None"),
             (configuration(limits={"sockets": 9, "memory_mb": 192}), "limits.sockets is 9, must be at least 64"),
@@ -132,11 +132,20 @@
         ]
         for text, line in cases:
             code, out = self.run_with(text)
-            self.assertEqual((code, out), (2, f"lapishaven: {line}\n" if "not JSON" not in line else out))
+            self.assertEqual((code, out), (2, f"lapishaven: /c.json: {line}\n"))
             self.assertIn(line, out)
         code, out = self.run_with(configuration(), "--contracts", "/nowhere")
         self.assertEqual((code, out), (2, "lapishaven: cannot read /nowhere: No such file or directory\n"))
 
+    # Guards against an error that does not say which of several files is invalid.
+    def test_an_invalid_uwsgi_file_is_named_in_the_error(self) -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            path = Path(folder, "u.toml")
+            path.write_text('[backend]\naddress = "here"\npath = "/m/"\n')
+            code, out = self.run_with(configuration(), "--uwsgi", str(path))
+        error = f"{path}: backend.address: 'here' is not HOST:PORT with a port from 0 to 65535"
+        self.assertEqual((code, out), (2, f"lapishaven: {error}\n"))
+
     def test_version(self) -> None:
         self.assertEqual(CliRunner().invoke(app, ["version"]).output, f"{__version__}\n")
         self.assertNotIn("--uwsgi", (ROOT / "deploy/balancer.toml").read_text())  # off on the platform
