--- a/lapishaven/net/listener.py
+++ b/lapishaven/net/listener.py
@@ -79,7 +79,7 @@
             self.loop.watch(self.sock.fileno(), select.EPOLLIN, self._on_events)
 
     def _wait_for_descriptor(self) -> None:
-        # Until then connections stay in the kernel's queue, rather than being accepted and dropped.
+        # Connections wait in the kernel's queue meanwhile, rather than being accepted and dropped.
         if self.sock is not None and self._retry_timer is None:
             self.loop.unwatch(self.sock.fileno())
             self._retry_timer = self.loop.at(self.loop.now + DESCRIPTOR_RETRY_S, self._resume)
