--- a/benchmarks/client.py
+++ b/benchmarks/client.py
@@ -115,7 +115,7 @@
     """Return the least CPU time of any client per call in microseconds: one request and one answer in JSON."""
     parser, cpu_before_s = jsonrpc.ClientParser(), time.process_time()
     for n in range(1, calls + 1):
-        jsonrpc.encode_request(n, "look", f"{n:016x}", b"x", 30.0, recv=time.time())
+        jsonrpc.encode_request(n, "look", f"{n:016x}", b"x", 30.0, received_at=time.time())
         for _ in parser.feed(jsonrpc.encode_result(n, b"x")):
             pass
     return round((time.process_time() - cpu_before_s) / calls * 1e6, 1)
--- a/lapishaven/lab/handover/caller.py
+++ b/lapishaven/lab/handover/caller.py
@@ -99,7 +99,14 @@
         request_id, connection.next_id = connection.next_id, connection.next_id + 1
         call_id = f"{self.random.getrandbits(64):016x}"
         data = jsonrpc.encode_request(
-            request_id, kind.name, call_id, body, HEAP_KB, recv=time.time(), src=1, crit=self.ranks[kind.name]
+            request_id,
+            kind.name,
+            call_id,
+            body,
+            HEAP_KB,
+            received_at=time.time(),
+            caller_id=1,
+            rank=self.ranks[kind.name],
         )
         connection.bodies[request_id] = body
         connection.open_ids.add(request_id)
