--- a/lapishaven/client/calls/retry.py
+++ b/lapishaven/client/calls/retry.py
@@ -13,9 +13,9 @@
 from lapishaven.client.settings import Retry
 from lapishaven.client.traffic import EventRate
 
-MAX_SAVED_S = 2.0  # the bucket holds the retries earned by the first attempts of this time
-OUTAGE_CAPACITY_FACTOR = 4.0  # times the capacity, the maximum grant when several endpoints stop responding
-MAX_BACKOFF_DOUBLINGS = 16
+MAX_SAVED_S = 2.0  # the bucket holds at most the retries that the first attempts of this many seconds earn
+OUTAGE_CAPACITY_FACTOR = 4.0  # ``grant_at_least`` fills the bucket to at most this many times its capacity
+MAX_BACKOFF_DOUBLINGS = 16  # bounds the power of two; ``rules.backoff_max_s`` bounds the delay itself
 
 
 class RetryBudget:
@@ -56,12 +56,15 @@
         return True
 
     def grant_at_least(self, now: float, tokens: float) -> None:
-        """Raise the budget to ``tokens`` retries, within a limit, as several endpoints stopped responding at once."""
+        """Raise the budget to ``tokens`` retries, as several endpoints stopped responding at once.
+
+        At most to ``OUTAGE_CAPACITY_FACTOR`` times the capacity, but always to one retry.
+        """
         self._refill(now)
         self._tokens = max(self._tokens, min(tokens, max(1.0, self.capacity(now) * OUTAGE_CAPACITY_FACTOR)))
 
     def charge(self, now: float) -> None:
-        """Charge a retry that the protocol requires, even into debt, which later retries have to wait for."""
+        """Charge a retry that the protocol requires, even into debt; later retries wait until the debt is refilled."""
         self._refill(now)
         self._tokens -= 1.0
 
@@ -111,12 +114,16 @@
 ) -> ScheduleRetry | GiveUp:
     """Decide whether to retry a call after an attempt that was not served.
 
-    It is not retried if it must not run twice and any attempt may have run; if the server asked for no retry
-    elsewhere; after ``rules.tries`` attempts; if no attempt fits before the deadline; or if the budget is exhausted.
+    It is not retried if it must not run twice and any attempt may have run; if the request is invalid; if the server
+    asked for no retry elsewhere; after ``rules.tries`` attempts; if no attempt fits before the deadline; or if the
+    budget is exhausted. A rejected timestamp is final only for a call that must not run twice.
     After a close race the protocol requires a retry: it is made at once, and charged even if the budget is exhausted.
     """
-    if not context.idempotent and (context.possibly_run or result.end not in NEVER_RAN | INVALID_REQUEST):
-        return GiveUp(result.text or f"attempt ended as {result.end.value!r} and may have run", uncertain=True)
+    if not context.idempotent and (context.possibly_run or result.end not in (NEVER_RAN | INVALID_REQUEST)):
+        return GiveUp(
+            result.text or f"last attempt ended as {result.end.value!r}; the call may have run and must not run twice",
+            uncertain=True,
+        )
     if result.end is AttemptEnd.INVALID or (result.end is AttemptEnd.TIMESTAMP_REJECTED and not context.idempotent):
         return GiveUp(
             result.text or f"server answered that the request is invalid (attempt ended as {result.end.value!r})"
@@ -130,8 +137,8 @@
     delay_s = backoff_delay(rules, context.retries + 1, random)
     if context.remaining_s - delay_s < context.typical_s:
         return GiveUp(
-            f"not retried: {context.remaining_s:.3f} s remain until the deadline, too little for the backoff and an "
-            f"attempt of typically {context.typical_s:.3f} s"
+            f"not retried: {context.remaining_s:.3f} s remain until the deadline, too little for a backoff of "
+            f"{delay_s:.3f} s and an attempt of typically {context.typical_s:.3f} s"
         )
     if not budget.try_acquire(now):
         return GiveUp(f"attempt ended as {result.end.value!r}; not retried, as the retry budget is exhausted")
--- a/lapishaven/client/connections/dialer.py
+++ b/lapishaven/client/connections/dialer.py
@@ -18,6 +18,7 @@
 
     With deterministic subsetting (``settings.routing.subsetting = "aperture"``) the connection manager chooses the
     endpoint and the time slot. With rendezvous hashing any unconnected endpoint of the subset may be dialled.
+    A connection that is being dialled counts as usable in both, so that it is not dialled again.
     """
 
     def __init__(self, engine: Engine, table: EndpointTable, traffic: Traffic, budget: DialBudget) -> None:
@@ -28,7 +29,7 @@
         self._rules = engine.settings.connections
         self._starting = True  # the start phase: the first connections are still being made
         self._next_check_at = float("inf")
-        self._spread_until = float("inf")  # rendezvous hashing: no dial before this; infinite until it is drawn
+        self._delayed_until = float("inf")  # rendezvous hashing: see ``_delay_dial``; infinite while none is drawn
 
     @property
     def _urgent(self) -> bool:
@@ -64,13 +65,14 @@
         if planned.at > now:
             self.schedule_check(planned.at)
             return
-        max_saved = float(len(manager.window))
-        if not self.budget.try_acquire(now, calls_per_s, urgent, max_saved):
-            self.schedule_check(self.budget.available_at(now, calls_per_s, urgent, max_saved))
+        max_saved_tokens = float(len(manager.window))
+        if not self.budget.try_acquire(now, calls_per_s, urgent, max_saved_tokens):
+            self.schedule_check(self.budget.available_at(now, calls_per_s, urgent, max_saved_tokens))
             return
         self._dial_planned(now, planned)
 
     def _window_connected(self) -> bool:
+        """Whether every tracked endpoint of the window has a connection or is being dialled."""
         endpoints, window = self._table.endpoints, self._table.connection_manager.window
         return all(endpoints[name].usable_connections for name in window if name in endpoints)
 
@@ -91,15 +93,15 @@
         idle = now - self._traffic.last_call_at > rules.idle_s
         if table.one_request_per_connection or self._traffic.closed or idle:
             return
-        listed = [endpoint for endpoint in table.endpoints.values() if table.passes_health_checks(endpoint)]
+        passing = [endpoint for endpoint in table.endpoints.values() if table.passes_health_checks(endpoint)]
         usable = sum(
             endpoint.usable_connections > 0 and endpoint.health.state is not EjectionState.EJECTED
-            for endpoint in listed
+            for endpoint in passing
         )
-        missing = connections_wanted(rules, calls_per_s, len(listed)) - usable
+        missing = connections_wanted(rules, calls_per_s, len(passing)) - usable
         if missing <= 0:
             return  # checked again on the next endpoint list, lost connection or periodic check
-        candidates = self._dial_candidates(now, listed, usable)
+        candidates = self._dial_candidates(now, passing, usable)
         urgent = self._urgent
         for dial_at, _, _, endpoint in candidates[:missing]:
             if dial_at > now:
@@ -114,15 +116,19 @@
             table.open_connection(now, endpoint, "urgent" if urgent else reason)
 
     def _dial_candidates(
-        self, now: float, listed: list[Endpoint], usable: int
+        self, now: float, passing: list[Endpoint], usable: int
     ) -> list[tuple[float, bool, float, Endpoint]]:
-        """Return the unconnected endpoints with their earliest dial times, in the order in which to dial them.
+        """Return the unconnected endpoints in the order in which to dial them.
 
-        A restarted endpoint has the fewest connections of all and is unlikely to restart again soon, but it is still
-        warming up. Restarted endpoints are therefore preferred for half of the connections only.
+        Each is a tuple that sorts in that order: the earliest dial time, whether other endpoints are preferred, a
+        random number that breaks ties, and the endpoint. ``passing``: the endpoints that pass their health checks;
+        ``usable``: how many of them have a connection and are not ejected.
+
+        A restarted endpoint (one in its slow start) has the fewest connections of all and is unlikely to restart again
+        soon, but it is still warming up. Restarted endpoints are therefore preferred for half of the connections only.
         """
         warming_up = sum(
-            endpoint.usable_connections > 0 and endpoint.slow_start_since is not None for endpoint in listed
+            endpoint.usable_connections > 0 and endpoint.slow_start_since is not None for endpoint in passing
         )
         prefer_restarted = warming_up * 2 < usable
         return sorted(
@@ -132,27 +138,27 @@
                 self._engine.random.random(),
                 endpoint,
             )
-            for endpoint in listed
+            for endpoint in passing
             if not endpoint.usable_connections
         )
 
     def _delay_dial(self, now: float, usable: int, missing: int) -> bool:
-        """Whether the dial has to wait for a time drawn at random.
+        """Whether the dial has to wait for a time drawn at random; if so, schedule the check at that time.
 
         The cause of a lost connection may have hit every client at the same moment, so each client draws its own
-        delay, which is shorter the fewer endpoints it still has.
+        delay, which is shorter the fewer endpoints it still has. The time is drawn once and kept until it has passed.
         """
-        if self._spread_until == float("inf"):
-            self._spread_until = now + self.redial_delay(now, 0) * (usable + 1) / (usable + missing)
-        if self._spread_until > now:
-            self.schedule_check(self._spread_until)
+        if self._delayed_until == float("inf"):
+            self._delayed_until = now + self.redial_delay(now, 0) * (usable + 1) / (usable + missing)
+        if self._delayed_until > now:
+            self.schedule_check(self._delayed_until)
             return True
-        self._spread_until = float("inf")
+        self._delayed_until = float("inf")
         return False
 
     # ---- Start, timers, further connections
     def end_start(self, now: float, _: Any = None) -> None:
-        """End the start phase: later dials come out of the regular budget."""
+        """End the start phase: later dials come out of the regular budget. May be scheduled as a callback."""
         self._starting = False
         self._table.connection_manager.starting = False
         self.budget.end_start_burst()
@@ -164,12 +170,16 @@
             self._engine.schedule(when, self._check_due)
 
     def _check_due(self, now: float, _: Any) -> None:
+        """Run the check, unless an earlier one has run in its place: callbacks are not cancelled."""
         if self._next_check_at <= now:
             self._next_check_at = float("inf")
             self.ensure_connected(now)
 
     def add_connection(self, now: float, endpoint: Endpoint) -> None:
-        """Dial another connection to an endpoint whose connection is nearly full, if limit and budget allow it."""
+        """Dial one more connection to an endpoint whose connections are nearly full.
+
+        Not beyond ``Connections.each`` connections to the endpoint, and only if the dial budget allows it.
+        """
         if endpoint.usable_connections >= self._rules.each:
             return
         if self.budget.try_acquire(now, self._traffic.first_attempt_rate.per_second(now)):
--- a/lapishaven/client/connections/endpoint_table.py
+++ b/lapishaven/client/connections/endpoint_table.py
@@ -105,7 +105,7 @@
         """Track the endpoints that the connection manager needs, and no others; notify the routing of changes."""
         before = set(self.endpoints)
         self.connection_manager.update_window(now, self._traffic.first_attempt_rate.per_second(now))
-        for name in [name for name in self.endpoints if not self.connection_manager.is_tracked(now, name)]:
+        for name in [name for name in self.endpoints if not self.connection_manager.keep_tracked(now, name)]:
             self.remove(name)
         for name in self.connection_manager.window:
             self.track(name)
--- a/lapishaven/client/fleet/connection_manager.py
+++ b/lapishaven/client/fleet/connection_manager.py
@@ -24,8 +24,8 @@
 
 REMOVED_ENDPOINT_TTL_S = 120.0  # an endpoint that left the list keeps its position on the ring for this long
 SHRINK_FACTOR = 1.5  # hysteresis: a window shrinks only to a size that fits this many times the traffic
-START_DIAL_SHARE = 0.3  # dials per first attempt in the start phase
-FEW_ENDPOINTS = 1  # with at most this many usable endpoints, a client's slots come twice as often
+START_DIAL_SHARE = 0.3  # planned dials per first attempt in the start phase
+FEW_ENDPOINTS = 1  # with at most this many endpoints that accept its calls, a client's slots come twice as often
 
 
 class DialReason(StrEnum):
@@ -65,7 +65,10 @@
         has_catalog: bool,
         clock_offset_s: float = 0.0,
     ) -> None:
-        """``has_catalog``: the endpoint list is watched, not fixed. ``clock_offset_s``: see ``DialSlots``."""
+        """``client_number``: see ``aperture.placement_number``; ``clock_offset_s``: see ``DialSlots``.
+
+        ``has_catalog``: the endpoint list comes from the service registry and is polled, instead of being fixed.
+        """
         self.rules = rules
         self.membership = membership
         self.endpoints = endpoints
@@ -78,9 +81,9 @@
         self.stand_ins: set[str] = set()
         self.starting = True
         self.panic = False
-        self._ring: Ring | None = None  # None after the known names changed
+        self._ring: Ring | None = None  # None: to be rebuilt, as the names on it changed
         self._subset = aperture.Subset(Ring(()), 0, 1)
-        self._removed: dict[str, float] = {}  # when they left the list; they keep their positions
+        self._removed: dict[str, float] = {}  # by name: when it left the list; it keeps its position on the ring
         self._reachability = Reachability(rules, membership, endpoints, self.deploy_interval, has_catalog)
         self._start = StartSchedule(random)
 
@@ -93,7 +96,7 @@
             self._removed[name] = now
             self.deploy_interval.record_departure(now, name)
         self._ring = None
-        # Among the joined endpoints only known ones matter, so that a first list costs nothing here.
+        # Only a joined endpoint that was known before can be back. On a first list none was, so it costs little here.
         rejoined = [name for name in joined if self._was_known(name)]
         back = []
         for name in [*rejoined, *changed]:
@@ -111,7 +114,7 @@
 
     # ---- The window
     def update_window(self, now: float, calls_per_s: float) -> None:
-        """Update the window to the list and the traffic."""
+        """Recompute the window for the current list and traffic, and drop stand-ins that no longer count as such."""
         self._update_ring(now)
         self.window = self._subset.window(self._window_size(calls_per_s))
         self.stand_ins = {name for name in self.stand_ins if self._is_still_stand_in(name)}
@@ -129,7 +132,7 @@
     def _window_size(self, calls_per_s: float) -> int:
         """Return the window size: grows with the traffic at once, shrinks only if the traffic is well below."""
         least, known_count = self.rules.least, len(self._subset.ring)
-        if self.starting:  # the traffic is not known yet
+        if self.starting:  # the traffic is not known yet: assume enough to keep ``least`` connections from idling out
             calls_per_s = max(calls_per_s, least / aperture.SERVER_IDLE_TIMEOUT_S)
         size = aperture.window_size(least, calls_per_s, known_count)
         if size < len(self.window):
@@ -141,8 +144,11 @@
             return False
         return self._reachability.has_connection(name)
 
-    def is_tracked(self, now: float, name: str) -> bool:
-        """Whether to keep tracking an endpoint: it is to stay connected, or it must not be dialled yet."""
+    def keep_tracked(self, now: float, name: str) -> bool:
+        """Whether to keep tracking a tracked endpoint.
+
+        It is kept if it is to stay connected, or if it may not be dialled yet: its state holds the delay.
+        """
         if name not in self.membership:
             return False
         if self.keep_connected(name) or self.endpoints[name].next_dial_at > now:
@@ -160,7 +166,7 @@
         return sorted(self.stand_ins)
 
     # ---- Candidates
-    def _unconnected(self, now: float, urgent: bool = False) -> list[str]:
+    def _window_candidates(self, now: float, urgent: bool = False) -> list[str]:
         """Return the endpoints of the window that may be dialled and have no usable connection."""
         return [
             name
@@ -179,23 +185,25 @@
         if urgent:
             return self.next_urgent_dial(now)
         connected = [name for name in (*self.window, *self.stand_ins) if self._reachability.is_usable(name)]
-        unconnected = self._unconnected(now)
+        candidates = self._window_candidates(now)
         if self.starting:
-            return self._next_start_dial(now, calls_per_s, unconnected)
-        if not connected and not unconnected:
+            return self._next_start_dial(now, calls_per_s, candidates)
+        if not connected and not candidates:
             stand_in = next(self._stand_in_candidates(now), None)
-            unconnected = [stand_in] if stand_in is not None else []
-        if not unconnected:
+            candidates = [stand_in] if stand_in is not None else []
+        if not candidates:
             self.dial_slots.clear()
             return None
         missing = len(self.window) - len(connected)
         spread_s = self.deploy_interval.spread_s(now)
         doublings = self._cycle_doublings(now, connected, missing)
         slot_at = self.dial_slots.next_at(now, calls_per_s, max(1, missing), spread_s, doublings)
-        return self._soonest(slot_at, unconnected)
+        return self._soonest(slot_at, candidates)
 
     def _cycle_doublings(self, now: float, connected: list[str], missing: int) -> int:
-        """Return how often to double the cycle of dial slots: -1, 0 or 1, by the endpoints that the client has.
+        """Return how often to double the cycle of dial slots: -1 (halve it), 0 or 1.
+
+        ``connected``: the endpoints with a usable connection; ``missing``: the size of the window less their number.
 
         A client with at most ``FEW_ENDPOINTS`` that accept its calls dials twice as often, unless one of them was
         restarted in the current deploy and is therefore unlikely to leave again. A client that has more of them,
@@ -212,7 +220,7 @@
 
     def next_urgent_dial(self, now: float) -> PlannedDial | None:
         """Return the dial for a call that waits with no endpoint connected: in the window first, then any other."""
-        names = self._unconnected(now, urgent=True)
+        names = self._window_candidates(now, urgent=True)
         if any(self._reachability.closed_idle_connection(name) for name in names):
             # A client that dials for each call must not always choose the same endpoint.
             self.random.shuffle(names)
@@ -235,11 +243,16 @@
             return PlannedDial(best, times[best], DialReason.URGENT)
         return PlannedDial(best, times[best], DialReason.WINDOW if best in self.window else DialReason.STAND_IN)
 
-    def _next_start_dial(self, now: float, calls_per_s: float, unconnected: list[str]) -> PlannedDial | None:
-        shortest_spread_s = len(self.window) / max(START_DIAL_SHARE * calls_per_s, MIN_DIALS_PER_S)
-        spread_s = min(self.deploy_interval.spread_s(now), shortest_spread_s)
+    def _next_start_dial(self, now: float, calls_per_s: float, candidates: list[str]) -> PlannedDial | None:
+        """Return the next dial of the start phase.
+
+        The dials of the window are spread over the time in which they are ``START_DIAL_SHARE`` of the first attempts,
+        or over the spread of a deploy if that is shorter.
+        """
+        traffic_spread_s = len(self.window) / max(START_DIAL_SHARE * calls_per_s, MIN_DIALS_PER_S)
+        spread_s = min(self.deploy_interval.spread_s(now), traffic_spread_s)
         dials = []
-        for name, at in self._start.times(now, spread_s, unconnected):
+        for name, at in self._start.times(now, spread_s, candidates):
             dials.append((self._reachability.earliest_dial_at(at, name), name))
         if not dials:
             return None
--- a/lapishaven/client/membership.py
+++ b/lapishaven/client/membership.py
@@ -1,8 +1,8 @@
 """The client's view of the endpoint list, which tolerates late, missing and wrong versions. Pure.
 
 The list itself is a shared, immutable ``EndpointList``. The state of each client is small: the doubted endpoints
-(missing on a list that is not trusted), when each endpoint was last seen, and when each version was applied. A
-process therefore holds the list once, and a simulation of thousands of clients needs little more memory.
+(kept although a list that was held back lacks them), when each endpoint last responded, and when each version was
+applied. A process therefore holds the list once, and a simulation of thousands of clients needs little more memory.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from lapishaven.client.settings import Catalog
 from lapishaven.proto.catalog import Delta, Listed, Listing, listing, text
 
-MAX_VERSION_TIMES = 64  # the times of this many versions are remembered
-NEVER_S = -1e18  # before every time on the policy's clock
+MAX_VERSION_TIMES = 64  # the times at which this many of the most recent versions were applied are remembered
+NEVER_S = -1e18  # seconds; earlier than any time on the client's clock
 
 
 @dataclass(slots=True)
@@ -24,9 +24,10 @@
     """A tracked endpoint as the list shows it, kept up to date while it is tracked.
 
     ``listed``: its row in the list.
-    ``listed_since``: when this client first saw it on the list.
+    ``listed_since``: when this client first saw it on the list; if that is no longer remembered, when the registry
+    last answered before it was tracked.
     ``warmed_up``: it was on the first list, so it is assumed to have been running for a while.
-    ``doubted_since``: since when it has been missing on a list that is not trusted; None if the list has it.
+    ``doubted_since``: when a list that lacks it was first held back (``ListVerdict.HELD_BACK``); None if it is listed.
     ``last_seen_at``: when the client last received a response from it.
     """
 
@@ -38,18 +39,18 @@
 
 
 class VersionTimes:
-    """The times at which this client applied the last versions, by the serial number of the list."""
+    """When this client applied each of the last ``MAX_VERSION_TIMES`` versions, by ``EndpointList.serial``."""
 
     def __init__(self) -> None:
         self.first_serial = -1  # serial of the first list that was applied
         self._times: OrderedDict[int, float] = OrderedDict()
 
-    def record(self, now: float, serial: int, first: bool) -> None:
-        """Record that a list was applied; ``first``: it is the first one."""
+    def record(self, now: float, serial: int, is_first: bool) -> None:
+        """Record that a list was applied; ``is_first``: it is the first one, from the registry or from a file."""
         self._times[serial] = now
         while len(self._times) > MAX_VERSION_TIMES:
             self._times.popitem(last=False)
-        if first:
+        if is_first:
             self.first_serial = serial
 
     def applied_at(self, serial: int, default: float) -> float:
@@ -62,9 +63,9 @@
 
     TAKEN = "taken"
     STALE = "stale"  # not newer than the current version
-    EMPTY = "empty"  # never trusted
-    HELD_BACK = "held back"  # too many endpoints are missing: they are kept for now, additions are applied
-    NOT_CONSECUTIVE = "apart"  # a delta from another version than the current one; the full list is needed
+    EMPTY = "empty"  # it has no endpoints, but the client knows some: ignored
+    HELD_BACK = "held back"  # it lacks too many endpoints: these are kept for now, all other changes are applied
+    NOT_CONSECUTIVE = "apart"  # a delta that does not start at the current version; the full list is needed
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +74,7 @@
 
     ``left``: removed, or replaced by another server under the same name.
     ``changed``: began or ceased to pass the health checks.
-    ``doubted``: missing on a list that was held back.
+    ``doubted``: missing on a list that was held back, including those that were doubted before.
     """
 
     verdict: ListVerdict
@@ -86,12 +87,14 @@
 class Membership:
     """The last good endpoint list. It stays in use while the service registry is unreachable.
 
-    A list that lacks more than ``rules.drop_share`` of the endpoints is treated as a fault of the registry: its
-    additions are applied, and a missing endpoint is kept until it has answered nothing for ``rules.confirm_s`` or the
-    client itself finds it gone (``remove_doubted``). An empty list is always treated as a fault and ignored.
+    A list that lacks more than ``rules.drop_share`` of the known endpoints (listed and doubted) is treated as a fault
+    of the registry and held back: its other changes are applied, but the missing endpoints are doubted instead of
+    removed. A doubted endpoint is kept until it has sent no response for ``rules.confirm_s``, or until the client
+    itself finds it gone: a dial fails, or its connection is lost or drained (``remove_doubted``). The first list is
+    never held back. An empty list is ignored as a fault once any endpoint is known.
 
     ``endpoint_list``: the current list, identified by ``epoch`` and ``version``.
-    ``last_update_at``: when the registry last answered with a list.
+    ``last_update_at``: when the registry last answered with a list or a delta, whether or not it was applied.
     ``needs_full_list``: the next poll must request the full list instead of a delta.
     """
 
@@ -145,20 +148,20 @@
 
     # ---- Tracking
     def track(self, name: str) -> Member | None:
-        """Return the member of this name and keep it up to date from now on; None if it is not on the list."""
+        """Return the member of this name and keep it up to date from now on; None if it is unknown."""
         member = self._tracked.get(name)
         if member is not None:
             return member
         row = self.row(name)
         if row is None:
             return None
-        added_at = self.endpoint_list.added_at_serial.get(name, self._version_times.first_serial)
-        first_seen = self.last_update_at if self.last_update_at is not None else 0.0
+        added_at_serial = self.endpoint_list.added_at_serial.get(name, self._version_times.first_serial)
+        default_listed_since = self.last_update_at if self.last_update_at is not None else 0.0
         doubted = self._doubted.get(name)
         member = Member(
             listed=row,
-            listed_since=self._version_times.applied_at(added_at, first_seen),
-            warmed_up=added_at <= self._version_times.first_serial,
+            listed_since=self._version_times.applied_at(added_at_serial, default_listed_since),
+            warmed_up=added_at_serial <= self._version_times.first_serial,
             doubted_since=doubted[1] if doubted else None,
             last_seen_at=self._last_seen_at.get(name, NEVER_S),
         )
@@ -170,17 +173,17 @@
         self._tracked.pop(name, None)
 
     # ---- Lists
-    def apply_list(self, now: float, listing: Listing) -> MembershipChange:
+    def apply_list(self, now: float, new_list: Listing) -> MembershipChange:
         """Apply a full list, or the part of it that is trusted."""
-        first = self.epoch is None
+        is_first = self.epoch is None
         self.last_update_at = now
-        if not first and listing.epoch == self.epoch and listing.version <= self.version:
+        if not is_first and new_list.epoch == self.epoch and new_list.version <= self.version:
             return MembershipChange(ListVerdict.STALE)
-        if not listing.servers and len(self):
+        if not new_list.servers and len(self):
             self.needs_full_list = True
             return MembershipChange(ListVerdict.EMPTY)
         self.needs_full_list = False
-        return self._apply(now, replace_list(self.endpoint_list, listing), first)
+        return self._apply(now, replace_list(self.endpoint_list, new_list), is_first)
 
     def apply_delta(self, now: float, delta: Delta) -> MembershipChange:
         """Apply the changes since the current version."""
@@ -215,13 +218,13 @@
         return self._apply(now, replace_list(self.endpoint_list, saved_list), True)
 
     # ---- Applying an update
-    def _apply(self, now: float, update: ListUpdate, first: bool) -> MembershipChange:
+    def _apply(self, now: float, update: ListUpdate, is_first: bool) -> MembershipChange:
         before, after = self.endpoint_list, update.endpoint_list
         size_before = len(self)
         self.endpoint_list = after
         self.epoch = after.epoch
         self.version = after.version
-        self._version_times.record(now, after.serial, first)
+        self._version_times.record(now, after.serial, is_first)
         replaced = [name for name in update.left if name in after.rows]  # another server with the same name
         for name in replaced:
             self._tracked.pop(name, None)
@@ -229,7 +232,7 @@
         missing = newly_missing + [name for name in self._doubted if name not in after.rows]
         for name in [name for name in self._doubted if name in after.rows]:
             del self._doubted[name]
-        hold_back = not first and len(missing) > self.rules.drop_share * size_before
+        hold_back = not is_first and len(missing) > self.rules.drop_share * size_before
         for name in missing:
             if not hold_back:
                 self._forget(name)
@@ -263,14 +266,14 @@
                 member.last_seen_at = now
 
     def remove_doubted(self, name: str) -> bool:
-        """Remove an endpoint that the client found gone, if it is doubted; return whether it was."""
+        """Remove an endpoint that the client found gone, if it is doubted; return whether it was removed."""
         if name not in self._doubted:
             return False
         self._forget(name)
         return True
 
     def remove_expired(self, now: float) -> list[str]:
-        """Remove endpoints that are doubted and answered nothing for ``rules.confirm_s``; return their names."""
+        """Remove doubted endpoints without a response in the last ``rules.confirm_s``; return their names."""
         expired = [
             name
             for name, (_, doubted_since) in self._doubted.items()
@@ -284,8 +287,10 @@
 def rendezvous_subset(names: list[str], size: int, client_identity: int) -> list[str]:
     """Return the endpoints that one process uses, by rendezvous hashing (Thaler and Ravishankar, 1998).
 
-    The endpoints are spread evenly over the processes. An endpoint that joins or leaves changes one endpoint in the
-    subsets that have it, and nothing else. A ``size`` of 0 selects all endpoints.
+    ``client_identity``: the random number of the process, which seeds the hash (``EndpointTable.identity``). The
+    endpoints are spread evenly over the processes. When an endpoint joins or leaves, each subset that contains it
+    changes by that endpoint and the one that it replaces or that replaces it; no other subset changes. A ``size`` of 0
+    selects all endpoints.
     """
     if not size or len(names) <= size:
         return sorted(names)
--- a/lapishaven/idempotency/result_store.py
+++ b/lapishaven/idempotency/result_store.py
@@ -15,7 +15,7 @@
 from lapishaven.net.completion_queue import CompletionQueue
 from lapishaven.storage import Store, StoreError, StoreFullError
 
-MAX_EFFECTS = 100_000
+MAX_EFFECTS = 100_000  # default of ``limit``
 STALL_S = 0.5  # age of the oldest unfinished write above which no new run is admitted
 RETRY_AFTER_S = 1.0  # used if it is unknown when there will be capacity
 EXPIRY_INTERVAL_S = 10.0  # time between two removals of expired effects
@@ -43,9 +43,9 @@
         self._completions = CompletionQueue()
         self._write_lock = threading.Lock()  # guards _write_started_at
         self._write_started_at: deque[float] = deque()  # start time of each unfinished write, oldest first
-        self._expired_at = wall()
+        self._last_expiry_at = wall()  # when expired effects were last removed
         for store_key, value, _ in store.scan():
-            with suppress(ValueError):
+            with suppress(ValueError):  # a value that is not a stored effect is skipped
                 self.index.restore(store_key, decode(value))
 
     @property
@@ -54,61 +54,64 @@
         return self._completions.ready
 
     @staticmethod
-    def store_key(cls: str, key: str) -> bytes:
+    def store_key(class_name: str, key: str) -> bytes:
         """The key under which an effect is stored in the embedded store."""
-        return f"{cls}\0{key}".encode()
+        return f"{class_name}\0{key}".encode()
 
     # ---- Implementation of core.ports.DurableResultStore
-    def find(self, cls: str, key: str) -> Entry:
-        """What is known of an effect."""
-        return self.index.find(self._wall(), self.store_key(cls, key))
+    def find(self, class_name: str, key: str) -> Entry:
+        """What is known of an effect, from memory."""
+        return self.index.find(self._wall(), self.store_key(class_name, key))
 
-    def record_intent(self, cls: str, key: str, sub: Submission, then: IntentCallback) -> float | None:
-        """Write the intent; ``then`` is called with whether it is durable.
+    def record_intent(
+        self, class_name: str, key: str, submission: Submission, callback: IntentCallback
+    ) -> float | None:
+        """Write the intent; ``callback`` is called with whether it is durable.
 
-        Returns ``None``, or the seconds after which to retry if the intent is rejected; ``then`` is not called then.
+        Returns ``None``, or the seconds after which to retry if the intent is rejected; ``callback`` is then never
+        called.
         """
-        wall = self._wall()
-        store_key = self.store_key(cls, key)
-        retry_after = self._retry_after(wall)
+        wall_time = self._wall()
+        store_key = self.store_key(class_name, key)
+        retry_after = self._retry_after(wall_time)
         if retry_after is not None:
             return retry_after
         try:
-            future = self.store.put(store_key, encode(wall, None), wall + self.index.lifetime_s)
+            future = self.store.put(store_key, encode(wall_time, None), wall_time + self.index.lifetime_s)
         except StoreFullError as error:
             return error.retry_after_s or RETRY_AFTER_S
         except (StoreError, ValueError):
             return RETRY_AFTER_S
-        self.index.mark_running(wall, store_key)
+        self.index.mark_running(wall_time, store_key)
 
         def intent_written(durable: bool) -> None:
-            then(IntentOutcome.RECORDED if durable else IntentOutcome.NOT_RECORDED)
+            callback(IntentOutcome.RECORDED if durable else IntentOutcome.NOT_RECORDED)
 
         self._notify_when_durable(future, intent_written)
         return None
 
-    def _retry_after(self, wall: float) -> float | None:
+    def _retry_after(self, wall_time: float) -> float | None:
         """``None`` if a new effect is admitted, else the seconds after which to retry."""
-        if wall - self._expired_at > EXPIRY_INTERVAL_S:
-            self._expired_at = wall
-            self.index.remove_expired(wall)
+        if wall_time - self._last_expiry_at > EXPIRY_INTERVAL_S:
+            self._last_expiry_at = wall_time
+            self.index.remove_expired(wall_time)
         if len(self.index) >= self.limit:
-            self.index.remove_expired(wall)
+            self.index.remove_expired(wall_time)
             if len(self.index) >= self.limit:
-                return self.index.next_expiry_in(wall) or RETRY_AFTER_S
+                return self.index.next_expiry_in(wall_time) or RETRY_AFTER_S
         with self._write_lock:
             stalled = self._write_started_at and time.monotonic() - self._write_started_at[0] > STALL_S
         return RETRY_AFTER_S if stalled else None
 
-    def record_result(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None:
-        """Write the result; ``then`` is called with whether it is durable."""
-        store_key = self.store_key(cls, key)
+    def record_result(self, class_name: str, key: str, result: bytes, callback: Callable[[bool], None]) -> None:
+        """Write the result; ``callback`` is called with whether it is durable."""
+        store_key = self.store_key(class_name, key)
         since = self.index.find(self._wall(), store_key).since
         try:
             future = self.store.put(store_key, encode(since, result), since + self.index.lifetime_s)
         except (StoreError, ValueError):
             self.index.mark_uncertain(store_key)
-            self._completions.post(lambda: then(False))
+            self._completions.post(lambda: callback(False))
             return
 
         def result_written(durable: bool) -> None:
@@ -116,28 +119,29 @@
                 self.index.mark_completed(self._wall(), store_key, result)
             else:
                 self.index.mark_uncertain(store_key)
-            then(durable)
+            callback(durable)
 
         self._notify_when_durable(future, result_written)
 
-    def record_failure(self, cls: str, key: str) -> None:
-        """Note that the effect ran and gave no result. The stored intent already means that, so nothing is written."""
-        self.index.mark_uncertain(self.store_key(cls, key))
+    def record_failure(self, class_name: str, key: str) -> None:
+        """Note that the effect ran or may have run, and gave no result. Nothing is written, as the stored intent
+        already means that."""
+        self.index.mark_uncertain(self.store_key(class_name, key))
 
-    def cancel_intent(self, cls: str, key: str) -> None:
+    def cancel_intent(self, class_name: str, key: str) -> None:
         """Remove an effect that provably never ran, which frees its key."""
-        store_key = self.store_key(cls, key)
+        store_key = self.store_key(class_name, key)
         self.index.remove(store_key)
-        with suppress(StoreError):
+        with suppress(StoreError):  # the intent then stays, and a later process takes the effect as uncertain
             self.store.delete(store_key)
 
     def uncertain_effects(self) -> list[tuple[str, str, float]]:
         """Class, key and age in seconds of each effect that ran or may have run and has no result."""
-        wall = self._wall()
+        wall_time = self._wall()
         uncertain = []
         for store_key, entry in self.index.uncertain_entries():
-            cls, _, key = store_key.decode().partition("\0")
-            uncertain.append((cls, key, max(0.0, wall - entry.since)))
+            class_name, _, key = store_key.decode().partition("\0")
+            uncertain.append((class_name, key, max(0.0, wall_time - entry.since)))
         return uncertain
 
     def process_completions(self) -> None:
@@ -165,8 +169,8 @@
         self._completions.close()
 
     # ---- Callbacks from the store's thread
-    def _notify_when_durable(self, future: Future[int], then: Callable[[bool], None]) -> None:
-        """Call ``then`` on the event loop once the write has ended, with whether it is durable."""
+    def _notify_when_durable(self, future: Future[int], callback: Callable[[bool], None]) -> None:
+        """Call ``callback`` on the event loop once the write has ended, with whether it is durable."""
         with self._write_lock:
             self._write_started_at.append(time.monotonic())
 
@@ -175,6 +179,6 @@
                 if self._write_started_at:
                     self._write_started_at.popleft()  # writes end in the order in which they were started
             durable = future.exception() is None
-            self._completions.post(lambda: then(durable))
+            self._completions.post(lambda: callback(durable))
 
         future.add_done_callback(write_ended)
--- a/lapishaven/ledger/recorder.py
+++ b/lapishaven/ledger/recorder.py
@@ -37,16 +37,16 @@
     Parameters:
         database: the ledger's file; this object closes it.
         incarnation: identifies this start of the server.
-        meters: the meter of each class that has one of its own.
+        meters: the meter of each class that has one of its own. A meter counts the words that an effect is charged.
         default_meter: the meter of all other classes.
         rules: limits of the queue of entries that wait to be written.
         wall: clock that gives Unix seconds.
         clock: monotonic clock in seconds.
 
     Attributes:
-        rejected: commits rejected because the ledger was slow or failing.
-        completed_elsewhere: commits that another incarnation had completed.
-        uncertain: commits that another incarnation may have run.
+        rejected: intents rejected because the ledger was slow or failing.
+        completed_elsewhere: intents of effects that the ledger has as completed, as a rule by another incarnation.
+        uncertain: intents of effects that may have run and have no result, as a rule under another incarnation.
     """
 
     label = "record"
@@ -83,35 +83,38 @@
         return self._completions.ready
 
     # ---- Implementation of core.ports.DurableResultStore
-    def find(self, cls: str, key: str) -> KnownEffect:
+    def find(self, class_name: str, key: str) -> KnownEffect:
         """What is known without reading the file: cached results, of this incarnation and of others."""
-        result = self._cached_results.get((cls, key))
+        result = self._cached_results.get((class_name, key))
         if result is None:
             return KnownResult(EffectState.UNKNOWN)
         return KnownResult(EffectState.DONE, result)
 
-    def record_intent(self, cls: str, key: str, sub: Submission, then: IntentCallback) -> float | None:
-        """Write the intent; ``then`` is called with whether it is durable, or with what is known of the effect.
+    def record_intent(
+        self, class_name: str, key: str, submission: Submission, callback: IntentCallback
+    ) -> float | None:
+        """Write the intent; ``callback`` is called with whether it is durable, or with what is known of the effect.
 
-        Returns ``None``, or the seconds after which to retry if the intent is rejected; ``then`` is not called then.
+        Returns ``None``, or the seconds after which to retry if the intent is rejected; ``callback`` is then never
+        called.
         """
         with self._backpressure_lock:
             retry_after = self._backpressure.retry_after(self._clock())
         if retry_after is not None:
             self.rejected += 1
             return retry_after
-        effect_id = cls, key
-        self._running[effect_id] = sub
-        customer = f"{sub.team}/{sub.service}" if sub.team else f"caller/{sub.caller_id}"
-        operation = Operation(EffectEvent.INTEND, cls, key, self.incarnation, self._wall(), customer)
-        self._submit(operation, lambda outcome: then(self._intent_outcome(effect_id, outcome)))
+        effect_id = class_name, key
+        self._running[effect_id] = submission
+        customer = f"{submission.team}/{submission.service}" if submission.team else f"caller/{submission.caller_id}"
+        operation = Operation(EffectEvent.INTEND, class_name, key, self.incarnation, self._wall(), customer)
+        self._submit(operation, lambda outcome: callback(self._intent_outcome(effect_id, outcome)))
         return None
 
     def _intent_outcome(self, effect_id: EffectId, outcome: OperationOutcome | None) -> IntentOutcome | KnownEffect:
         if outcome is not None and outcome.decision is Decision.APPLY:
             return IntentOutcome.RECORDED
         self._running.pop(effect_id, None)
-        if outcome is None:
+        if outcome is None:  # the write failed
             return IntentOutcome.NOT_RECORDED
         if outcome.decision is Decision.ALREADY_COMPLETED:
             self.completed_elsewhere += 1
@@ -120,35 +123,35 @@
         self.uncertain += 1
         return KnownResult(EffectState.UNCERTAIN)
 
-    def record_result(self, cls: str, key: str, result: bytes, then: Callable[[bool], None]) -> None:
-        """Write the result and its charge; ``then`` is called with whether they are durable."""
-        effect_id = cls, key
-        sub = self._running.pop(effect_id, None)
-        meter = self._meters.get(cls, self._default_meter)
-        words = meter(sub.body if sub is not None else b"", result)
+    def record_result(self, class_name: str, key: str, result: bytes, callback: Callable[[bool], None]) -> None:
+        """Write the result and its charge; ``callback`` is called with whether they are durable."""
+        effect_id = class_name, key
+        submission = self._running.pop(effect_id, None)
+        meter = self._meters.get(class_name, self._default_meter)
+        words = meter(submission.body if submission is not None else b"", result)
 
         def result_written(outcome: OperationOutcome | None) -> None:
             durable = outcome is not None and outcome.decision is not Decision.IGNORE
             if durable:
                 self._cache_result(effect_id, result)
-            then(durable)
+            callback(durable)
 
         self._submit(
-            Operation(EffectEvent.COMPLETE, cls, key, self.incarnation, self._wall(), "", result, words),
+            Operation(EffectEvent.COMPLETE, class_name, key, self.incarnation, self._wall(), "", result, words),
             result_written,
         )
 
-    def record_failure(self, cls: str, key: str) -> None:
-        """Record that the effect ran and gave no result."""
-        self._end_without_result(EffectEvent.FAIL, cls, key)
+    def record_failure(self, class_name: str, key: str) -> None:
+        """Record that the effect ran or may have run, and gave no result."""
+        self._end_without_result(EffectEvent.FAIL, class_name, key)
 
-    def cancel_intent(self, cls: str, key: str) -> None:
+    def cancel_intent(self, class_name: str, key: str) -> None:
         """Record that the effect provably never ran, which frees its key."""
-        self._end_without_result(EffectEvent.CANCEL, cls, key)
+        self._end_without_result(EffectEvent.CANCEL, class_name, key)
 
-    def _end_without_result(self, event: EffectEvent, cls: str, key: str) -> None:
-        self._running.pop((cls, key), None)
-        self._submit(Operation(event, cls, key, self.incarnation, self._wall()), lambda outcome: None)
+    def _end_without_result(self, event: EffectEvent, class_name: str, key: str) -> None:
+        self._running.pop((class_name, key), None)
+        self._submit(Operation(event, class_name, key, self.incarnation, self._wall()), lambda outcome: None)
 
     def uncertain_effects(self) -> list[tuple[str, str, float]]:
         """Always empty: each repeat is checked against the file before it runs."""
@@ -182,11 +185,13 @@
 
     # ---- Communication with the writer thread
     def _submit(self, operation: Operation, on_written: Callable[[OperationOutcome | None], None]) -> None:
+        """Queue an operation; ``on_written`` is called on the event loop, with ``None`` if the write failed."""
         with self._backpressure_lock:
             self._backpressure.entry_added(self._clock())
         self._writer.submit(operation, lambda outcome: self._completions.post(lambda: on_written(outcome)))
 
     def _group_settled(self, count: int, durable: bool) -> None:
+        """Take note that the writer has written a group of ``count`` operations, or has failed to."""
         with self._backpressure_lock:
             self._backpressure.entries_settled(self._clock(), count, durable)
 
--- a/lapishaven/ledger/transitions.py
+++ b/lapishaven/ledger/transitions.py
@@ -2,7 +2,7 @@
 
 An ``INTENDED`` row is durable before the run starts; a ``COMPLETED`` row, with result and charge, before the reply is
 sent. So the effect of an ``INTENDED`` row whose server died may have run: it is never run again and never reported as
-rejected. The values of ``EffectState`` are stored in the file. Does no I/O.
+rejected. Does no I/O.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class EffectState(Enum):
-    """State of an effect; the values are stored in the file."""
+    """State of an effect's row; the values are stored in the file. The core is told a ``core.ports.EffectState``."""
 
     ABSENT = "none"  # no row: it never ran
     INTENDED = "intended"  # a server incarnation runs it, or died while running it
@@ -38,8 +38,8 @@
     IGNORE = "nothing"  # nothing changes: the row is not this incarnation's, or the event does not fit its state
 
 
-# Decision and next state, by current state, event, and whether the reporting incarnation intended the row. Combinations
-# that are not listed are ignored.
+# Decision and next state, by current state, event, and whether the reporting incarnation intended the row. An absent
+# row belongs to no incarnation. Combinations that are not listed are ignored.
 TRANSITIONS: dict[tuple[EffectState, EffectEvent, bool], tuple[Decision, EffectState]] = {
     (EffectState.ABSENT, EffectEvent.INTEND, False): (Decision.APPLY, EffectState.INTENDED),
     (EffectState.INTENDED, EffectEvent.INTEND, False): (Decision.UNCERTAIN, EffectState.INTENDED),
--- a/lapishaven/ownership/assignment.py
+++ b/lapishaven/ownership/assignment.py
@@ -81,7 +81,7 @@
         """Whether any shard is queued for transfer."""
         return bool(self._transfers)
 
-    def renew_claims(self) -> None:
+    def reset_claim_allowance(self) -> None:
         """Restore the number of claims allowed between two renewals."""
         self._claims_left = self._rules.claims_per_renewal
 
--- a/lapishaven/ownership/duties/budgets.py
+++ b/lapishaven/ownership/duties/budgets.py
@@ -3,9 +3,9 @@
 A contract's rate is divided over members in grants that last for ``span`` seconds. A new owner of the shard reads from
 the store the grants that may still be in use, and counts them before it makes new ones. A member without a grant falls
 back to its static share, ``fallback_share / members`` of the rate. So valid grants sum to at most the rate, and
-together with members on their static shares at most ``1 + fallback_share`` of it can be used: this is the stated
-overshoot. Tokens that members report as overflowed are granted again, up to ``MAX_OVERFLOW_SHARE`` of the rate, which
-adds that much to the bound.
+together with the static shares of members without a grant, at most ``1 + fallback_share`` times the rate can be used:
+this is the bound on overshoot. Tokens that members report as overflowed are granted again, up to
+``MAX_OVERFLOW_SHARE`` of the rate, which adds that much to the bound.
 
 Clocks of different processes are never compared. A grant lasts for ``span`` from when its member asked for it. Its
 owner, old or new, counts it as outstanding for two spans from when it was made, or until the member reports a newer
@@ -24,6 +24,9 @@
 
 from lapishaven.ownership.fenced_store import DutySchema
 
+# The columns: ``need`` is a member's demand, ``seen`` the count of its reports, ``adopted`` the round that it uses,
+# ``spill`` its overflow rate, ``rate`` its grant in the latest round, and ``most`` the highest rate that it may still
+# be using under any outstanding grant. All rates are in requests a second.
 SCHEMA = """
 create table if not exists budget_need (
     contract text not null, member text not null, need real not null, seen integer not null,
@@ -40,14 +43,14 @@
 ) without rowid;
 create table if not exists budget_round (contract text primary key, round integer not null) without rowid
 """
-MIN_BUCKET_TOKENS = 12.0  # allows for bunched arrivals at low rates (3 requests a second)
+MIN_BUCKET_TOKENS = 12.0  # allows for bursts of arrivals at low rates (3 requests a second)
 SMOOTHING_S = 4.0  # time constant of the moving averages
 MAX_OVERFLOW_SHARE = 0.03  # share of the rate that may be granted on top, to replace tokens that overflowed
 MIN_RATE_PER_S = 1e-9  # keeps Retry-After finite
-STEPS_PER_SPAN = 8
-IDLE_INTERVAL_S = 60.0  # between steps of a shard without a contract
+STEPS_PER_SPAN = 8  # rounds of grants within the lifetime of one grant
+IDLE_INTERVAL_S = 60.0  # between steps of a shard that has no contract
 NEVER = float("-inf")
-NOT_MEASURED = -1.0
+NOT_MEASURED = -1.0  # in place of a demand, before the first measurement
 
 ReadRows = Callable[..., list[tuple[Any, ...]]]
 
@@ -57,8 +60,9 @@
 class QuotaBucket:
     """A member's token bucket for one contract. ``now`` is in seconds on the member's own monotonic clock.
 
-    A grant lasts for ``span`` seconds from when it was **asked for**. It is not extended by reading it again once its
-    round has not changed for a span, as its owner is then gone. After it the member falls back to its static share.
+    A grant lasts for ``span`` seconds from when the member **asked for** it. Asking again extends it, but only while
+    its round is less than a span old: an owner that has made no new round for that long is gone. When the grant has
+    expired, the member falls back to its static share.
     """
 
     rate: float
@@ -68,7 +72,7 @@
     fallback_share: float
     """Share of the rate that members without a grant may use together."""
     burst_s: float
-    """Depth of the bucket in seconds of the rate in force; at least ``MIN_BUCKET_TOKENS``."""
+    """Depth of the bucket: the tokens of this many seconds at the rate in force, but at least ``MIN_BUCKET_TOKENS``."""
     granted_rate: float = 0.0
     granted_until: float = NEVER
     round: int = 0
@@ -82,7 +86,7 @@
     _measured_at: float = NEVER
     _demand: float = NOT_MEASURED
     _newest_round: int = -1
-    _newest_round_since: float = 0.0
+    _newest_round_since: float = 0.0  # when the member first asked for a grant and got that round
 
     def grant(self, now: float, asked_at: float, rate: float, span: float, round_number: int) -> None:
         """Adopt a grant of ``rate`` that was asked for at ``asked_at``, unless it has already expired."""
@@ -96,7 +100,7 @@
             self.round = round_number
 
     def take(self, now: float) -> float | None:
-        """Take a token for one request: returns None if one was available, else the seconds until one may be."""
+        """Take a token for one request. Returns None if there was one, else the seconds until there may be one."""
         self._requests += 1
         self._refill(now)
         if self._tokens >= 1.0:
@@ -106,7 +110,8 @@
         return (1.0 - self._tokens) / max(rate, MIN_RATE_PER_S)
 
     def measure_demand(self, now: float) -> float:
-        """Requests a second since the last call, as a moving average: single intervals hold too few requests."""
+        """The demand in requests a second; also updates ``overflow_rate``. Both are moving averages over the intervals
+        between calls, as a single interval has too few requests; the demand is 0 before the second call."""
         measured_at = self._measured_at
         self._measured_at = now
         self._refill(now)
@@ -163,8 +168,9 @@
 def grantable_rates(rate: float, wanted: Mapping[str, float], outstanding: Mapping[str, float]) -> dict[str, float]:
     """The part of ``wanted`` that may be granted now, while members may still use ``outstanding``.
 
-    Over all members, the larger of outstanding and granted rate sums to at most ``rate``. Cuts take effect at once;
-    rises share what is free.
+    Each member may use the larger of its outstanding and its granted rate; these sum to at most ``rate``, unless the
+    outstanding rates alone exceed it. A member that is to get less is cut at once. Members that are to get more share
+    what is free, in proportion to their rises.
     """
     kept_rates = {name: min(wanted_rate, outstanding.get(name, 0.0)) for name, wanted_rate in wanted.items()}
     committed = sum(outstanding.values())
@@ -179,8 +185,9 @@
 
 # ---- The effect, and reports of members
 def replace_grants(connection: sqlite3.Connection, detail: Any) -> Any:
-    """The effect ``grant``: replace a contract's grants by those of a new round. Grants of the last round that members
-    still use expire by themselves; the owner counts them until then (``QuotaDistribution``)."""
+    """The effect ``grant``: replace a contract's grants by those of a new round. ``detail`` has ``contract``, ``round``
+    and ``grants``, which holds by member its rate and the highest rate that it may still be using. Grants of the last
+    round that members still use expire by themselves; the owner counts them until then (``QuotaDistribution``)."""
     contract = detail["contract"]
     connection.execute("delete from budget_grant where contract = ?", (contract,))
     connection.executemany(
@@ -214,12 +221,12 @@
 
     round: int
     rate: float
-    until: float
+    until: float  # on the owner's clock
 
 
 class _LastReport(NamedTuple):
     report_count: int
-    since: float
+    since: float  # when the owner first read this count, on its own clock
 
 
 @dataclass(slots=True)
@@ -236,7 +243,7 @@
 
 
 class QuotaDistribution:
-    """The duty: each contract is a shard. Members are granted only what certainly no other member may still use."""
+    """The duty: each contract is a shard. No part of its rate is granted while another member may still be using it."""
 
     name = "budgets"
 
@@ -250,7 +257,7 @@
         self._progress: dict[int, _ContractProgress] = {}
 
     def step(self, shard_number: int, apply_effect: Callable[[str, Any], Any], now: float) -> float:
-        """Make one round of grants."""
+        """Make one round of grants for a contract; returns the seconds until the next step."""
         if shard_number >= len(self._contracts):
             return IDLE_INTERVAL_S
         contract, rate = self._contracts[shard_number]
@@ -265,21 +272,23 @@
         rate += self._overflow_rate(contract, rate, demands)
         outstanding = progress.outstanding
         _drop_unused(outstanding, rounds_in_use, now)
-        highest = {name: _highest_rate(grants) for name, grants in outstanding.items()}
+        highest = {name: _highest_rate(member_grants) for name, member_grants in outstanding.items()}
         new_rates = grantable_rates(rate, max_min_fair_rates(rate, demands), highest)
         new_round = last_round + 1
         for name in set(outstanding) | set(new_rates):
             grant = OutstandingGrant(new_round, new_rates.get(name, 0.0), now + 2 * self._span)
             outstanding.setdefault(name, []).append(grant)
         grants = {
-            name: (new_rates.get(name, 0.0), _highest_rate(grants)) for name, grants in sorted(outstanding.items())
+            name: (new_rates.get(name, 0.0), _highest_rate(member_grants))
+            for name, member_grants in sorted(outstanding.items())
         }
         apply_effect("grant", {"contract": contract, "grants": grants, "round": new_round})
         progress.granted_round = new_round
         return self._span / STEPS_PER_SPAN
 
     def _read_outstanding(self, contract: str, now: float) -> dict[str, list[OutstandingGrant]]:
-        """Grants in the store that members may still use, counted for two spans from now."""
+        """Grants in the store that members may still use, counted for two spans from now. The store also has the
+        highest rate of all outstanding grants, which is counted as a grant of the round before the last."""
         rows = self._read("select member, rate, most, round from budget_grant where contract = ?", (contract,))
         until = now + 2 * self._span
         return {
@@ -296,7 +305,8 @@
     def _read_demands(
         self, contract: str, progress: _ContractProgress, now: float
     ) -> tuple[dict[str, float], dict[str, int]]:
-        """Demands of members with a report within the last span by this owner's clock, and rounds in use by all."""
+        """The demand of each member that has reported within the last span by this owner's clock, and the round that
+        each member uses, whether it has reported recently or not."""
         demands: dict[str, float] = {}
         rounds_in_use: dict[str, int] = {}
         rows = self._read("select member, need, seen, adopted from budget_need where contract = ?", (contract,))
@@ -312,7 +322,7 @@
 
 
 def _drop_unused(outstanding: dict[str, list[OutstandingGrant]], rounds_in_use: Mapping[str, int], now: float) -> None:
-    """Remove grants that have expired, and those older than the one that their member uses."""
+    """Remove grants that have expired, and those of rounds before the one that their member uses."""
     for member in list(outstanding):
         in_use = rounds_in_use.get(member, -1)
         remaining = [grant for grant in outstanding[member] if grant.round >= in_use and grant.until > now]
--- a/lapishaven/ownership/member.py
+++ b/lapishaven/ownership/member.py
@@ -64,12 +64,13 @@
 
     # ---- Called by the agent and the participant
     def token(self, now: float, shard: Shard) -> int | None:
-        """The fencing token for effects on a shard; None if this member may not act on it, or no longer."""
+        """The fencing token for effects on a shard; None if this member does not own it or its lease has expired."""
         return self.assignment.tokens.get(shard) if self.session.lease.usable(now) else None
 
     def effect_rejected(self, now: float, shard: Shard, token: int, token_in_force: int) -> None:
-        """A receiver rejected an effect as stale. The process was stopped for longer than its lease, so the session and
-        all its shards are given up."""
+        """A receiver rejected an effect as stale, as it has seen ``token_in_force``. If the shard's token is still the
+        rejected one, the process was stopped for longer than its lease: the session and all its shards are given up.
+        Otherwise the shard was lost or gained again in the meantime, and only the notice is added."""
         self.notices.add(
             NoticeKind.EFFECT_REJECTED, shard, token, f"the receiver has seen the newer token {token_in_force}"
         )
@@ -96,7 +97,7 @@
             self._rejoin(now)
 
     def next_due(self) -> float:
-        """The instant by which ``next_operation`` has to be called again."""
+        """The instant by which ``next_operation`` has to be called again; infinite once the member has deregistered."""
         if self.deregistered:
             return float("inf")
         schedule = self._schedule
@@ -124,7 +125,7 @@
         if session is None:
             return self._next_without_session(now)
         if self.session.renewal_due(now):
-            self.assignment.renew_claims()
+            self.assignment.reset_claim_allowance()
             return self.session.renew(now)
         if self.draining:
             return self._next_while_draining(now, session)
@@ -132,7 +133,7 @@
 
     def _next_without_session(self, now: float) -> Operation | None:
         if self.draining:
-            self.deregistered = True
+            self.deregistered = True  # without a session there is nothing to transfer or deregister
             return None
         if self.session.lease.state is LeaseState.UNCERTAIN:
             return ReadState()  # finds out whether an unanswered attempt to join was carried out
@@ -167,7 +168,7 @@
         if transfer is not None:
             return transfer
         if self.assignment.tokens and self.session.lease.usable(now):
-            return None  # effects are in flight
+            return None  # the remaining shards have effects in flight, after which they are transferred
         return Deregister(session)
 
     # ---- Outcomes
@@ -198,6 +199,7 @@
         elif isinstance(operation, Transfer):
             self._view_outdated = True
         else:
+            # A deregistration, whatever its outcome: if it was not carried out, the session expires by itself.
             self.deregistered = True
             self.session.id = None
             self.assignment.lose_all("the member deregistered")
--- a/lapishaven/ownership/placement.py
+++ b/lapishaven/ownership/placement.py
@@ -19,7 +19,7 @@
 
 from lapishaven.ownership.model import Shard
 
-LOAD_BOUND = 1.25  # a member owns at most this multiple of the mean
+LOAD_BOUND = 1.25  # a member owns at most this multiple of its fair share, or the share rounded up if that is more
 _HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 divided by the golden ratio (Fibonacci hashing)
 _HASH_MASK = (1 << 64) - 1
 
@@ -40,9 +40,9 @@
 def rendezvous_score(shard: Shard, candidate: Candidate) -> float:
     """The score of a member for a shard; the highest is preferred.
 
-    If all weights are 1, or none is, each member is preferred in proportion to its weight. Weight 1 is scored by ``u``
-    and other weights by ``1 + ln u / w``, so among mixed weights a member of weight 1 is preferred more often than in
-    proportion.
+    ``u`` is a hash of shard and member, uniform between 0 and 1. A member of weight 1 scores ``u``, one of another
+    weight ``w`` scores ``1 + ln u / w``. If all weights are 1, or none is, each member is preferred in proportion to
+    its weight. If some are, the members of weight 1 are preferred more often than in proportion.
     """
     duty, number = shard
     bits = (_hash(f"{duty}/{number}") ^ _hash(candidate.name)) * _HASH_MULTIPLIER & _HASH_MASK
@@ -52,9 +52,9 @@
 
 
 def max_shards(shard_count: int, candidate: Candidate, total_weight: float, load_bound: float = LOAD_BOUND) -> int:
-    """Most shards that a member may own; together the members always have capacity for all."""
-    mean = shard_count * candidate.weight / total_weight
-    return max(math.ceil(mean), math.floor(load_bound * mean))
+    """The maximum number of shards that a member may own. Over all members it sums to at least ``shard_count``."""
+    fair_count = shard_count * candidate.weight / total_weight
+    return max(math.ceil(fair_count), math.floor(load_bound * fair_count))
 
 
 @dataclass(slots=True)
@@ -62,8 +62,8 @@
     """A placement under construction."""
 
     candidates: Mapping[str, Candidate]
-    fair_counts: Mapping[str, float]
-    owned: dict[str, list[Shard]]
+    fair_counts: Mapping[str, float]  # by member: its share of the shards by weight, not rounded
+    owned: dict[str, list[Shard]]  # by member
 
     def assign(self, shards: Sequence[Shard]) -> None:
         """Give each shard to the member with the highest score, first among the members under their fair share (rounded
@@ -90,8 +90,8 @@
                 self.owned[fullest].remove(taken)
                 self.owned[name].append(taken)
 
-    def take_over_bound(self, name: str, bound: int) -> list[Shard]:
-        """Remove from a member the shards beyond ``bound``, those for which it scores lowest; returns them."""
+    def remove_excess(self, name: str, bound: int) -> list[Shard]:
+        """Remove the shards that a member owns above ``bound``, those for which it scores lowest; returns them."""
         shards = self.owned[name]
         excess = len(shards) - bound
         if excess <= 0:
@@ -116,8 +116,8 @@
 ) -> dict[Shard, str]:
     """The owner of every shard, by name; empty without candidates.
 
-    ``current`` holds the present owners; owners that are not candidates are ignored. Shards that have to move go to
-    members under their fair share, so that none moves twice.
+    ``current`` holds the present owner of each shard, by name; owners that are not candidates are ignored. Shards that
+    have to move go first to members under their fair share, so that none moves twice.
     """
     if not candidates:
         return {}
@@ -137,10 +137,10 @@
             unowned.append(shard)
     plan.assign(unowned)
     plan.rebalance()
-    over_bound: list[Shard] = []
+    excess: list[Shard] = []
     for name, candidate in by_name.items():
-        over_bound += plan.take_over_bound(name, max_shards(len(shards), candidate, total_weight, load_bound))
-    plan.assign(sorted(over_bound))
+        excess += plan.remove_excess(name, max_shards(len(shards), candidate, total_weight, load_bound))
+    plan.assign(sorted(excess))
     return {shard: name for name, owned in plan.owned.items() for shard in owned}
 
 
@@ -154,5 +154,5 @@
 def cached_placement(
     shards: tuple[Shard, ...], candidates: Sequence[Candidate], current: Mapping[Shard, str]
 ) -> Mapping[Shard, str]:
-    """``compute_placement``, cached by its arguments: the same view is evaluated several times."""
+    """``compute_placement`` with the default load bound, cached: the same view is evaluated several times."""
     return _placement(shards, tuple(candidates), frozenset(current.items()))
--- a/lapishaven/storage/compaction.py
+++ b/lapishaven/storage/compaction.py
@@ -42,14 +42,15 @@
         self._garbage_ratio = garbage_ratio
         self._write_copies = write_copies
         self._slice_lock = threading.Lock()
-        self._in_progress: Iterator[None] | None = None
+        self._in_progress: Iterator[None] | None = None  # of the segment that is being compacted
 
     def run_slice(self, max_bytes: int, everything: bool, max_number: int) -> bool:
-        """Copy about ``max_bytes`` of live records out of one segment; returns whether there is more to do.
+        """Copy about ``max_bytes`` of live records out of one segment; returns whether to call again.
 
         The segment is removed once all copies are durable. If compaction is interrupted at any point, reopening the
         store finds the same records. ``everything``: compact every sealed segment up to ``max_number``, even one
-        without garbage.
+        without garbage. Returns false if no segment qualifies, or if a copy could not be written: the segment then
+        stays, and a later call starts on it again.
         """
         with self._slice_lock:
             if self._in_progress is None:
@@ -139,10 +140,10 @@
             return True
 
     def _must_be_copied(self, segment: Segment, offset: int, record: Record) -> bool:
-        """Whether a record must be copied.
+        """Whether a record must be copied; if its key is gone for good, this also removes the key from the index.
 
-        A live put must. A tombstone or an expired put hides older records of its key, so it must be copied while any
-        other segment may have such a record; otherwise its key is removed from the index.
+        A live put must be copied. A tombstone or an expired put hides older records of its key, so it must be copied
+        while any other segment may have such a record. Otherwise its key is gone for good.
         """
         with self._state_lock:
             key_digest = digest(record.key)
@@ -151,12 +152,12 @@
                 return False
             expired = 0 < record.expiry <= self._clock.now()
             if record.kind == PUT and not expired:
-                return entry.location == pack_location(segment.number, offset)
-            hides_older = any(
+                return entry.location == pack_location(segment.number, offset)  # not if it was copied before
+            may_hide_older = any(
                 other.created_at_sequence < record.sequence for other in self._segments if other is not segment
             )
-            if not hides_older:
+            if not may_hide_older:
                 if entry.location != ABSENT:
                     self._index.put(key_digest, ABSENT, record.sequence, 0.0)
                 self._index.remove_tombstone(key_digest)
-            return hides_older
+            return may_hide_older
--- a/lapishaven/storage/recovery.py
+++ b/lapishaven/storage/recovery.py
@@ -21,7 +21,7 @@
 
 
 class Recovery:
-    """Opens a store's files once. Updates ``segments``, ``damage``, ``stats`` and ``clock``."""
+    """Opens a store's files once. Adds what it finds to ``segments``, ``damage``, ``stats`` and ``clock``."""
 
     def __init__(
         self,
@@ -44,7 +44,8 @@
         """
         for name in names:
             if name.endswith(TEMPORARY_SUFFIX):
-                self._files.remove(name)
+                self._files.remove(name)  # a hint file whose writing was interrupted
+        # Segment files are named by eight digits and the suffix (``Segment.name``).
         numbers = sorted(int(name[:8]) for name in names if name.endswith(SEGMENT_SUFFIX))
         row_arrays = [self._open_segment(number, is_last=number == numbers[-1]) for number in numbers]
         for segment in self._segments:
@@ -63,6 +64,7 @@
         else:
             rows = self._scan(segment, is_last)
         segment.record_count = len(rows)
+        # ``place``, as hint files name it, is the record's location.
         segment.tombstone_count = int(np.count_nonzero(rows["place"] == ABSENT))
         return rows
 
@@ -102,7 +104,7 @@
         """Drop a tail without a valid frame: a torn write in the last segment, damage in any other."""
         if is_last:
             self._stats.truncated_bytes += size - end
-            with suppress(OSError):
+            with suppress(OSError):  # the tail may stay, as nothing is appended to a segment of an earlier process
                 self._files.truncate(segment.name, end)
         else:
             self._damage.append(Damage(segment.number, end, size - end, "no valid frame up to the end of the segment"))
--- a/lapishaven/storage/store.py
+++ b/lapishaven/storage/store.py
@@ -35,7 +35,7 @@
 
 IDLE_WAIT_S = 1.0  # how long the store's thread waits for a batch before it checks the queue again
 COPY_WAIT_S = 0.0005  # pause of ``compact`` between slices, while the store's thread writes the copies
-PENDING_RETRY_S = 0.1  # suggested to a caller whose put is rejected because too many bytes wait to be written
+PENDING_RETRY_S = 0.1  # delay suggested to a caller whose put is rejected because too many bytes wait to be written
 SLICE_BYTES = 1 << 20  # bytes of records that one slice of compaction copies
 MAX_SEGMENT_NUMBER = 1 << 24  # a location has 24 bits for the segment number
 
@@ -182,19 +182,20 @@
             return self._pending.add_changes(records, size)
 
     def _check_capacity(self, size: int) -> None:
-        """Raise ``StoreFullError`` if a put of ``size`` bytes would exceed a limit."""
+        """Raise ``StoreFullError`` if a batch with puts, of ``size`` bytes, would exceed a limit."""
         pending = self._pending.queue.pending_bytes
         if pending + size > self.limits.pending_bytes:
             self.stats.rejected += 1
             raise StoreFullError(
-                f"put of {size} bytes rejected: {pending} bytes wait to be written, limit {self.limits.pending_bytes}",
+                f"batch of {size} bytes rejected: {pending} bytes wait to be written,"
+                f" limit {self.limits.pending_bytes}",
                 PENDING_RETRY_S,
             )
         total = self.limits.total_bytes
         if total and self.disk_bytes + pending + size > total:
             self.stats.rejected += 1
             raise StoreFullError(
-                f"put of {size} bytes rejected: {self.disk_bytes} bytes stored and {pending} waiting, limit {total}",
+                f"batch of {size} bytes rejected: {self.disk_bytes} bytes are stored and {pending} wait, limit {total}",
                 self.seconds_to_expiry(),
             )
 
@@ -252,7 +253,8 @@
         return record if record is not None and record.key == key else None
 
     def scan(self) -> Iterator[tuple[bytes, bytes, float]]:
-        """Every key, value and expiry as of the start of the iteration, while writes continue."""
+        """Key, value and expiry of all that is stored and not expired when the iteration starts; later writes do not
+        show in it."""
         with self.lock:
             locations = [location for location, _ in self.index.locations()]
             unwritten = self._pending.memtable.records()
@@ -279,7 +281,8 @@
 
     # ---- Compaction
     def compact(self, everything: bool = False) -> int:
-        """Compact until no segment qualifies; returns the bytes freed."""
+        """Compact until no segment that exists now qualifies; returns the bytes freed. ``everything``: see
+        ``compact_slice``."""
         size_before = self.disk_bytes
         last_number = self.segments.last_number()
         while self.compact_slice(everything=everything, max_number=last_number):
@@ -292,7 +295,11 @@
     def compact_slice(
         self, max_bytes: int = SLICE_BYTES, everything: bool = False, max_number: int = MAX_SEGMENT_NUMBER
     ) -> bool:
-        """Run one slice of compaction, which copies about ``max_bytes``; returns whether there is more to do."""
+        """Run one slice of compaction, which copies about ``max_bytes``; returns whether to call again.
+
+        ``everything``: compact every sealed segment up to ``max_number``, even one without garbage. Raises ``OSError``
+        if a segment cannot be read or removed.
+        """
         return self._compaction.run_slice(max_bytes, everything, max_number)
 
     def _write_copies(self, records: list[Record]) -> Future[int]:
@@ -302,7 +309,9 @@
 
     # ---- Snapshots and shutdown
     def snapshot(self, path: str) -> int:
-        """Copy everything that is durable now into an empty directory, while writes continue; returns the bytes copied.
+        """Make everything put so far durable and copy it into an empty directory, while writes continue.
+
+        Returns the number of bytes copied.
 
         Raises ``StoreError`` if the directory is not empty, and ``OSError``.
         """
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -100,7 +100,8 @@
     world.respond(world.sent[-1], AttemptEnd.REJECTED)
     world.advance(1.0)
     assert call.attempts_sent == 1 and world.outcome(call).reason == (
-        "not retried: 0.200 s remain until the deadline, too little for the backoff and an attempt of typically 0.293 s"
+        "not retried: 0.200 s remain until the deadline, too little for a backoff of 0.045 s and an attempt of "
+        "typically 0.293 s"
     )
 
 
--- a/tests/test_connection_manager.py
+++ b/tests/test_connection_manager.py
@@ -117,7 +117,7 @@
     assert dial is not None and dial.name not in window and (dial.at, dial.reason) == (10.0, "urgent")
     client.endpoints[dial.name] = FakeEndpoint()
     client.manager.record_dial(10.0, dial)
-    assert client.manager.keep_connected(dial.name) and client.manager.is_tracked(10.0, dial.name)
+    assert client.manager.keep_connected(dial.name) and client.manager.keep_tracked(10.0, dial.name)
     client.apply_list(15.0)
     for name in window[:2]:
         client.endpoints[name].usable_connections = 1
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -34,16 +34,17 @@
 from lapishaven.ownership.rules import MembershipRules
 from lapishaven.ownership.settings import OwnershipError, load
 
+# Notices that no member adds while there is no fault.
 UNEXPECTED = {NoticeKind.SHARD_LOST, NoticeKind.SESSION_ENDED, NoticeKind.OUTCOME_UNCERTAIN}
 
 
 # ---- Leases
 def test_a_lease_expires_ttl_less_margin_after_its_request_was_sent() -> None:
-    """A lease that counted from its answer would outlast the coordinator's: an answer that takes 2 s would add 2 s."""
+    """A lease that counted from its answer would outlast the coordinator's, by the 2 s that an answer may take."""
     lease = Lease(3.0, 0.3)
     lease.request(10.0)
     lease.confirm(LeaseEvent.GRANTED)  # whenever the answer arrives
-    assert lease.usable(12.69) and not lease.usable(12.7)
+    assert lease.usable(12.69) and not lease.usable(12.7)  # sent at 10 s, plus 3 s, less 0.3 s
     lease.renew(12.0)
     lease.apply(LeaseEvent.NO_ANSWER)
     assert lease.state is LeaseState.UNCERTAIN and lease.usable(12.69)  # an unanswered renewal does not extend it
@@ -62,7 +63,7 @@
 def test_the_fence_rejects_older_tokens_recognizes_repeats_and_detects_a_restored_copy() -> None:
     """Each verdict of the fence, the receiver's only protection against owners that act after their lease expired."""
     shard: Shard = ("work", 1)
-    mark = HighWaterMark(7, 3, 10)
+    mark = HighWaterMark(7, 3, 10)  # the token, the number of its last request, the count of effects
     assert judge(mark, EffectRequest(shard, 6, 99)) is Verdict.STALE
     assert judge(mark, EffectRequest(shard, 7, 3)) is Verdict.REPEAT
     assert judge(mark, EffectRequest(shard, 7, 4, 11)) is Verdict.BEHIND
@@ -134,6 +135,7 @@
         fair = count // (members - 1)
         lacking = sum(max(0, fair - loads[candidate.name]) for candidate in rest)
         assert sum(after[shard] != plan[shard] for shard in shards) <= max(orphaned, lacking)
+    # A new member takes its fair share; a tenth and one shard more are allowed.
     joined = compute_placement(shards, [*candidates, Candidate("new")], plan)
     assert sum(joined[shard] != plan[shard] for shard in shards) <= max(1, count // (members + 1) * 1.1 + 1)
 
@@ -154,7 +156,7 @@
         fleet.kill(f"m{n}")
     fleet.run(30.0)
     assert all(len(names) == 1 for names in fleet.owners().values())
-    assert set(fleet.counts().values()) == {15}
+    assert set(fleet.counts().values()) == {15}  # 60 shards on the 4 members that are left
 
 
 def test_no_session_is_lost_in_an_hour_without_faults() -> None:
@@ -174,13 +176,16 @@
     for n in range(30):
         fleet.start(f"m{n}")
     fleet.run(10.0)
-    gained = sum(n.kind is NoticeKind.SHARD_GAINED for member in fleet.members.values() for _, n in member.notices)
+    gained = sum(
+        notice.kind is NoticeKind.SHARD_GAINED for member in fleet.members.values() for _, notice in member.notices
+    )
     fleet.away = lambda name: True
     fleet.run(10.0 + fleet.rules.ttl)
     assert not any(fleet.owners().values())
     fleet.run(200.0)
     assert (
-        sum(n.kind is NoticeKind.SHARD_GAINED for member in fleet.members.values() for _, n in member.notices) == gained
+        sum(notice.kind is NoticeKind.SHARD_GAINED for member in fleet.members.values() for _, notice in member.notices)
+        == gained
     )
     fleet.away = lambda name: False
     joins = []
@@ -203,7 +208,7 @@
     for n in range(12):
         before = fleet.owners()
         fleet.kill("c")
-        fleet.run(fleet.clock.time + 4.5)
+        fleet.run(fleet.clock.time + 4.5)  # past its lease, so its shards move to the others
         fleet.start("c")
         fleet.run(fleet.clock.time + 1.0)
         moves.append(fleet.moves(before))
@@ -260,7 +265,7 @@
         if operation is not None:
             renewals += isinstance(operation, Renew)
             member.record_outcome(now, operation, Unknown())
-        assert (member.token(now, ("w", 0)) is not None) == (now < 2.7)
+        assert (member.token(now, ("w", 0)) is not None) == (now < 2.7)  # joined at 0 s: ttl less margin
         now = round(now + 0.01, 2)
     assert renewals > 3  # it is repeated while unanswered
 
@@ -284,7 +289,7 @@
     store.write(lambda connection: periods.insert_rows(connection, collector.pending_rows()))
     store.admit(EffectRequest(("periods", 0), 4, 1), "close", {"shard": 0, "period": 2})
     assert store.read("select team, period, count, worth from statement order by period, team") == [
-        ("x", 0, 2, 1000),
+        ("x", 0, 2, 1000),  # two requests of weight 0.5, in thousandths
         ("y", 1, 1, 500),
         ("x", 2, 1, 500),
     ]
@@ -294,6 +299,7 @@
 
 def test_the_next_period_follows_the_last_closed_one_when_the_wall_clock_steps() -> None:
     """When the wall clock steps by an hour no period may be skipped, and none closed while rows may still be added."""
+    # Periods of 10 s, closed 2 s after they end; the last closed one is 8, which ended at 90 s.
     assert periods.period_to_close(100.0, 10.0, 2.0, 8) is None and periods.period_to_close(102.0, 10.0, 2.0, 8) == 9
     assert periods.period_to_close(3702.0, 10.0, 2.0, 8) == 9  # an hour forward: the next one, not the newest
     assert periods.period_to_close(-3500.0, 10.0, 2.0, 8) is None
@@ -302,6 +308,7 @@
 def test_a_rollout_keeps_to_its_limits_and_counts_unavailable_members() -> None:
     """A member that is down for another reason must count towards the limits, or too much capacity is missing."""
     members = [restart.RolloutMember(f"m{n}", 1.0, restart.RolloutStage.WAITING, f"s{n}") for n in range(8)]
+    # At most 3 members at once and at most a quarter of the weight, which is 2 members.
     assert restart.choose_permitted(members, frozenset(), 3, 0.25) == ["m0", "m1"]
     assert restart.choose_permitted(members, frozenset({"m7"}), 3, 0.25) == ["m0"]
     assert restart.choose_permitted(members, frozenset({"m6", "m7"}), 3, 0.25) == []
@@ -311,7 +318,7 @@
     assert restart.find_restarted(permitted, {"m0": restart.MemberReport("s0b", False)}) == []
     assert restart.find_restarted(permitted, {"m0": restart.MemberReport("s0b", True)}) == ["m0"]
     guard = restart.PermitGuard()
-    assert guard.accept(5) and guard.accept(5) and not guard.accept(4)
+    assert guard.accept(5) and guard.accept(5) and not guard.accept(4)  # a permit under an older token
 
 
 @given(st.floats(1, 1000), st.dictionaries(st.text("ab", min_size=1, max_size=4), st.floats(0, 500), max_size=12))
@@ -330,7 +337,7 @@
 )
 def test_outstanding_grants_are_never_granted_again(wanted: dict[str, float], outstanding: dict[str, float]) -> None:
     """After a change of owner, members still use the old owner's grants until these expire."""
-    grants = budgets.grantable_rates(100.0, {k: min(v, 100.0 / 6) for k, v in wanted.items()}, outstanding)
+    grants = budgets.grantable_rates(100.0, {name: min(rate, 100.0 / 6) for name, rate in wanted.items()}, outstanding)
     usable = sum(max(grants.get(name, 0.0), outstanding.get(name, 0.0)) for name in {*grants, *outstanding})
     assert usable <= max(100.0, sum(outstanding.values())) + 1e-6
 
@@ -338,7 +345,7 @@
 def test_a_bucket_keeps_to_its_grant_and_falls_back_when_it_ends() -> None:
     """A member that is cut off from the grants' owner must neither use its last grant for ever nor stop serving."""
     bucket = budgets.QuotaBucket(rate=100.0, members=4, fallback_share=0.2, burst_s=1.0)
-    bucket.grant(0.0, 0.0, 50.0, 2.0, 1)
+    bucket.grant(0.0, 0.0, 50.0, 2.0, 1)  # asked for and received at 0 s: 50 requests a second for 2 s, round 1
     taken: Counter[int] = Counter()
     for tick in range(5000):
         now = tick / 1000
@@ -366,6 +373,7 @@
         return apply_effect
 
     def report(member: str, demand: float, count: int) -> None:
+        # Only y adopts new grants; x may still be using any of its earlier ones.
         round_in_use = store.read("select coalesce(max(round), 0) from budget_round")[0][0] if member == "y" else 0
         store.write(lambda connection: budgets.report_demand(connection, "c", member, demand, count, round_in_use))
 
@@ -390,7 +398,11 @@
 def step_rollout(
     reports: dict[str, tuple[str, bool, bool]], serving: dict[str, float], store: FencedStore
 ) -> list[tuple[str, Any]]:
-    """The effects of three steps of the restart duty, after storing the members' reports."""
+    """The effects of three steps of the restart duty, after storing the members' reports.
+
+    ``reports``: by member, its incarnation, whether it is ready, and whether it obeys permits. ``serving``: the weights
+    of the members that serve.
+    """
     applied: list[tuple[str, Any]] = []
     for name, report in reports.items():
         store.write(lambda connection, name=name, report=report: restart.report_member(connection, name, *report))
@@ -411,7 +423,9 @@
     died after it reported to be ready must count as unavailable."""
     store = FencedStore(":memory:", DUTY_SCHEMAS)
     assert step_rollout({}, {}, store) == []  # no rollout was ordered
-    store.write(lambda connection: restart.order_rollout(connection, "r", 1, 0.5, 1))
+    store.write(
+        lambda connection: restart.order_rollout(connection, "r", 1, 0.5, 1)
+    )  # at most one at once, of half the weight
     all_up = {name: (f"{name}1", True, name != "disobeying") for name in ("a", "b", "disobeying", "dead")}
     assert step_rollout({}, {}, store) == []  # no member serves: no effect at any step
     applied = step_rollout(all_up, {"a": 1.0, "b": 1.0, "disobeying": 1.0, "dead": 1.0, "operator-1": 1.0}, store)
@@ -430,7 +444,7 @@
     class UnresponsiveReceiver:
         def admit(self, request: EffectRequest, effect: str, detail: Any) -> Admission:
             sent.append((request.number, detail))
-            if len(sent) <= 6:
+            if len(sent) <= 6:  # two calls, each sends the effect three times (``MAX_ATTEMPTS``)
                 raise FencedStoreError("no answer")
             return Admission(Verdict.ADMIT, request.token, 1, "yes")
 
@@ -527,7 +541,7 @@
     def shed_count(current: View, until: float, overloaded: Callable[[float], bool], before: View | None = None) -> int:
         detector, now = OverloadDetector(OverloadRules(sustained_for=2.0, shed_interval=0.5)), 0.0
         owned = {shard: n for n, shard in enumerate(shards[:4])}
-        if before is not None:
+        if before is not None:  # the view before the others announced their present weights
             detector.observe(now, 0, 0, True)
             detector.shard_to_shed(2.0, "m0", 1.0, before, {}, 12)
             assert (
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -30,7 +30,7 @@
 
 
 def open_store(disk: Disk, limits: Limits = SMALL_LIMITS, clock: Callable[[], float] = lambda: 1000.0) -> Store:
-    disk.locked = False
+    disk.locked = False  # tests also reopen a disk whose last store was not closed, as after a crash
     return Store(disk.mount(), limits, clock, thread=False)
 
 
@@ -74,7 +74,7 @@
 def test_every_file_truncated_at_every_byte(compact: bool) -> None:
     disk, states = populated_disk(compact=compact)
     cut_count = 0
-    for name in [name for name in disk.files if name != "ballast"]:
+    for name in [name for name in disk.files if name != "ballast"]:  # the disk reserve, which has no content to lose
         is_last_segment = name == max(other for other in disk.files if other.endswith(".seg"))
         for size in range(len(disk.files[name].data)):
             copy = disk.copy()
@@ -86,7 +86,7 @@
             else:  # compaction moves older records to the end, so a cut there need not give an earlier state
                 assert all(was_stored(states, key, value) for key, value in now.items())
             if name.endswith(".hint"):
-                assert now == states[-1]
+                assert now == states[-1]  # an invalid hint file is ignored
             store.put(b"after", b"1")
             store.sync()
             store.close()
@@ -144,19 +144,19 @@
             store.compact_slice(max_bytes=60, everything=True)
             store.commit()
     # One write is in progress at the power loss: written, but not synced.
-    unsynced = b"k%d" % random.randrange(6)
+    unsynced_key = b"k%d" % random.randrange(6)
     disk.fault = lambda call, name: OSError(errno.EIO, "gone") if call in ("sync", "truncate") else None
-    store.put(unsynced, b"late")
+    store.put(unsynced_key, b"late")
     store.commit()
-    possible_values[unsynced] = {b"late", model.get(unsynced)}
-    after = disk.lose_power(random)
-    for _ in range(2):
-        store = open_store(after)
+    possible_values[unsynced_key] = {b"late", model.get(unsynced_key)}
+    surviving_disk = disk.lose_power(random)
+    for _ in range(2):  # what recovery itself wrote must be opened too
+        store = open_store(surviving_disk)
         now = contents(store)
         for key in {*model, *now}:
             assert now.get(key) in possible_values.get(key, {model.get(key)}), (key, now.get(key), model.get(key))
         store.close()
-        after = after.copy()
+        surviving_disk = surviving_disk.copy()
 
 
 # Guards against a compaction that loses records when it is interrupted, at any of its calls to the disk.
@@ -306,6 +306,7 @@
 def test_a_newer_format_is_rejected_and_left_unchanged() -> None:
     disk, _ = populated_disk()
     name = next(name for name in disk.files if name.endswith(".seg"))
+    # Format 2 of segment 1, with a valid checksum.
     header = bytearray(fmt.SEGMENT_HEADER.pack(fmt.MAGIC, 2, 1, 0, 0)[: -fmt.CHECKSUM.size])
     disk.files[name].data[: fmt.SEGMENT_HEADER.size] = header + fmt.CHECKSUM.pack(fmt.checksum(bytes(header)))
     before = bytes(disk.files[name].data)
@@ -402,7 +403,7 @@
 def test_the_index_behaves_like_a_dict(rows: list[tuple[int, int, bool]], merge: bool) -> None:
     index, reference = Index(), dict[int, tuple[int, int]]()
     for sequence, (key, location, merge_now) in enumerate(rows, 1):
-        key_digest = key << 60 | key
+        key_digest = key << 60 | key  # 0 to 15 share a high half of the digest, 16 to 30 another
         index.put(key_digest, location, sequence, 0.0)
         reference[key_digest] = location, sequence
         if merge and merge_now:
@@ -410,7 +411,7 @@
     for key_digest, (location, sequence) in reference.items():
         assert index.get(key_digest) == (location, sequence, 0.0)
     assert len(index) == sum(location != 0 for location, _ in reference.values())
-    assert index.get(1 << 100) is None and MIN_MERGE_ENTRIES > 80
+    assert index.get(1 << 100) is None and MIN_MERGE_ENTRIES > 80  # too few rows for a merge that is not asked for
 
 
 @given(st.lists(st.floats(0, 100_000), max_size=50), st.lists(st.floats(0, 20_000), max_size=12))
