--- a/lapishaven/client/membership.py
+++ b/lapishaven/client/membership.py
@@ -174,7 +174,7 @@
 
     # ---- Lists
     def apply_list(self, now: float, new_list: Listing) -> MembershipChange:
-        """Apply a full list, or the part of it that is trusted."""
+        """Apply a full list, unless it is stale or ignored as empty. Its removals may be held back."""
         is_first = self.epoch is None
         self.last_update_at = now
         if not is_first and new_list.epoch == self.epoch and new_list.version <= self.version:
@@ -186,7 +186,7 @@
         return self._apply(now, replace_list(self.endpoint_list, new_list), is_first)
 
     def apply_delta(self, now: float, delta: Delta) -> MembershipChange:
-        """Apply the changes since the current version."""
+        """Apply the changes since the current version, by the same rules as a full list."""
         self.last_update_at = now
         if self.epoch is not None and delta.epoch == self.epoch and delta.version <= self.version:
             return MembershipChange(ListVerdict.STALE)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -423,9 +423,8 @@
     died after it reported to be ready must count as unavailable."""
     store = FencedStore(":memory:", DUTY_SCHEMAS)
     assert step_rollout({}, {}, store) == []  # no rollout was ordered
-    store.write(
-        lambda connection: restart.order_rollout(connection, "r", 1, 0.5, 1)
-    )  # at most one at once, of half the weight
+    # At most one member at once, and at most half of the weight.
+    store.write(lambda connection: restart.order_rollout(connection, "r", 1, 0.5, 1))
     all_up = {name: (f"{name}1", True, name != "disobeying") for name in ("a", "b", "disobeying", "dead")}
     assert step_rollout({}, {}, store) == []  # no member serves: no effect at any step
     applied = step_rollout(all_up, {"a": 1.0, "b": 1.0, "disobeying": 1.0, "dead": 1.0, "operator-1": 1.0}, store)
