--- a/lapishaven/client/fleet/connection_manager.py
+++ b/lapishaven/client/fleet/connection_manager.py
@@ -194,7 +194,7 @@
         if not candidates:
             self.dial_slots.clear()
             return None
-        missing = len(self.window) - len(connected)
+        missing = len(self.window) - len(connected)  # stand-ins count as connected, so it may be negative
         spread_s = self.deploy_interval.spread_s(now)
         doublings = self._cycle_doublings(now, connected, missing)
         slot_at = self.dial_slots.next_at(now, calls_per_s, max(1, missing), spread_s, doublings)
