--- a/benchmarks/request_path_cpu.py
+++ b/benchmarks/request_path_cpu.py
@@ -17,7 +17,7 @@
 
 from benchmarks.common import ROOT, finish
 from lapishaven.lab.fleet import Fleet
-from lapishaven.lab.handover.book import Book
+from lapishaven.lab.handover.book import RequestLog
 from lapishaven.lab.handover.caller import Caller, Load, arrivals
 from lapishaven.lab.interpreter import Box
 
@@ -43,12 +43,12 @@
         (node,) = fleet.nodes.values()
         assert node.process is not None
         load = Load(REQUESTS_PER_SECOND, seconds)
-        caller = Caller(node.address, Book(), load, random)
+        caller = Caller(node.address, RequestLog(), load, random)
         planned = arrivals(load, asyncio.get_running_loop().time() + 0.2, random)
         cpu_before_s = process_cpu(node.process.pid)
         await caller.run(planned)
         cpu_s = process_cpu(node.process.pid) - cpu_before_s
-    answered = len(planned) - caller.book.open()
+    answered = len(planned) - caller.log.open_count()
     return cpu_s / answered * 1e6, answered
 
 
--- a/lapishaven/lab/baselines.py
+++ b/lapishaven/lab/baselines.py
@@ -15,7 +15,7 @@
 from lapishaven.client.outcomes import Expired, Failed, Outcome, Refused, Served
 from lapishaven.client.settings import Settings, split_address
 from lapishaven.proto import ProtocolError, jsonrpc
-from lapishaven.proto.catalog import ListClient, Listed, Listing
+from lapishaven.proto.catalog import ListClient, ListedServer, ServerList
 
 POLL_INTERVAL_S = 1.0  # of the endpoint list
 DIAL_TIMEOUT_S = 1.0
@@ -64,7 +64,7 @@
     def __init__(self, settings: Settings, *, random: Random, sockets: SocketFactory) -> None:
         self.settings, self.random, self._sockets = settings, random, sockets
         self._connections: dict[str, _Connection] = {}
-        self._servers: tuple[Listed, ...] = ()
+        self._servers: tuple[ListedServer, ...] = ()
         self._next_index = random.randrange(1 << 16)
         self._list_received = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -94,7 +94,7 @@
                 while not (answer := list_client.feed(await reader.read(65536)))[0]:
                     pass
                 writer.close()
-                if isinstance(answer[1], Listing):  # never a delta, as the request has no ``since``
+                if isinstance(answer[1], ServerList):  # never a delta, as the request has no ``since``
                     self._servers = tuple(row for row in answer[1].servers if row.passing)
                     self._list_received.set()
             except (OSError, ProtocolError):
@@ -156,15 +156,15 @@
                 f"{self.random.getrandbits(64):016x}",
                 body,
                 rule.heap_kb,
-                recv=time.time(),
-                src=self.settings.caller,
-                rep=is_retry and self.marks_retries,
-                crit=min(rule.rank + self.random.random() * rule.rank_span, 0.9999),
+                received_at=time.time(),
+                caller_id=self.settings.caller,
+                is_retry=is_retry and self.marks_retries,
+                rank=min(rule.rank + self.random.random() * rule.rank_span, 0.9999),
             )
         )
         return await future
 
-    async def _connect(self, connection: _Connection, row: Listed) -> None:
+    async def _connect(self, connection: _Connection, row: ListedServer) -> None:
         if connection.writer is not None:
             return
         sock = self._sockets(2)
--- a/lapishaven/lab/catalog.py
+++ b/lapishaven/lab/catalog.py
@@ -14,7 +14,7 @@
 
 import h11
 
-from lapishaven.proto.catalog import LIST_PATH, Listed, Listing, delta_between, delta_text, text
+from lapishaven.proto.catalog import LIST_PATH, ListedServer, ServerList, delta_between, encode_delta, encode_list
 
 REPORT_TTL_S = 3.0  # after its last report a server is removed from the list
 VERSIONS_KEPT = 64  # a client with an older version gets the full list instead of a delta
@@ -22,7 +22,7 @@
 WrongAnswer = Literal["", "empty", "half", "garbage"]
 
 
-class ServerList:
+class PublishedList:
     """The list of servers and its versions, without I/O and with time passed in.
 
     ``lag``: seconds by which the list that clients see trails the reports.
@@ -31,7 +31,7 @@
     def __init__(self, addresses: dict[str, tuple[str, int]], epoch: str, lag: float) -> None:
         self.addresses, self.epoch, self.lag = addresses, epoch, lag
         self._reports: dict[str, tuple[float, bool]] = {}
-        self._history: deque[tuple[float, Listing]] = deque([(float("-inf"), Listing(epoch, 0, ()))])
+        self._history: deque[tuple[float, ServerList]] = deque([(float("-inf"), ServerList(epoch, 0, ()))])
 
     def report(self, now: float, name: str, passing: bool) -> bool:
         """Record a server's report; returns false for an unknown server."""
@@ -44,15 +44,15 @@
     def refresh(self, now: float) -> None:
         """Remove servers whose last report is too old, and add a version if the list changed."""
         rows = tuple(
-            Listed(name, *self.addresses[name], passing)
+            ListedServer(name, *self.addresses[name], passing)
             for name, (reported_at, passing) in sorted(self._reports.items())
             if now - reported_at < REPORT_TTL_S
         )
         last = self._history[-1][1]
         if rows != last.servers:
-            self._history.append((now, Listing(self.epoch, last.version + 1, rows)))
+            self._history.append((now, ServerList(self.epoch, last.version + 1, rows)))
 
-    def published(self, now: float) -> Listing:
+    def published(self, now: float) -> ServerList:
         """The list that clients see at ``now``: the version that was current ``lag`` seconds earlier."""
         self.refresh(now)
         while len(self._history) > 1 and self._history[1][0] <= now - self.lag:
@@ -60,13 +60,13 @@
         return self._history[0][1]
 
     @property
-    def latest(self) -> Listing:
+    def latest(self) -> ServerList:
         """The current version, without the lag."""
         return self._history[-1][1]
 
 
 class Catalog:
-    """Serves ``ServerList`` over HTTP.
+    """Serves ``PublishedList`` over HTTP.
 
     ``wrong_answer``: what to send in place of the list; empty for the list itself. ``reports``, ``list_requests``
     and ``deltas`` count the reports and list requests received and the deltas sent.
@@ -75,11 +75,11 @@
     def __init__(self, lag: float = 1.5) -> None:
         self.addresses: dict[str, tuple[str, int]] = {}
         self.lag, self._epochs = lag, 0
-        self.server_list = ServerList(self.addresses, "", lag)
+        self.server_list = PublishedList(self.addresses, "", lag)
         self.address: tuple[str, int] = ("", 0)
         self.wrong_answer: WrongAnswer = ""
         self.reports = self.list_requests = self.deltas = 0
-        self._served: dict[int, Listing] = {}  # versions sent to clients, as the base of deltas
+        self._served: dict[int, ServerList] = {}  # versions sent to clients, as the base of deltas
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -87,7 +87,7 @@
         """Start serving, with an empty list and a new epoch."""
         self._epochs += 1
         self._served.clear()
-        self.server_list = ServerList(self.addresses, f"{self._epochs}", self.lag)
+        self.server_list = PublishedList(self.addresses, f"{self._epochs}", self.lag)
         self._server = await asyncio.start_server(self._serve, host, port)
         self.address = self._server.sockets[0].getsockname()[:2]
 
@@ -155,12 +155,12 @@
             return 200, b'{"servers":['
         if self.wrong_answer:
             rows = listing.servers[: len(listing.servers) // 3] if self.wrong_answer == "half" else ()
-            return 200, text(Listing(listing.epoch, listing.version + 1_000_000, rows))
+            return 200, encode_list(ServerList(listing.epoch, listing.version + 1_000_000, rows))
         if known_tag == f'"{listing.epoch}.{listing.version}"'.encode():
             return 304, b""
         epoch, _, version = since.rpartition(".")
         old = self._served.get(int(version)) if epoch == listing.epoch and version.isdigit() else None
         if old is not None and old.version < listing.version:
             self.deltas += 1
-            return 200, delta_text(delta_between(old, listing))
-        return 200, text(listing)
+            return 200, encode_delta(delta_between(old, listing))
+        return 200, encode_list(listing)
--- a/lapishaven/lab/handover/book.py
+++ b/lapishaven/lab/handover/book.py
@@ -1,20 +1,20 @@
-"""The book of a hand-over: every request a caller sent, how it ended, and what the rules say of it.
+"""Records every request of a handover trial, how it ended, and which of the protocol's rules were broken.
 
-Pure: times are passed in (seconds on one monotonic clock), nothing is read or written. The caller tells it what
-it sent and what came back or broke; the stand-in interpreters tell it what ran, through which process; the
-platform tells it when it gave the notice to leave. ``Book.verdict`` then counts, as a caller sees them:
+Pure: times are passed in (seconds on one monotonic clock), and nothing is read or written. The caller records what
+it sent, what was answered and which connections failed; the stand-in interpreters record which runs began, through
+which process; the platform records when it sent SIGTERM. ``RequestLog.verdict`` then counts, as a caller sees them:
 
-- ``refused``: a connection that could not be made (``ECONNREFUSED``), one count for each request that it was for;
+- ``refused``: a connection that could not be made (``ECONNREFUSED``), counted once per request that needed it;
 - ``reset``: requests open on a connection that was reset (``ECONNRESET``, ``EPIPE``);
 - ``cut``: requests open on a connection that the server closed without answering them;
-- ``unanswered``: requests with no answer by their due time and the protocol's slack, on a connection still open;
-- ``late``: answers that came after the request's due time and the slack;
+- ``unanswered``: requests with no answer by their due time plus ``SLACK_S``, on a connection that is still open;
+- ``late``: answers that came after the request's due time plus ``SLACK_S``;
 - ``doubled``: a second answer to one request;
-- ``late_runs``: runs begun through a process of requests that reached it more than the grace after its notice;
-- ``refused_after_run``: an answer "refused" to a request of which a run was begun;
-- ``twice``: requests of a class that must run once, of which two runs were begun.
+- ``late_runs``: runs that a process began for requests sent more than ``GRACE_S + SLACK_S`` after its SIGTERM;
+- ``refused_after_run``: requests answered as refused although a run of them had begun;
+- ``twice``: requests of a class that must run at most once, for which several runs began.
 
-The first five are what DAYS.md prices for an upgrade; all eight must be 0 for a hand-over to be clean.
+The platform penalizes an upgrade for each of the first five; all nine must be 0 for a handover to be clean.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-SLACK = 0.05  # s that the protocol adds to every time limit on sockets
-GRACE = 2.0  # s after the notice to leave in which what arrives is still read and may run
+SLACK_S = 0.05  # the protocol adds this to every time limit on sockets
+GRACE_S = 2.0  # after SIGTERM; requests that arrive within it are still read and may run
 
 
-class Ended(Enum):
-    """How a request ended, as its caller saw it."""
+class RequestOutcome(Enum):
+    """The outcome of a request, as its caller saw it."""
 
     SERVED = "served"
-    REFUSED = "refused"  # an answer with -32066: it never ran
+    REFUSED = "refused"  # an error response with code -32066: it never ran
     FAILED = "failed"
     DIAL_REFUSED = "dial refused"
     RESET = "reset"
@@ -39,20 +39,20 @@
     UNANSWERED = "unanswered"
 
 
-BROKEN = (Ended.DIAL_REFUSED, Ended.RESET, Ended.CUT, Ended.UNANSWERED)
+LOST_OUTCOMES = (RequestOutcome.DIAL_REFUSED, RequestOutcome.RESET, RequestOutcome.CUT, RequestOutcome.UNANSWERED)
 
 
 @dataclass(slots=True)
-class Sent:
-    """One request as its caller sent it."""
-
-    body: bytes  # unique in a book: the stand-in interpreter's ledger is keyed by it
-    cls: str
-    once: bool  # of a class that must not run twice
-    at: float
-    due: float
-    conn: int | None  # None: no connection could be made for it
-    ended: Ended | None = None
+class SentRequest:
+    """One request that a caller sent or could not send."""
+
+    body: bytes  # unique within a log; identifies the request in the interpreter's records
+    class_name: str
+    run_once: bool  # of a class that must run at most once
+    sent_at: float
+    due_at: float
+    connection: int | None  # None if no connection could be made
+    outcome: RequestOutcome | None = None
     ended_at: float = 0.0
     reason: str = ""
     answers: int = 0
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A run begun through one process's interpreter."""
+    """A run that the interpreter of one server process began."""
 
     body: bytes
     at: float
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The counts of a book; ``clean`` when nothing that the rules or DAYS.md price happened."""
+    """The counts of a request log."""
 
     sent: int
     served: int
@@ -89,97 +89,115 @@
 
     @property
     def broken(self) -> int:
-        """Requests that met a refused, reset or unread connection, or no answer."""
+        """Requests whose connection was refused, reset or closed, or that got no answer."""
         return self.refused + self.reset + self.cut + self.unanswered
 
     @property
     def clean(self) -> bool:
+        """Whether no rule was broken and no request was lost or answered late."""
         return not (self.broken or self.late or self.doubled or self.late_runs or self.refused_after_run or self.twice)
 
 
 @dataclass(slots=True)
-class Book:
-    """``sent`` and the rest are called as things happen; ``verdict(now)`` counts what is still open as unanswered
-    where its due time and the slack have passed."""
+class RequestLog:
+    """The ``record_`` methods are called as events happen. ``verdict(now)`` counts an open request as unanswered once
+    its due time plus ``SLACK_S`` has passed."""
 
-    requests: dict[bytes, Sent] = field(default_factory=dict)
+    requests: dict[bytes, SentRequest] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
-    notices: dict[str, float] = field(default_factory=dict)  # process: when it was told to leave
-    _open: dict[int, dict[bytes, Sent]] = field(default_factory=dict)  # by connection
+    terminations: dict[str, float] = field(default_factory=dict)  # process name to the time of SIGTERM
+    _open_by_connection: dict[int, dict[bytes, SentRequest]] = field(default_factory=dict)
+
+    def record_sent(
+        self, at: float, body: bytes, class_name: str, run_once: bool, deadline: float, connection: int
+    ) -> None:
+        """The request was written to the connection with this number, which the caller chooses.
 
-    def sent(self, at: float, body: bytes, cls: str, once: bool, deadline: float, conn: int) -> None:
-        """A request's last byte went to the kernel on connection ``conn`` (any number the caller chooses)."""
+        Raises ``ValueError`` if the log already has a request with this body.
+        """
         if body in self.requests:
-            raise ValueError(f"body {body!r} was sent before: a book needs each once")
-        request = Sent(body, cls, once, at, at + deadline, conn)
+            raise ValueError(f"request body {body[:64]!r} was sent before; each body in a request log must be unique")
+        request = SentRequest(body, class_name, run_once, at, at + deadline, connection)
         self.requests[body] = request
-        self._open.setdefault(conn, {})[body] = request
+        self._open_by_connection.setdefault(connection, {})[body] = request
 
-    def not_sent(self, at: float, body: bytes, cls: str, once: bool, deadline: float) -> None:
-        """No connection could be made for it: the door was refused."""
-        request = Sent(body, cls, once, at, at + deadline, None)
+    def record_dial_failure(self, at: float, body: bytes, class_name: str, run_once: bool, deadline: float) -> None:
+        """No connection could be made for the request."""
+        request = SentRequest(body, class_name, run_once, at, at + deadline, None)
         self.requests[body] = request
-        self._end(request, at, Ended.DIAL_REFUSED)
+        self._set_outcome(request, at, RequestOutcome.DIAL_REFUSED)
 
-    def answered(self, at: float, body: bytes, ended: Ended, reason: str = "") -> None:
-        """An answer to the request came: ``SERVED``, ``REFUSED`` or ``FAILED``. A second one is counted."""
+    def record_answer(self, at: float, body: bytes, outcome: RequestOutcome, reason: str = "") -> None:
+        """An answer came: ``SERVED``, ``REFUSED`` or ``FAILED``. Further answers to the request are only counted."""
         request = self.requests[body]
         request.answers += 1
         if request.answers > 1:
             return
-        if request.ended is None:
-            request.reason, request.late = reason, at > request.due + SLACK
-            self._end(request, at, ended)
+        if request.outcome is None:
+            request.reason, request.late = reason, at > request.due_at + SLACK_S
+            self._set_outcome(request, at, outcome)
 
-    def broke(self, at: float, conn: int, ended: Ended) -> None:
-        """Connection ``conn`` ended: ``RESET`` or ``CUT`` for each request on it without an answer."""
-        for request in list(self._open.get(conn, {}).values()):
-            self._end(request, at, ended)
-        self._open.pop(conn, None)
+    def record_connection_end(self, at: float, connection: int, outcome: RequestOutcome) -> None:
+        """The connection with this number ended, which gives each unanswered request on it ``RESET`` or ``CUT``."""
+        for request in list(self._open_by_connection.get(connection, {}).values()):
+            self._set_outcome(request, at, outcome)
+        self._open_by_connection.pop(connection, None)
 
-    def ran(self, at: float, body: bytes, process: str) -> None:
+    def record_run(self, at: float, body: bytes, process: str) -> None:
         """The interpreter of ``process`` began a run of ``body``."""
         self.runs.append(Run(body, at, process))
 
-    def told_to_leave(self, at: float, process: str) -> None:
-        self.notices.setdefault(process, at)
+    def record_termination(self, at: float, process: str) -> None:
+        """The platform sent SIGTERM to ``process``; only the first time counts."""
+        self.terminations.setdefault(process, at)
 
-    def open(self) -> int:
-        """Requests sent and not ended."""
-        return sum(len(on) for on in self._open.values())
+    def open_count(self) -> int:
+        """How many requests were sent and have no outcome yet."""
+        return sum(len(on) for on in self._open_by_connection.values())
 
     def verdict(self, now: float) -> Verdict:
+        """Count the outcomes and the broken rules as of ``now``."""
         for request in self.requests.values():
-            if request.ended is None and now > request.due + SLACK:
-                self._end(request, now, Ended.UNANSWERED)
-        ends = Counter(r.ended for r in self.requests.values() if r.ended is not None)
+            if request.outcome is None and now > request.due_at + SLACK_S:
+                self._set_outcome(request, now, RequestOutcome.UNANSWERED)
+        outcomes = Counter(request.outcome for request in self.requests.values() if request.outcome is not None)
         late = 0
         for run in self.runs:
-            notice, asked = self.notices.get(run.process), self.requests.get(run.body)
-            if notice is not None and asked is not None and asked.at > notice + GRACE + SLACK:
+            terminated_at, sent_request = self.terminations.get(run.process), self.requests.get(run.body)
+            if (
+                terminated_at is not None
+                and sent_request is not None
+                and sent_request.sent_at > terminated_at + GRACE_S + SLACK_S
+            ):
                 late += 1
-        begun = Counter(run.body for run in self.runs)
-        refused_after = sum(1 for body in begun if body in self.requests and self.requests[body].ended is Ended.REFUSED)
-        twice = sum(1 for body, n in begun.items() if n > 1 and body in self.requests and self.requests[body].once)
-        reasons = Counter(r.reason for r in self.requests.values() if r.ended is Ended.REFUSED)
+        runs_begun = Counter(run.body for run in self.runs)
+        refused_after_run = sum(
+            1 for body in runs_begun if body in self.requests and self.requests[body].outcome is RequestOutcome.REFUSED
+        )
+        twice = sum(
+            1 for body, n in runs_begun.items() if n > 1 and body in self.requests and self.requests[body].run_once
+        )
+        reasons = Counter(
+            request.reason for request in self.requests.values() if request.outcome is RequestOutcome.REFUSED
+        )
         return Verdict(
             len(self.requests),
-            ends[Ended.SERVED],
-            ends[Ended.REFUSED],
-            ends[Ended.FAILED],
-            ends[Ended.DIAL_REFUSED],
-            ends[Ended.RESET],
-            ends[Ended.CUT],
-            ends[Ended.UNANSWERED],
-            sum(r.late for r in self.requests.values()),
-            sum(max(0, r.answers - 1) for r in self.requests.values()),
+            outcomes[RequestOutcome.SERVED],
+            outcomes[RequestOutcome.REFUSED],
+            outcomes[RequestOutcome.FAILED],
+            outcomes[RequestOutcome.DIAL_REFUSED],
+            outcomes[RequestOutcome.RESET],
+            outcomes[RequestOutcome.CUT],
+            outcomes[RequestOutcome.UNANSWERED],
+            sum(request.late for request in self.requests.values()),
+            sum(max(0, request.answers - 1) for request in self.requests.values()),
             late,
-            refused_after,
+            refused_after_run,
             twice,
             dict(sorted(reasons.items())),
         )
 
-    def _end(self, request: Sent, at: float, ended: Ended) -> None:
-        request.ended, request.ended_at = ended, at
-        if request.conn is not None:
-            self._open.get(request.conn, {}).pop(request.body, None)
+    def _set_outcome(self, request: SentRequest, at: float, outcome: RequestOutcome) -> None:
+        request.outcome, request.ended_at = outcome, at
+        if request.connection is not None:
+            self._open_by_connection.get(request.connection, {}).pop(request.body, None)
