--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -168,7 +168,7 @@
                     lock, released_at = None, loop.time()
                     unlocked_at.append(released_at)
                 name = random.choice(tier.backends)
-                if random.random() < 0.84:  # the share of idempotent requests in ``lapishaven.lab.site.KINDS``
+                if random.random() < 0.84:  # the share of idempotent requests in ``lapishaven.lab.site.CLASSES``
                     safe.append(asyncio.create_task(tier.call(name, "fuzzy-match", b"safe", due_at)))
                 else:
                     commits.append(asyncio.create_task(_commit(tier, name, f"s{len(commits)}", due_at)))
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -355,7 +355,7 @@
     }
     twin_specs: list[dict[str, Any]] = []  # simulations of the sizes of the real tiers, to compare with them
     # The largest simulation takes 11 minutes. It cannot be shorter: its 5 simulated seconds contain 2 s of measurement,
-    # which starts at ``load_balancing_cases.FROM``, and with less of it only short calls would have ended.
+    # which starts at ``load_balancing_cases.MEASURED_FROM_S``, and with less of it only short calls would have ended.
     largest_specs: list[dict[str, Any]] = []
     if not args.short:
         specs += [
--- a/lapishaven/lab/handover/scrape.py
+++ b/lapishaven/lab/handover/scrape.py
@@ -34,7 +34,7 @@
 
 
 def parse(body: bytes) -> dict[str, float]:
-    """Each family of ``FAMILIES``, summed over its labels. Raises ``ValueError`` if the text is not in the format."""
+    """Each of ``METRIC_FAMILIES``, summed over its labels. Raises ``ValueError`` if the text is not in the format."""
     sums: dict[str, float] = defaultdict(float)
     for family in text_string_to_metric_families(body.decode()):
         if family.name in METRIC_FAMILIES:
