--- a/lapishaven/admin/metrics.py
+++ b/lapishaven/admin/metrics.py
@@ -23,7 +23,8 @@
     FAULTED: "requests failed, or failed as their due time came",
     RELAYED: "runs handed to the backend",
 }
-"""The metrics by request class, with their help texts; each has the name of its group in ``Counters``."""
+"""The metrics by request class. A key is both the name of the metric and its group in ``Counters``; a value is the help
+text."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +73,7 @@
 
 
 def _class_metrics(counters: Counters, classes: Iterable[str]) -> list[Metric]:
-    """The metrics by class."""
+    """The metrics by request class. The class is exported as the label ``priority``."""
     names = list(dict.fromkeys(classes))
     for group in CLASS_METRICS:
         names += [name for name in counters.groups.get(group, {}) if name not in names]
@@ -98,7 +99,7 @@
 
 
 def _spread_metrics(state: Mapping[str, Any]) -> list[Metric]:
-    """The number of endpoints by status, and the counters of the load balancer."""
+    """The number of endpoints by status, exported as the label ``standing``, and the counters of the load balancer."""
     reference = "see docs/operators/spread.md"
     counts = Counter(row["standing"] for row in state["processes"])
     samples: list[tuple[str, object]] = [(f'{{standing="{name}"}}', counts[name]) for name in ENDPOINT_STATUSES]
--- a/lapishaven/cli/serve.py
+++ b/lapishaven/cli/serve.py
@@ -19,7 +19,8 @@
     from lapishaven.ownership.participant import Participant
 
 BYTES_PER_MB = 1024 * 1024
-# ``--record`` takes a settings file of the ledger, which has this suffix, or else the SQLite file of an attempt log.
+# A file given with ``--record`` is the settings file of the ledger if it has this suffix, else the SQLite file of the
+# attempt log.
 LEDGER_SETTINGS_SUFFIX = ".toml"
 
 ConfigFile = Annotated[
@@ -71,7 +72,7 @@
 
 
 def _open_result_store(path: str) -> DurableResults:
-    """Open the store that the file configures, with the results that earlier processes stored."""
+    """Open the store that the file ``path`` configures, with the results that earlier processes stored."""
     rules = _load_storage_rules(path)
     try:
         from lapishaven.idempotency import DurableResults
@@ -86,7 +87,7 @@
 
 
 def _open_ledger(path: str, server_name: str) -> Recorder:
-    """Open the ledger that the file configures, under a new incarnation."""
+    """Open the ledger that the file ``path`` configures, under a new incarnation (the id of this process)."""
     import os
     import time
 
@@ -136,7 +137,7 @@
 
 
 def _join_fleet(path: str, files: config.ConfigFiles) -> Participant:
-    """Create this server's membership in the fleet that shares duties."""
+    """Create this server's membership in the fleet that shares duties. It takes effect with ``Participant.start``."""
     try:
         from lapishaven.ownership.participant import Participant
     except ImportError:
--- a/lapishaven/config/files.py
+++ b/lapishaven/config/files.py
@@ -1,4 +1,4 @@
-"""Loads all files of a start or a reload and checks them against each other."""
+"""Loads all configuration files, at the start and at each reload, and checks them against each other."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigFiles:
-    """The content of all files; ``None`` for a feature that is off."""
+    """The content of all configuration files; ``None`` for a feature that is off."""
 
     config: NodeConfig
     front: UwsgiFrontendConfig | None = None
     backend: UwsgiBackendConfig | None = None
     contracts: list[Contract] | None = None
     pools: PoolSettings | None = None
-    spread: BalancingSettings | None = None
+    spread: BalancingSettings | None = None  # load balancing over several uwsgi endpoints
 
 
 def load_files(
@@ -41,9 +41,9 @@
     front, backend = load_uwsgi(uwsgi_path) if uwsgi_path else (None, None)
     if spread_path and backend:
         raise ConfigError(
-            f"{uwsgi_path} has a uwsgi backend and {spread_path} lists several; only one file may name any"
+            f"{uwsgi_path} names a uwsgi backend and {spread_path} names several; only one file may name backends"
         )
-    routes = {"interpreter"}
+    routes = {"interpreter"}  # the backends to which a contract may route
     if backend or spread_path:
         routes.add("uwsgi")
     return ConfigFiles(
--- a/lapishaven/net/connection.py
+++ b/lapishaven/net/connection.py
@@ -1,8 +1,9 @@
-"""One nonblocking TCP connection: two ring buffers, backpressure and the single path by which it is closed.
+"""One nonblocking TCP connection: two ring buffers, backpressure, a graceful and an immediate close.
 
 ``close`` is graceful (a lingering close, RFC 9112 section 9.6): queued bytes are sent, the connection is
 half-closed, and input is read and discarded until the peer has closed too. Only then is the descriptor closed, because
-closing a socket with unread bytes sends a reset, and a reset can overtake a response. ``abort`` closes at once.
+closing a socket with unread bytes sends a reset, and a reset can overtake a response. ``abort`` closes at once;
+a graceful close ends with it too.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 from lapishaven.net.loop import Loop, Timer, Wait
 from lapishaven.net.ring_buffer import RingBuffer, RingBufferFullError
 
-RECEIVE_BUFFER_LIMIT = 16 * 1024
-SEND_BUFFER_LIMIT = 512 * 1024
-SEND_HIGH_WATER_MARK = 128 * 1024  # unsent bytes above which input is no longer read
-LINGER_S = 1.0  # a graceful close is aborted after this long without a byte in either direction
-MAX_LINGER_S = 10.0  # bound of a graceful close whose peer still reads or sends
+RECEIVE_BUFFER_LIMIT = 16 * 1024  # bytes
+SEND_BUFFER_LIMIT = 512 * 1024  # bytes; a connection that would exceed it is evicted
+SEND_HIGH_WATER_MARK = 128 * 1024  # from this many unsent bytes on, input is no longer read
+LINGER_S = 1.0  # interval of checks in a graceful close, which is aborted if no byte moved since the last one
+MAX_LINGER_S = 10.0  # maximum duration of a graceful close, even if the peer still reads or sends
 ERROR_EVENTS = select.EPOLLERR | select.EPOLLHUP
 
 
@@ -33,17 +34,17 @@
     """
 
     def __init__(self, loop: Loop, sock: socket.socket, on_end: Callable[[ConnectionEnd], None]) -> None:
-        self.loop, self.sock, self._ended_callback = loop, sock, on_end
+        self.loop, self.sock, self._on_end = loop, sock, on_end
         self.receive_buffer, self.send_buffer = RingBuffer(RECEIVE_BUFFER_LIMIT), RingBuffer(SEND_BUFFER_LIMIT)
-        self.end: ConnectionEnd | None = None
+        self.end: ConnectionEnd | None = None  # the reason of the end, once ``abort`` was called
         self.sent = 0  # bytes that the kernel has accepted so far
         self.last_active = loop.now
         self.closing: ConnectionEnd | None = None  # the reason of a graceful close, once it has begun
-        self._peer_half_closed = False  # the end of the input was received
-        self._discarding = False
+        self._peer_half_closed = False  # the peer has shut down its sending direction
+        self._discarding = False  # whether all further input is read and dropped
         self._half_closed = False  # this side has shut down its sending direction
         self._reader: Wait | None = None
-        self._watched_events: int | None = None
+        self._watched_events: int | None = None  # the registered epoll mask; ``None`` before the first one
         self._linger_timer: Timer | None = None
         self._bytes_at_linger_check = 0  # bytes in both directions when the linger timer was last set
         self._bytes_received = 0
@@ -53,19 +54,19 @@
 
     # ---- Reading
     def read(self, timeout_s: float | None = None) -> Generator[Wait, Any, bytes | ConnectionEnd | None]:
-        """The bytes received, or the end once all were read; ``None`` if nothing arrives within ``timeout_s``."""
+        """The bytes received; once all were read, the reason of the end; ``None`` if none arrive in ``timeout_s``."""
         if not self.receive_buffer.size and self._end_of_input() is None:
             self._reader = Wait(timeout_s)
             self._update_interest()
             yield self._reader
-            self._reader = None  # interest in EPOLLIN is dropped when input arrives without a reader
+            self._reader = None  # EPOLLIN stays registered; ``_on_events`` drops it if input arrives without a reader
         return self.receive_buffer.take() or self._end_of_input()
 
     def _end_of_input(self) -> ConnectionEnd | None:
         return self.end or self.closing or (ConnectionEnd.PEER_CLOSED if self._peer_half_closed else None)
 
     def read_available(self) -> bool:
-        """Read without waiting for the next poll; returns whether bytes or the end of the input had arrived."""
+        """Receive without waiting for the next poll; returns whether bytes or the end of the input had arrived."""
         before = self._bytes_received, self._peer_half_closed
         if self.end is None and self.receive_buffer.free_bytes:
             self._receive()
@@ -97,7 +98,8 @@
         if self._discarding:
             self.receive_buffer.take()
         if not self.receive_buffer.free_bytes:
-            # Reached only after an error event: with a full buffer the end of the input cannot be read.
+            # Reached only after an error event, as otherwise a full buffer is not read into. Without free space the
+            # bytes that precede the end of the input cannot be received.
             return self.abort(ConnectionEnd.RESET)
         try:
             received = self.receive_buffer.receive(self.sock)
@@ -147,7 +149,10 @@
         return self.send_buffer.size
 
     def write(self, data: bytes) -> None:
-        """Queue bytes to be sent at the end of the round; ignored after ``close`` or ``abort``."""
+        """Queue bytes to be sent at the end of the round; ignored after ``close`` or ``abort``.
+
+        A connection whose send buffer is full is evicted.
+        """
         if self.end is not None or self.closing is not None:
             return
         if not self.loop.reserve_unsent(len(data), self):
@@ -183,7 +188,8 @@
     def close(self, end: ConnectionEnd, unsent: bool = True) -> None:
         """Close gracefully: send queued bytes, half-close, discard input, and wait for the peer to close.
 
-        With ``unsent`` false, queued bytes are dropped: a withdrawn request must not become complete at the peer.
+        With ``unsent`` false, queued bytes are dropped instead of sent: a withdrawn request must not become complete at
+        the peer.
         """
         if self.end is not None or self.closing is not None:
             return
@@ -222,7 +228,7 @@
         return self._half_closed and self.end is None
 
     def evict(self) -> None:
-        """Abort to free the memory of unsent bytes, which the peer does not read, for other connections."""
+        """Abort, to free for other connections the memory of unsent bytes that the peer does not read."""
         self.abort(ConnectionEnd.EVICTED)
 
     def abort(self, end: ConnectionEnd) -> None:
@@ -241,11 +247,12 @@
             self.receive_buffer = RingBuffer(0)
         self.loop.unwatch(self.sock.fileno())
         self.sock.close()
-        self._ended_callback(end)
+        self._on_end(end)
         if self._reader is not None:
             self._reader.wake()
 
 
+# The signature of ``connect``, which can be replaced by another function that opens connections.
 Dial = Callable[[Loop, tuple[str, int], float], Generator[Wait, Any, "socket.socket | ConnectionEnd"]]
 
 
--- a/lapishaven/net/listener.py
+++ b/lapishaven/net/listener.py
@@ -18,7 +18,7 @@
 
     def __init__(self, descriptors: int, reserve: int) -> None:
         self.limit = max(1, descriptors - reserve)
-        self.used = 0
+        self.used = 0  # incremented by the listener, decremented by the owner of a connection that has ended
 
     @property
     def full(self) -> bool:
@@ -68,7 +68,7 @@
             self.open()
 
     def open(self) -> None:
-        """Start to accept; further calls do nothing. Until then the other process accepts from a shared socket."""
+        """Start to accept; further calls do nothing. Until then only other processes accept from a shared socket."""
         if not self._opened:
             self._opened = True
             self._resume()
@@ -85,15 +85,17 @@
             self._retry_timer = self.loop.at(self.loop.now + DESCRIPTOR_RETRY_S, self._resume)
 
     def descriptor_freed(self) -> None:
-        """Accept again at once if accepting is suspended for want of a descriptor."""
+        """Accept again at once if accepting is suspended because no descriptor was available."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
             self._resume()
 
     def _on_events(self, mask: int) -> None:
+        # Only the first accept may evict an idle connection (``_make_room``), as the event shows that a connection is
+        # queued. Whether more are queued is unknown, and an eviction for none would be a loss.
         for accepted in range(MAX_ACCEPTS_PER_WAKEUP):
             if accepted and self.budget.full:
-                return  # if more are queued, epoll reports again; so nothing is evicted unless a connection is queued
+                return  # epoll reports further queued connections again; an eviction needs such a report
             if not self._accept():
                 return
 
@@ -124,8 +126,8 @@
     def close(self) -> bool:
         """Accept all queued connections, which may carry requests, then stop listening.
 
-        Returns whether it has stopped: it keeps listening while a queued connection lacks a descriptor, and ``close``
-        has to be called again. Connections queued on a shared socket are left to the other process.
+        Returns whether it has stopped: while no descriptor is available for a queued connection it keeps listening, and
+        ``close`` has to be called again. Connections queued on a shared socket are left to the other process.
         """
         if self.sock is None:
             return True
@@ -138,7 +140,7 @@
         return True
 
     def abandon(self) -> None:
-        """Stop listening at once; queued connections are reset by the kernel."""
+        """Stop listening at once; the kernel resets queued connections, unless another process shares the socket."""
         if self.sock is not None:
             self.loop.unwatch(self.sock.fileno())
             self.sock.close()
--- a/lapishaven/net/loop.py
+++ b/lapishaven/net/loop.py
@@ -20,7 +20,7 @@
 
 
 class Timer:
-    """A callback scheduled by ``Loop.at``, until it is cancelled."""
+    """A callback scheduled by ``Loop.at``. ``callback`` is ``None`` once it was called or cancelled."""
 
     __slots__ = ("callback", "_loop")
 
@@ -97,8 +97,8 @@
         self._round_number = 0
         self._timers: list[tuple[float, int, Timer]] = []
         self._cancelled_timers = 0
-        self._timer_order = count()
-        self._end_of_round: dict[Callable[[], None], None] = {}
+        self._timer_order = count()  # orders timers that are due at the same time
+        self._end_of_round: dict[Callable[[], None], None] = {}  # an ordered set
         self._next_round: list[Wait] = []
         self._stopped = False
         self.received = self.sent = 0  # bytes on all connections since the start
@@ -162,7 +162,7 @@
         return len(self._timers)
 
     def at_end_of_round(self, callback: Callable[[], None]) -> None:
-        """Call ``callback`` once at the end of this round, after ``process_round``."""
+        """Call ``callback`` at the end of this round, after ``process_round``; once, however often it is registered."""
         self._end_of_round[callback] = None
 
     def next_round(self) -> Wait:
@@ -183,16 +183,16 @@
         """
         while not self._stopped:
             due_times = [self._timers[0][0]] if self._timers else []
-            due_times += [0.0] if self._next_round else []
+            due_times += [0.0] if self._next_round else []  # 0.0: due at once
             due = next_due_at()
             if due is not None:
                 due_times.append(due)
-            timeout_s = max(0.0, min(due_times) - self.clock()) if due_times else -1  # -1: wait for input
+            timeout_s = max(0.0, min(due_times) - self.clock()) if due_times else -1  # -1: no timeout
             self.round(timeout_s, process_round)
 
     def round(self, timeout_s: float, process_round: Callable[[float], None]) -> None:
         """Run one round: wait for events, read all input, call ``process_round`` once, then write."""
-        # 1 ms is added because epoll truncates to milliseconds: the loop would wake before a timer is due, and spin.
+        # epoll waits whole milliseconds. 1 ms is added so that the loop does not wake before a timer is due, and spin.
         ready = self._epoll.poll(timeout_s if timeout_s <= 0 else timeout_s + 0.001)
         self.now = self.clock()
         self._round_number += 1
@@ -215,8 +215,9 @@
         self._call_guarded(process_round, self.now)
         while self._end_of_round:
             callbacks, self._end_of_round = self._end_of_round, {}
-            # In reverse order of registration: commands to the backend are queued after the responses that freed its
-            # cores, but must be sent before them, as a core idles until its next command arrives.
+            # In reverse order of registration: when runs end, the responses to callers are queued first and the next
+            # commands to the backend after them. The commands must be sent first, because a core of the backend idles
+            # until its next command arrives.
             for callback in reversed(callbacks):
                 self._call_guarded(callback)
 
@@ -224,7 +225,8 @@
     def reserve_unsent(self, size: int, sender: Sender) -> bool:
         """Make room for ``size`` more unsent bytes of ``sender``; returns whether it may queue them.
 
-        At the limit of the process, the connections with the most unsent bytes are evicted.
+        If ``unsent_limit`` would be exceeded, the connections with the most unsent bytes are evicted, which may include
+        ``sender`` itself.
         """
         while self.unsent + size > self.unsent_limit:
             largest = max(self.senders, key=lambda candidate: candidate.unsent, default=sender)
--- a/lapishaven/proto/catalog.py
+++ b/lapishaven/proto/catalog.py
@@ -1,6 +1,6 @@
 """The protocol of the catalog, the platform's service registry: health reports and the server list, over HTTP.
 
-Requests are sent one at a time on a persistent connection. h11 implements HTTP.
+Requests are sent one at a time on a persistent connection. HTTP is encoded and parsed by h11.
 """
 
 from __future__ import annotations
@@ -129,15 +129,15 @@
 
 
 def decode_response(data: bytes) -> ServerList | Delta:
-    """Parse and validate a list, or a delta if the text has ``since``. Raises ``ProtocolError``."""
+    """Parse and validate a list, or a delta if the JSON object has the field ``since``. Raises ``ProtocolError``."""
     top, epoch, version = _parse_header(data)
     if "since" not in top:
         return ServerList(epoch, version, _parse_servers(top.get("servers"), "servers"))
     since, left = top["since"], top.get("left", [])
     if isinstance(since, bool) or not isinstance(since, int) or since >= version:
-        raise ProtocolError(f"the delta to version {version!r:.40}: its since is not an earlier version")
+        raise ProtocolError(f"the delta to version {version!r:.40}: field 'since' is not an earlier version")
     if not isinstance(left, list) or not all(isinstance(name, str) and name for name in left):
-        raise ProtocolError(f"the delta to version {version!r:.40}: its left is not a list of names")
+        raise ProtocolError(f"the delta to version {version!r:.40}: field 'left' is not a list of names")
     joined, changed = _parse_servers(top.get("joined", []), "joined"), _parse_servers(top.get("changed", []), "changed")
     names = [*left, *(row.name for row in (*joined, *changed))]
     if len(set(names)) != len(names):
@@ -199,8 +199,9 @@
     def encode_request(self, known: str | None, since: bool = False) -> bytes:
         """Encode one request.
 
-        ``known`` is the tag ``EPOCH.VERSION`` of the list that the client has; an unchanged list is not sent again.
-        With ``since`` only the changes after it are requested; a catalog without history sends the full list.
+        ``known`` is the tag ``EPOCH.VERSION`` of the list that the client has; the catalog answers 304 if that list is
+        unchanged. With ``since``, only the changes after ``known`` are requested; a catalog that does not keep earlier
+        versions sends the full list.
         """
         headers = [("Host", self._host)] + ([("If-None-Match", f'"{known}"')] if known else [])
         self._status, self._body = 0, bytearray()
@@ -209,7 +210,10 @@
         return b"".join(self._http.send(part) or b"" for part in parts)
 
     def feed(self, data: bytes) -> tuple[bool, ServerList | Delta | None]:
-        """Whether the response is complete, and the list or delta in it, if any. Raises ``ProtocolError``."""
+        """Whether the response is complete, and the list or delta in it (``None`` if the list is unchanged).
+
+        Raises ``ProtocolError``.
+        """
         try:
             self._http.receive_data(data)
             while (event := self._http.next_event()) is not h11.NEED_DATA and event is not h11.PAUSED:
--- a/lapishaven/proto/interpreter.py
+++ b/lapishaven/proto/interpreter.py
@@ -1,6 +1,7 @@
 """The interpreter's protocol: encodes commands and parses notices.
 
-The protocol's own keywords are used in this module alone; the rest of the program uses the class names below.
+The rest of the program uses the class and function names below. The protocol's keywords leave this module only as the
+values of ``RunEnded.outcome`` and ``CommandRejected.command``.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
     number: int  # sequence number of the notice
     attempt_id: str
-    outcome: str  # the protocol's keyword
+    outcome: str  # the protocol's keyword for how it ended
     elapsed_s: float
     result: bytes
 
@@ -55,7 +56,7 @@
 class CommandRejected:
     """``ERROR``: a command was rejected."""
 
-    command: str  # the protocol's keyword
+    command: str  # the protocol's keyword of the rejected command
     attempt_id: str  # empty if the notice has none
 
 
@@ -105,9 +106,8 @@
 
     def __init__(self) -> None:
         self._lines = LineBuffer(MAX_LINE_BYTES)
-        self._incomplete: tuple[RunEnded, int] | None = (
-            None  # a run whose result is incomplete, and the size of the result
-        )
+        # A run whose result is not yet received completely, and the size of that result in bytes.
+        self._incomplete: tuple[RunEnded, int] | None = None
 
     def feed(self, data: bytes) -> Iterator[Message]:
         """Yield the notices that ``data`` completes. After a ``ProtocolError`` the connection is unusable."""
@@ -136,12 +136,12 @@
         if block is None:
             return None
         if block[size:] != LINE_END:
-            raise ProtocolError(f"the result of attempt {run.attempt_id[:40]!r} does not end after its {size} bytes")
+            raise ProtocolError(f"the {size}-byte result of attempt {run.attempt_id[:40]!r} is not followed by CRLF")
         self._incomplete = None
         return RunEnded(run.number, run.attempt_id, run.outcome, run.elapsed_s, block[:size])
 
     def _parse_line(self, line: str) -> Message | None:
-        """The notice in a line; ``None`` if its result follows."""
+        """The notice in a line; ``None`` for a ``VALUE`` line, whose result follows in the next bytes."""
         fields = line.split(" ")
         match fields[0]:
             case "VALUE":
@@ -163,7 +163,7 @@
         size = int(fields[5])
         if not 0 <= size <= MAX_RESULT_BYTES:
             raise TooLargeError(
-                f"the result of run {fields[2][:40]!r} has {fields[5][:20]} bytes, allowed are 0 to {MAX_RESULT_BYTES}"
+                f"result of attempt {fields[2][:40]!r}: {fields[5][:20]} bytes, allowed are 0 to {MAX_RESULT_BYTES}"
             )
         run = RunEnded(int(fields[1]), fields[2], fields[3], float(fields[4]) / 1000, b"")
         self._incomplete = run, size
--- a/lapishaven/proto/uwsgi.py
+++ b/lapishaven/proto/uwsgi.py
@@ -10,8 +10,8 @@
 
 from lapishaven.proto import ProtocolError, TooLargeError
 
-PACKET_HEADER = Struct("<BHB")  # modifier1, size of the variables, modifier2
-STRING_LENGTH = Struct("<H")
+PACKET_HEADER = Struct("<BHB")  # modifier1, size of the variables in bytes, modifier2
+STRING_LENGTH = Struct("<H")  # precedes each name and each value
 MAX_VARIABLES_BYTES = 16 * 1024
 MAX_BODY_BYTES = 2048  # the same limit as in ``jsonrpc``
 MAX_RESPONSE_BYTES = 64 * 1024
@@ -44,12 +44,12 @@
 
 
 class RequestParser:
-    """Parses the single request of a connection; sizes are checked as soon as they are received."""
+    """Parses the single request of a connection; limits are checked as soon as a size field is received."""
 
     def __init__(self) -> None:
-        self._data = bytearray()
+        self._data = bytearray()  # the packet; once the variables are parsed, the body alone
         self._variables: dict[str, str] | None = None
-        self._length = 0
+        self._body_bytes = 0  # size of the body, from CONTENT_LENGTH
         self.done = False
 
     def feed(self, data: bytes) -> Request | None:
@@ -59,11 +59,11 @@
         self._data += data
         if self._variables is None and not self._read_variables():
             return None
-        if len(self._data) < self._length:
+        if len(self._data) < self._body_bytes:
             return None
         self.done = True
         assert self._variables is not None
-        return Request(self._variables, bytes(self._data[: self._length]))
+        return Request(self._variables, bytes(self._data[: self._body_bytes]))
 
     def _read_variables(self) -> bool:
         if len(self._data) < PACKET_HEADER.size:
@@ -80,10 +80,10 @@
         length = self._variables.get("CONTENT_LENGTH", "") or "0"
         if not (length.isascii() and length.isdigit()):
             raise ProtocolError("CONTENT_LENGTH is not a number")
-        # The number of digits is checked first, because ``int`` rejects numbers of thousands of digits.
+        # The number of digits is checked first, because ``int`` raises ``ValueError`` for thousands of digits.
         if len(length) > 9 or int(length) > MAX_BODY_BYTES:
             raise TooLargeError(f"a body is longer than {MAX_BODY_BYTES} bytes")
-        self._length = int(length)
+        self._body_bytes = int(length)
         return True
 
 
@@ -116,7 +116,7 @@
 
 
 class ResponseParser:
-    """Parses the HTTP response to one request. h11 implements HTTP."""
+    """Parses the HTTP response to one request, with h11."""
 
     def __init__(self) -> None:
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=16 * 1024)
--- a/lapishaven/simulator/adapter.py
+++ b/lapishaven/simulator/adapter.py
@@ -1,4 +1,7 @@
-"""The adapter process: reads batches from standard input, and replies with the actions of a controller per instance."""
+"""The adapter process between a simulator and controllers, of which each simulated instance has its own.
+
+It reads batches of events from standard input and replies with the actions that the controllers return.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class Instance:
-    """One incarnation of a simulated instance. Instances share no state."""
+    """One simulated instance from a BORN record to DOWN, or to the next BORN. Instances share no state."""
 
     __slots__ = ("controller", "gauge_names")
 
@@ -28,7 +31,10 @@
         self._instances: dict[int, Instance] = {}
 
     def handle_batch(self, number: int, now: float, record_count: int, body: memoryview) -> bytes:
-        """The reply frame to a batch; ``body`` follows its header. Raises ``WireError`` if the batch is malformed."""
+        """The reply frame to a batch, whose records are ``body``. Raises ``WireError`` if the batch is malformed.
+
+        An exception in one instance is reported in the reply, and the other instances are still handled.
+        """
         reply = codec.Reply()
         for instance_number, events in self._read_events(record_count, body).items():
             try:
@@ -109,7 +115,10 @@
 
 
 def main() -> int:
-    """Serve standard input and output. A malformed frame is reported in one line, with exit code 2."""
+    """Serve standard input and output.
+
+    A malformed frame is reported in one line, with exit code 2. The exit code is 1 if the output pipe was closed.
+    """
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except ValueError as error:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -15,7 +15,7 @@
 
 
 class AdminServerBeforeStartup(World):
-    banner = None
+    banner = None  # the stand-in interpreter sends none by itself, so the server is not ready
 
     # Guards against readiness before the process can serve: an upgrade stops the old process once the new one is ready.
     def test_readyz_is_503_until_the_interpreter_is_connected_and_again_after_sigterm(self) -> None:
@@ -32,13 +32,15 @@
 
 
 class NewProcess(World):
+    """A process started for an upgrade: its listening socket is inherited and its interpreter not yet connected."""
+
     banner = None
     inherits = True
 
     # Guards against a new process that accepts callers from the shared socket and rejects them as "not up yet".
     def test_a_new_process_accepts_from_the_shared_socket_only_once_it_is_ready(self) -> None:
         with socket.create_connection(self.held.getsockname()):
-            self.wait(1.5)
+            self.wait(1.5)  # less than INHERITED_SOCKET_DELAY_S
             self.assertEqual(len(self.server.callers.sessions), 0)
             self.play("send vm BANNER WARM")
             self.assertEqual(len(self.server.callers.sessions), 1)
@@ -46,7 +48,7 @@
     # Guards against callers that are never accepted: no old process serves and the interpreter does not connect.
     def test_a_process_that_is_not_ready_accepts_from_the_shared_socket_after_a_delay(self) -> None:
         with socket.create_connection(self.held.getsockname()):
-            self.wait(2.1)
+            self.wait(2.1)  # more than INHERITED_SOCKET_DELAY_S
             self.assertEqual(len(self.server.callers.sessions), 1)
             self.play("send c1 1 fuzzy-match\nexpect c1 refused 1")
 
@@ -69,7 +71,7 @@
             [self.server.counters.get(group, "approve-commit") for group in ("faulted", "relayed")], [1, 1]
         )
 
-    # Guards against a silent or malformed admin request that delays the next one.
+    # Guards against a silent or malformed admin request that delays the next one. 2.1 s is more than REQUEST_TIMEOUT_S.
     def test_a_silent_client_is_closed_and_a_malformed_request_gets_400(self) -> None:
         self.play("""
             expect vm CONNECT 0
@@ -109,6 +111,7 @@
     """Guards against an upgrade that refuses or drops connections: the old process closes only its own descriptor."""
     shared = socket.create_server(("127.0.0.1", 0))  # held open by the platform
     loop, accepted = Loop(), []  # type: Loop, list[socket.socket]
+    # The address ("", 0) is not used, as the descriptor is inherited.
     old = Listener(loop, ("", 0), DescriptorBudget(64, 0), accepted.append, lambda: False, os.dup(shared.fileno()))
     new_fd = os.dup(shared.fileno())
     old.open()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -50,8 +50,11 @@
     assert decode_response(encode_delta(delta)) == delta
     assert decode_response(encode_list(listing(4, "n1"))) == listing(4, "n1")
     for data, reason in (
-        (b'{"epoch":"e","version":4,"since":4}', "the delta to version 4: its since is not an earlier version"),
-        (b'{"epoch":"e","version":4,"since":1,"left":[3]}', "the delta to version 4: its left is not a list of names"),
+        (b'{"epoch":"e","version":4,"since":4}', "the delta to version 4: field 'since' is not an earlier version"),
+        (
+            b'{"epoch":"e","version":4,"since":1,"left":[3]}',
+            "the delta to version 4: field 'left' is not a list of names",
+        ),
         (
             b'{"epoch":"e","version":4,"since":1,"left":["a"],"joined":[{"name":"a","address":"h:1"}]}',
             "the delta to version 4 names a server twice",
