--- a/lapishaven/cli/serve.py
+++ b/lapishaven/cli/serve.py
@@ -39,7 +39,10 @@
         "--record", help="Ledger settings (.toml), or a SQLite file for an asynchronous log of attempts; default: off."
     ),
 ]
-PoolsFile = Annotated[str | None, typer.Option("--pools", help="File of pools of classes; default: no pools.")]
+PoolsFile = Annotated[
+    str | None,
+    typer.Option("--pools", help="File of pools, each a share of the cores for some classes; default: no pools."),
+]
 SpreadFile = Annotated[
     str | None, typer.Option("--spread", help="File of the endpoints over which attempts are balanced; default: off.")
 ]
